--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -9,7 +9,7 @@
 from .placement import allowed_workers
 from .reservations import Reservation, Reservations
 from .room import effective_demand, fitting, is_near, per_worker_limit, Room
-from .standing import Standing
+from .standing import SortKey
 from .workers import WorkerState
 
 
@@ -24,7 +24,7 @@
 def earliest_reservation(
     step: StepState,
     count: int,
-    standing: Standing,
+    standing: SortKey,
     room: Room,
     reservations: Reservations,
     now_s: float,
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -21,7 +21,7 @@
 from .runs import Run
 from .stall_reports import StallReports
 from .stalls import used_share
-from .standing import DatedStanding, Standing
+from .standing import DatedStanding, SortKey
 from .state import SchedulerState
 from .variables import job_variables
 
@@ -122,7 +122,7 @@
             return True
         return not self._memory.is_blocked(self._signature(request), request.wanted_together)
 
-    def _standing(self, step: StepState, rank: int) -> Standing:
+    def _standing(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
         known = step.standing
         if known is not None and known.standing.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
@@ -131,8 +131,8 @@
         step.standing = DatedStanding(found, self._now.steady_s)
         return found
 
-    def _work_out_standing(self, step: StepState, rank: int) -> Standing:
-        order = Standing(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
+    def _work_out_standing(self, step: StepState, rank: int) -> SortKey:
+        order = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
         policy = self._state.policy
         if not policy.has_priority:
             return order
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -11,7 +11,7 @@
 from .ranks import RANK_OVERDUE
 from .room import effective_demand, fits, fitting, is_admissible, is_near, per_worker_limit, Room
 from .settings import SchedulerSettings
-from .standing import Standing
+from .standing import SortKey
 from .variables import candidate_variables, is_slow, is_suspect
 from .workers import WorkerState
 
@@ -81,7 +81,7 @@
     may_go_far: bool
     settings: SchedulerSettings
     policy: Policy
-    standing: Standing
+    standing: SortKey
     indices: tuple[int, ...] = ()
     isolation_s: float = 0.0
     is_overdue: bool = False
@@ -92,7 +92,7 @@
         return self.task_count if self.step.spec.gang else 1
 
     @property
-    def room_standing(self) -> Standing:
+    def room_standing(self) -> SortKey:
         """Standing against which reservations are held."""
         return self.standing._replace(rank=RANK_OVERDUE) if self.is_overdue else self.standing
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -12,7 +12,7 @@
 from .room import effective_demand, fitting, is_near, per_worker_limit, Room
 from .runs import Run, RunPhase
 from .settings import SchedulerSettings
-from .standing import Standing
+from .standing import SortKey
 from .variables import is_slow, victim_variables
 from .workers import by_rack, WorkerState
 
@@ -72,7 +72,7 @@
     step: StepState
     wanted: int
     room: Room
-    standing: Standing
+    standing: SortKey
 
 
 class _Offer(NamedTuple):
@@ -107,7 +107,7 @@
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
-    def plan(self, step: StepState, count: int, room: Room, standing: Standing, *, may_go_far: bool) -> Plan | None:
+    def plan(self, step: StepState, count: int, room: Room, standing: SortKey, *, may_go_far: bool) -> Plan | None:
         """Return the cheapest way to make room, if there is one."""
         everywhere = allowed_workers(step, room)
         able = [worker for worker in everywhere if is_near(worker, step)]
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -6,7 +6,7 @@
 
 from .job_state import StepState
 from .ranks import RANK_OVERDUE
-from .standing import Standing
+from .standing import SortKey
 
 
 class Reservation(NamedTuple):
@@ -35,7 +35,7 @@
     step: StepState
     count_by_worker: dict[str, int]
     ready_s: float
-    standing: Standing
+    standing: SortKey
     is_firm: bool = False
     made_s: float = 0.0
     is_pressing: bool = False
@@ -68,7 +68,7 @@
         """Yield each reservation."""
         return iter(self._reservations)
 
-    def keeps(self, reservation: Reservation, step: StepState, standing: Standing) -> bool:
+    def keeps(self, reservation: Reservation, step: StepState, standing: SortKey) -> bool:
         """Tell whether a step of a standing must leave the room of a reservation alone."""
         if reservation.step is step:
             return False
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -4,7 +4,7 @@
 from .job_state import StepState
 from .reservations import Reservation, Reservations
 from .runs import Run
-from .standing import Standing
+from .standing import SortKey
 from .workers import WorkerState
 
 # Used where a demand has no part in a resource.
@@ -60,7 +60,7 @@
             self._admissible_by_need[need] = known
         return known
 
-    def free_for(self, worker: WorkerState, step: StepState, standing: Standing, end_s: float) -> Resources:
+    def free_for(self, worker: WorkerState, step: StepState, standing: SortKey, end_s: float) -> Resources:
         """Return the room that a step of a standing may use until ``end_s``."""
         free = self.free_by_id.get(worker.worker_id, NO_RESOURCES)
         if self._indexed_version != self._reservations.version:
--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -5,7 +5,7 @@
 from ..workload import StepKey
 
 
-class Standing(NamedTuple):
+class SortKey(NamedTuple):
     """Where a step stands in the order; smaller goes first.
 
     Parameters
@@ -30,5 +30,5 @@
 class DatedStanding(NamedTuple):
     """A standing and when it was worked out, steady clock."""
 
-    standing: Standing
+    standing: SortKey
     at_s: float
--- a/packages/kernel/dahliaarch_kernel/scheduler/variables.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/variables.py
@@ -6,7 +6,7 @@
 from .learning import RunTimes
 from .objectives import slack_s
 from .runs import Run
-from .standing import Standing
+from .standing import SortKey
 from .workers import WorkerState
 
 # A worker this many times as slow as expected is used last.
@@ -26,7 +26,7 @@
     return worker.slowdown > _SLOW
 
 
-def job_variables(step: StepState, order: Standing, times: RunTimes, wall_s: float) -> JobVariables:
+def job_variables(step: StepState, order: SortKey, times: RunTimes, wall_s: float) -> JobVariables:
     """Return what a priority program sees of a step."""
     count = len(step.pending)
     return JobVariables(
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -17,7 +17,7 @@
 from dahliaarch_kernel.scheduler.reservations import Reservations
 from dahliaarch_kernel.scheduler.room import effective_demand, Room
 from dahliaarch_kernel.scheduler.runs import Run
-from dahliaarch_kernel.scheduler.standing import Standing
+from dahliaarch_kernel.scheduler.standing import SortKey
 
 
 class BestFit(Scheduler):
@@ -59,7 +59,7 @@
             False,
             settings,
             self._policy,
-            Standing(RANK_ORDINARY, 0.0, begin_s(step.job.spec, step.occurrence), step.identity),
+            SortKey(RANK_ORDINARY, 0.0, begin_s(step.job.spec, step.occurrence), step.identity),
         )
         placement = place(request, room)
         if placement.task_count:
