--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -8,7 +8,7 @@
 from .advice import Advice
 from .progress import Crash, is_suspect, JobProgress, StepProgress
 from .runs import Run
-from .standing import DatedStanding
+from .standing import CachedSortKey
 
 
 class JobPhase(StrEnum):
@@ -60,7 +60,7 @@
         self.was_considered = False
         # Logarithms of the times that its tasks take on a worker like the others.
         self.log_times: list[float] = []
-        self.standing: DatedStanding | None = None
+        self.standing: CachedSortKey | None = None
         # Whether any place near its data, or any rack, could hold it, and when that was looked at, steady clock.
         self.has_near_place = True
         self.near_place_seen_s = float('-inf')
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -21,7 +21,7 @@
 from .runs import Run
 from .stall_reports import StallReports
 from .stalls import used_share
-from .standing import DatedStanding, SortKey
+from .standing import CachedSortKey, SortKey
 from .state import SchedulerState
 from .variables import job_variables
 
@@ -128,7 +128,7 @@
         if known is not None and known.standing.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
             return known.standing
         found = self._work_out_standing(step, rank)
-        step.standing = DatedStanding(found, self._now.steady_s)
+        step.standing = CachedSortKey(found, self._now.steady_s)
         return found
 
     def _work_out_standing(self, step: StepState, rank: int) -> SortKey:
--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -27,7 +27,7 @@
     step: StepKey
 
 
-class DatedStanding(NamedTuple):
+class CachedSortKey(NamedTuple):
     """A standing and when it was worked out, steady clock."""
 
     standing: SortKey
