--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -60,7 +60,7 @@
         self.was_considered = False
         # Logarithms of the times that its tasks take on a worker like the others.
         self.log_times: list[float] = []
-        self.standing: CachedSortKey | None = None
+        self.sort_key: CachedSortKey | None = None
         # Whether any place near its data, or any rack, could hold it, and when that was looked at, steady clock.
         self.has_near_place = True
         self.near_place_seen_s = float('-inf')
--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -24,14 +24,14 @@
 def earliest_reservation(
     step: StepState,
     count: int,
-    standing: SortKey,
+    sort_key: SortKey,
     room: Room,
     reservations: Reservations,
     now_s: float,
 ) -> Reservation | None:
     """Return a reservation on the room that is expected to be free first."""
     kept_by_id = _kept_by_worker(
-        reservation for reservation in reservations if reservations.keeps(reservation, step, standing)
+        reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
     )
     openings: list[_Opening] = []
     for worker in allowed_workers(step, room):
@@ -44,7 +44,7 @@
         counts = counts_by_rack[opening.rack]
         counts[opening.worker_id] += 1
         if counts.total() >= count:
-            return Reservation(step, dict(counts), now_s + opening.after_s, standing, made_s=now_s)
+            return Reservation(step, dict(counts), now_s + opening.after_s, sort_key, made_s=now_s)
     return None
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -91,7 +91,7 @@
         """Return what asks for room and may find it now, in order of standing."""
         return sorted(
             (request for request in self._requests() if self._may_find_room(request)),
-            key=attrgetter('standing'),
+            key=attrgetter('sort_key'),
         )
 
     def _requests(self) -> Iterator[Request]:
@@ -124,11 +124,11 @@
 
     def _standing(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
-        known = step.standing
-        if known is not None and known.standing.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
-            return known.standing
+        known = step.sort_key
+        if known is not None and known.sort_key.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
+            return known.sort_key
         found = self._work_out_standing(step, rank)
-        step.standing = CachedSortKey(found, self._now.steady_s)
+        step.sort_key = CachedSortKey(found, self._now.steady_s)
         return found
 
     def _work_out_standing(self, step: StepState, rank: int) -> SortKey:
@@ -302,7 +302,7 @@
         since_s = self._now.steady_s - _VICTIMS_AGAIN_S
         if self._memory.lacks_victims(signature, rank, wanted, since_s):
             return None
-        plan = self._preemption.plan(step, wanted, self._room, request.standing, may_go_far=request.may_go_far)
+        plan = self._preemption.plan(step, wanted, self._room, request.sort_key, may_go_far=request.may_go_far)
         if plan is None:
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
@@ -312,7 +312,7 @@
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
         reservation = Reservation(
-            request.step, plan.count_by_worker, ready_s, request.standing, is_firm=True, made_s=now_s
+            request.step, plan.count_by_worker, ready_s, request.sort_key, is_firm=True, made_s=now_s
         )
         self._reservations.add(reservation)
 
@@ -326,10 +326,10 @@
             return
         if self._now.wall_s - begin_s(step.job.spec, step.occurrence) < settings.reserve_after_s:
             return
-        standing = request.standing
+        sort_key = request.sort_key
         if not settings.has(Mechanism.RESERVATION_RANKS):
-            standing = standing._replace(rank=RANK_GUARANTEED)
-        reservation = earliest_reservation(step, count, standing, self._room, self._reservations, self._now.steady_s)
+            sort_key = sort_key._replace(rank=RANK_GUARANTEED)
+        reservation = earliest_reservation(step, count, sort_key, self._room, self._reservations, self._now.steady_s)
         if reservation is not None:
             waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
             self._reservations.add(reservation._replace(is_pressing=waited_s >= _PRESSING_AFTER_S))
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -81,7 +81,7 @@
     may_go_far: bool
     settings: SchedulerSettings
     policy: Policy
-    standing: SortKey
+    sort_key: SortKey
     indices: tuple[int, ...] = ()
     isolation_s: float = 0.0
     is_overdue: bool = False
@@ -94,12 +94,12 @@
     @property
     def room_standing(self) -> SortKey:
         """Standing against which reservations are held."""
-        return self.standing._replace(rank=RANK_OVERDUE) if self.is_overdue else self.standing
+        return self.sort_key._replace(rank=RANK_OVERDUE) if self.is_overdue else self.sort_key
 
     @property
     def rank(self) -> int:
         """Rank of the step."""
-        return self.standing.rank
+        return self.sort_key.rank
 
 
 NOWHERE = Placement(())
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -72,7 +72,7 @@
     step: StepState
     wanted: int
     room: Room
-    standing: SortKey
+    sort_key: SortKey
 
 
 class _Offer(NamedTuple):
@@ -107,14 +107,14 @@
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
-    def plan(self, step: StepState, count: int, room: Room, standing: SortKey, *, may_go_far: bool) -> Plan | None:
+    def plan(self, step: StepState, count: int, room: Room, sort_key: SortKey, *, may_go_far: bool) -> Plan | None:
         """Return the cheapest way to make room, if there is one."""
         everywhere = allowed_workers(step, room)
         able = [worker for worker in everywhere if is_near(worker, step)]
         groups = [able]
         if step.spec.gang and step.spec.same_rack:
             groups = list(by_rack(able).values())
-        search = _Search(step, count, room, standing)
+        search = _Search(step, count, room, sort_key)
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
         if not found and may_go_far:
@@ -174,7 +174,7 @@
         step = search.step
         demand = effective_demand(step)
         limit = per_worker_limit(worker, step)
-        free = search.room.free_for(worker, step, search.standing, _FOR_GOOD)
+        free = search.room.free_for(worker, step, search.sort_key, _FOR_GOOD)
         for run in worker.run_by_key.values():
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
@@ -184,7 +184,7 @@
             offers.append(_Offer(worker, (), best, 0.0))
         victims: list[Run] = []
         cost = 0.0
-        for run in self._victims(worker, search.standing.rank):
+        for run in self._victims(worker, search.sort_key.rank):
             free = free.plus(run.demand)
             victims.append(run)
             cost += self.cost(run)
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -35,7 +35,7 @@
     step: StepState
     count_by_worker: dict[str, int]
     ready_s: float
-    standing: SortKey
+    sort_key: SortKey
     is_firm: bool = False
     made_s: float = 0.0
     is_pressing: bool = False
@@ -68,17 +68,17 @@
         """Yield each reservation."""
         return iter(self._reservations)
 
-    def keeps(self, reservation: Reservation, step: StepState, standing: SortKey) -> bool:
+    def keeps(self, reservation: Reservation, step: StepState, sort_key: SortKey) -> bool:
         """Tell whether a step of a standing must leave the room of a reservation alone."""
         if reservation.step is step:
             return False
-        if reservation.is_firm or reservation.standing.rank < standing.rank:
+        if reservation.is_firm or reservation.sort_key.rank < sort_key.rank:
             return True
-        if standing.rank == RANK_OVERDUE:
-            return reservation.is_pressing and reservation.standing._replace(rank=RANK_OVERDUE) < standing
+        if sort_key.rank == RANK_OVERDUE:
+            return reservation.is_pressing and reservation.sort_key._replace(rank=RANK_OVERDUE) < sort_key
         if self.is_in_order:
-            return reservation.standing < standing
-        return reservation.standing.rank == standing.rank
+            return reservation.sort_key < sort_key
+        return reservation.sort_key.rank == sort_key.rank
 
     def add(self, reservation: Reservation) -> None:
         """Keep room."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -60,13 +60,13 @@
             self._admissible_by_need[need] = known
         return known
 
-    def free_for(self, worker: WorkerState, step: StepState, standing: SortKey, end_s: float) -> Resources:
+    def free_for(self, worker: WorkerState, step: StepState, sort_key: SortKey, end_s: float) -> Resources:
         """Return the room that a step of a standing may use until ``end_s``."""
         free = self.free_by_id.get(worker.worker_id, NO_RESOURCES)
         if self._indexed_version != self._reservations.version:
             self._index_reservations()
         for reservation, kept in self._kept_by_worker.get(worker.worker_id, ()):
-            if end_s > reservation.ready_s and self._reservations.keeps(reservation, step, standing):
+            if end_s > reservation.ready_s and self._reservations.keeps(reservation, step, sort_key):
                 free = free.minus(kept)
         return free
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -30,5 +30,5 @@
 class CachedSortKey(NamedTuple):
     """A standing and when it was worked out, steady clock."""
 
-    standing: SortKey
+    sort_key: SortKey
     at_s: float
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -66,7 +66,7 @@
             self._start(step, request, now, room)
         elif not reservations.open_ones():
             reservation = earliest_reservation(
-                step, len(step.pending), request.standing, room, reservations, now.steady_s
+                step, len(step.pending), request.sort_key, room, reservations, now.steady_s
             )
             if reservation is not None:
                 reservations.add(reservation)
