--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -122,7 +122,7 @@
             return True
         return not self._memory.is_blocked(self._signature(request), request.wanted_together)
 
-    def _standing(self, step: StepState, rank: int) -> SortKey:
+    def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
         known = step.sort_key
         if known is not None and known.sort_key.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
@@ -183,7 +183,7 @@
             self._may_go_far(step, len(tasks), has_waited=is_overdue or waited_s > near_s),
             settings,
             self._state.policy,
-            self._standing(step, rank),
+            self._sort_key(step, rank),
             tuple(sorted(tasks)),
             is_overdue=is_overdue,
         )
