--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -127,11 +127,11 @@
         known = step.sort_key
         if known is not None and known.sort_key.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
             return known.sort_key
-        found = self._work_out_standing(step, rank)
+        found = self._compute_sort_key(step, rank)
         step.sort_key = CachedSortKey(found, self._now.steady_s)
         return found
 
-    def _work_out_standing(self, step: StepState, rank: int) -> SortKey:
+    def _compute_sort_key(self, step: StepState, rank: int) -> SortKey:
         order = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
         policy = self._state.policy
         if not policy.has_priority:
