--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -92,7 +92,7 @@
         return self.task_count if self.step.spec.gang else 1
 
     @property
-    def room_standing(self) -> SortKey:
+    def reservation_sort_key(self) -> SortKey:
         """Standing against which reservations are held."""
         return self.sort_key._replace(rank=RANK_OVERDUE) if self.is_overdue else self.sort_key
 
@@ -211,7 +211,7 @@
     end_s = request.now_s + work_s
     found = []
     for worker in _with_room(_candidates(request, room, near=near), room.free_by_id, demand):
-        free = room.free_for(worker, step, request.room_standing, end_s)
+        free = room.free_for(worker, step, request.reservation_sort_key, end_s)
         count = min(fitting(free, demand), per_worker_limit(worker, step))
         if count:
             found.append(Spot(worker, count))
