--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -13,7 +13,7 @@
 from .workers import WorkerState
 
 
-class _Opening(NamedTuple):
+class _FutureSlot(NamedTuple):
     """One more task of a gang fits on a worker from a time on."""
 
     after_s: float
@@ -33,7 +33,7 @@
     kept_by_id = _kept_by_worker(
         reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
     )
-    openings: list[_Opening] = []
+    openings: list[_FutureSlot] = []
     for worker in allowed_workers(step, room):
         if is_near(worker, step):
             free = worker.free.minus(kept_by_id.get(worker.worker_id, NO_RESOURCES))
@@ -63,7 +63,7 @@
     step: StepState,
     count: int,
     ends: list[tuple[float, Resources]],
-) -> Iterator[_Opening]:
+) -> Iterator[_FutureSlot]:
     """Yield, as its runs end, when one more task fits on a worker."""
     demand = effective_demand(step)
     most = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
@@ -73,7 +73,7 @@
         free = free.plus(freed)
         fits = min(most, fitting(free, demand))
         for _ in range(fits - found):
-            yield _Opening(after_s, worker.worker_id, rack)
+            yield _FutureSlot(after_s, worker.worker_id, rack)
         found = max(found, fits)
         if found >= most:
             return
