--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -37,7 +37,7 @@
     for worker in allowed_workers(step, room):
         if is_near(worker, step):
             free = worker.free.minus(kept_by_id.get(worker.worker_id, NO_RESOURCES))
-            openings.extend(_openings(worker, free, step, count, room.ends(worker, now_s)))
+            openings.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
     openings.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
     for opening in openings:
@@ -57,7 +57,7 @@
     return kept_by_id
 
 
-def _openings(
+def _future_slots(
     worker: WorkerState,
     free: Resources,
     step: StepState,
