--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -33,14 +33,14 @@
     kept_by_id = _kept_by_worker(
         reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
     )
-    openings: list[_FutureSlot] = []
+    slots: list[_FutureSlot] = []
     for worker in allowed_workers(step, room):
         if is_near(worker, step):
             free = worker.free.minus(kept_by_id.get(worker.worker_id, NO_RESOURCES))
-            openings.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
-    openings.sort()
+            slots.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
+    slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
-    for opening in openings:
+    for opening in slots:
         counts = counts_by_rack[opening.rack]
         counts[opening.worker_id] += 1
         if counts.total() >= count:
