--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -40,11 +40,11 @@
             slots.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
     slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
-    for opening in slots:
-        counts = counts_by_rack[opening.rack]
-        counts[opening.worker_id] += 1
+    for slot in slots:
+        counts = counts_by_rack[slot.rack]
+        counts[slot.worker_id] += 1
         if counts.total() >= count:
-            return Reservation(step, dict(counts), now_s + opening.after_s, sort_key, made_s=now_s)
+            return Reservation(step, dict(counts), now_s + slot.after_s, sort_key, made_s=now_s)
     return None
 
 
