--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -30,7 +30,7 @@
     now_s: float,
 ) -> Reservation | None:
     """Return a reservation on the room that is expected to be free first."""
-    kept_by_id = _kept_by_worker(
+    kept_by_id = _reserved_by_worker(
         reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
     )
     slots: list[_FutureSlot] = []
@@ -48,7 +48,7 @@
     return None
 
 
-def _kept_by_worker(reservations: Iterable[Reservation]) -> dict[str, Resources]:
+def _reserved_by_worker(reservations: Iterable[Reservation]) -> dict[str, Resources]:
     kept_by_id: dict[str, Resources] = {}
     for reservation in reservations:
         demand = effective_demand(reservation.step)
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -65,18 +65,18 @@
         free = self.free_by_id.get(worker.worker_id, NO_RESOURCES)
         if self._indexed_version != self._reservations.version:
             self._index_reservations()
-        for reservation, kept in self._kept_by_worker.get(worker.worker_id, ()):
+        for reservation, kept in self._reserved_by_worker.get(worker.worker_id, ()):
             if end_s > reservation.ready_s and self._reservations.keeps(reservation, step, sort_key):
                 free = free.minus(kept)
         return free
 
     def _index_reservations(self) -> None:
         """Note by worker what reservations keep there: most workers have none."""
-        self._kept_by_worker: dict[str, list[tuple[Reservation, Resources]]] = {}
+        self._reserved_by_worker: dict[str, list[tuple[Reservation, Resources]]] = {}
         for reservation in self._reservations:
             demand = effective_demand(reservation.step)
             for worker_id, count in reservation.count_by_worker.items():
-                self._kept_by_worker.setdefault(worker_id, []).append((reservation, demand.times(count)))
+                self._reserved_by_worker.setdefault(worker_id, []).append((reservation, demand.times(count)))
         self._indexed_version = self._reservations.version
 
 
