--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -30,13 +30,13 @@
     now_s: float,
 ) -> Reservation | None:
     """Return a reservation on the room that is expected to be free first."""
-    kept_by_id = _reserved_by_worker(
+    reserved_by_id = _reserved_by_worker(
         reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
     )
     slots: list[_FutureSlot] = []
     for worker in allowed_workers(step, room):
         if is_near(worker, step):
-            free = worker.free.minus(kept_by_id.get(worker.worker_id, NO_RESOURCES))
+            free = worker.free.minus(reserved_by_id.get(worker.worker_id, NO_RESOURCES))
             slots.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
     slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
@@ -49,12 +49,12 @@
 
 
 def _reserved_by_worker(reservations: Iterable[Reservation]) -> dict[str, Resources]:
-    kept_by_id: dict[str, Resources] = {}
+    reserved_by_id: dict[str, Resources] = {}
     for reservation in reservations:
         demand = effective_demand(reservation.step)
         for worker_id, count in reservation.count_by_worker.items():
-            kept_by_id[worker_id] = kept_by_id.get(worker_id, NO_RESOURCES).plus(demand.times(count))
-    return kept_by_id
+            reserved_by_id[worker_id] = reserved_by_id.get(worker_id, NO_RESOURCES).plus(demand.times(count))
+    return reserved_by_id
 
 
 def _future_slots(
