--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -65,9 +65,9 @@
         free = self.free_by_id.get(worker.worker_id, NO_RESOURCES)
         if self._indexed_version != self._reservations.version:
             self._index_reservations()
-        for reservation, kept in self._reserved_by_worker.get(worker.worker_id, ()):
+        for reservation, reserved in self._reserved_by_worker.get(worker.worker_id, ()):
             if end_s > reservation.ready_s and self._reservations.keeps(reservation, step, sort_key):
-                free = free.minus(kept)
+                free = free.minus(reserved)
         return free
 
     def _index_reservations(self) -> None:
