--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -66,14 +66,14 @@
 ) -> Iterator[_FutureSlot]:
     """Yield, as its runs end, when one more task fits on a worker."""
     demand = effective_demand(step)
-    most = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
+    max_count = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
     found = 0
     for after_s, freed in ((0.0, NO_RESOURCES), *ends):
         free = free.plus(freed)
-        fits = min(most, fitting(free, demand))
+        fits = min(max_count, fitting(free, demand))
         for _ in range(fits - found):
             yield _FutureSlot(after_s, worker.worker_id, rack)
         found = max(found, fits)
-        if found >= most:
+        if found >= max_count:
             return
