--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -71,9 +71,9 @@
     found = 0
     for after_s, freed in ((0.0, NO_RESOURCES), *ends):
         free = free.plus(freed)
-        fits = min(max_count, fitting(free, demand))
-        for _ in range(fits - found):
+        fitting_count = min(max_count, fitting(free, demand))
+        for _ in range(fitting_count - found):
             yield _FutureSlot(after_s, worker.worker_id, rack)
-        found = max(found, fits)
+        found = max(found, fitting_count)
         if found >= max_count:
             return
