--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -68,12 +68,12 @@
     demand = effective_demand(step)
     max_count = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
-    found = 0
+    yielded = 0
     for after_s, freed in ((0.0, NO_RESOURCES), *ends):
         free = free.plus(freed)
         fitting_count = min(max_count, fitting(free, demand))
-        for _ in range(fitting_count - found):
+        for _ in range(fitting_count - yielded):
             yield _FutureSlot(after_s, worker.worker_id, rack)
-        found = max(found, fitting_count)
-        if found >= max_count:
+        yielded = max(yielded, fitting_count)
+        if yielded >= max_count:
             return
