--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -31,7 +31,7 @@
 ) -> Reservation | None:
     """Return a reservation on the room that is expected to be free first."""
     reserved_by_id = _reserved_by_worker(
-        reservation for reservation in reservations if reservations.keeps(reservation, step, sort_key)
+        reservation for reservation in reservations if reservations.blocks(reservation, step, sort_key)
     )
     slots: list[_FutureSlot] = []
     for worker in allowed_workers(step, room):
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -68,7 +68,7 @@
         """Yield each reservation."""
         return iter(self._reservations)
 
-    def keeps(self, reservation: Reservation, step: StepState, sort_key: SortKey) -> bool:
+    def blocks(self, reservation: Reservation, step: StepState, sort_key: SortKey) -> bool:
         """Tell whether a step of a standing must leave the room of a reservation alone."""
         if reservation.step is step:
             return False
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -66,7 +66,7 @@
         if self._indexed_version != self._reservations.version:
             self._index_reservations()
         for reservation, reserved in self._reserved_by_worker.get(worker.worker_id, ()):
-            if end_s > reservation.ready_s and self._reservations.keeps(reservation, step, sort_key):
+            if end_s > reservation.ready_s and self._reservations.blocks(reservation, step, sort_key):
                 free = free.minus(reserved)
         return free
 
