--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -312,7 +312,7 @@
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
         reservation = Reservation(
-            request.step, plan.count_by_worker, ready_s, request.sort_key, is_firm=True, made_s=now_s
+            request.step, plan.count_by_worker, ready_s, request.sort_key, awaits_preemption=True, made_s=now_s
         )
         self._reservations.add(reservation)
 
@@ -350,7 +350,9 @@
             return
         oldest_s = self._now.steady_s - _FULL_EVERY_S
         self._reservations.drop(
-            lambda reservation: reservation.step is step and not reservation.is_firm and reservation.made_s <= oldest_s
+            lambda reservation: (
+                reservation.step is step and not reservation.awaits_preemption and reservation.made_s <= oldest_s
+            )
         )
 
     def _drop_stale_reservations(self) -> None:
@@ -361,7 +363,7 @@
     def _still_holds(self, reservation: Reservation, known: set[str]) -> bool:
         if reservation.step.job.has_ended or not reservation.step.pending:
             return False
-        if not reservation.is_firm:
+        if not reservation.awaits_preemption:
             return not reservation.step.run_by_index
         late_s = self._now.steady_s - reservation.ready_s
         return late_s < _RESERVATION_SLACK_S and known.issuperset(reservation.count_by_worker)
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -36,7 +36,7 @@
     count_by_worker: dict[str, int]
     ready_s: float
     sort_key: SortKey
-    is_firm: bool = False
+    awaits_preemption: bool = False
     made_s: float = 0.0
     is_pressing: bool = False
 
@@ -72,7 +72,7 @@
         """Tell whether a step of a standing must leave the room of a reservation alone."""
         if reservation.step is step:
             return False
-        if reservation.is_firm or reservation.sort_key.rank < sort_key.rank:
+        if reservation.awaits_preemption or reservation.sort_key.rank < sort_key.rank:
             return True
         if sort_key.rank == RANK_OVERDUE:
             return reservation.is_pressing and reservation.sort_key._replace(rank=RANK_OVERDUE) < sort_key
@@ -116,4 +116,4 @@
 
     def open_ones(self) -> int:
         """Return how many reservations stop nothing."""
-        return sum(not reservation.is_firm for reservation in self._reservations)
+        return sum(not reservation.awaits_preemption for reservation in self._reservations)
