--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -332,7 +332,7 @@
         reservation = earliest_reservation(step, count, sort_key, self._room, self._reservations, self._now.steady_s)
         if reservation is not None:
             waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
-            self._reservations.add(reservation._replace(is_pressing=waited_s >= _PRESSING_AFTER_S))
+            self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _PRESSING_AFTER_S))
 
     def _explain_stalls(self) -> None:
         """Report why steps wait whose jobs have had nothing running for a while."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -38,7 +38,7 @@
     sort_key: SortKey
     awaits_preemption: bool = False
     made_s: float = 0.0
-    is_pressing: bool = False
+    blocks_overdue: bool = False
 
 
 class Reservations:
@@ -75,7 +75,7 @@
         if reservation.awaits_preemption or reservation.sort_key.rank < sort_key.rank:
             return True
         if sort_key.rank == RANK_OVERDUE:
-            return reservation.is_pressing and reservation.sort_key._replace(rank=RANK_OVERDUE) < sort_key
+            return reservation.blocks_overdue and reservation.sort_key._replace(rank=RANK_OVERDUE) < sort_key
         if self.is_in_order:
             return reservation.sort_key < sort_key
         return reservation.sort_key.rank == sort_key.rank
