--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -44,7 +44,7 @@
         counts = counts_by_rack[slot.rack]
         counts[slot.worker_id] += 1
         if counts.total() >= count:
-            return Reservation(step, dict(counts), now_s + slot.after_s, sort_key, made_s=now_s)
+            return Reservation(step, dict(counts), now_s + slot.after_s, sort_key, created_s=now_s)
     return None
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -312,7 +312,7 @@
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
         reservation = Reservation(
-            request.step, plan.count_by_worker, ready_s, request.sort_key, awaits_preemption=True, made_s=now_s
+            request.step, plan.count_by_worker, ready_s, request.sort_key, awaits_preemption=True, created_s=now_s
         )
         self._reservations.add(reservation)
 
@@ -351,7 +351,7 @@
         oldest_s = self._now.steady_s - _FULL_EVERY_S
         self._reservations.drop(
             lambda reservation: (
-                reservation.step is step and not reservation.awaits_preemption and reservation.made_s <= oldest_s
+                reservation.step is step and not reservation.awaits_preemption and reservation.created_s <= oldest_s
             )
         )
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -37,7 +37,7 @@
     ready_s: float
     sort_key: SortKey
     awaits_preemption: bool = False
-    made_s: float = 0.0
+    created_s: float = 0.0
     blocks_overdue: bool = False
 
 
