--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -322,7 +322,7 @@
         settings = self._state.settings
         if not settings.has(Mechanism.GANG_RESERVATIONS):
             return
-        if self._reservations.has(step) or self._reservations.open_ones() >= settings.reservations:
+        if self._reservations.has(step) or self._reservations.count_without_preemption() >= settings.reservations:
             return
         if self._now.wall_s - begin_s(step.job.spec, step.occurrence) < settings.reserve_after_s:
             return
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -114,6 +114,6 @@
         """Tell whether room is kept for a step."""
         return step in self._count_by_step
 
-    def open_ones(self) -> int:
+    def count_without_preemption(self) -> int:
         """Return how many reservations stop nothing."""
         return sum(not reservation.awaits_preemption for reservation in self._reservations)
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -64,7 +64,7 @@
         placement = place(request, room)
         if placement.task_count:
             self._start(step, request, now, room)
-        elif not reservations.open_ones():
+        elif not reservations.count_without_preemption():
             reservation = earliest_reservation(
                 step, len(step.pending), request.sort_key, room, reservations, now.steady_s
             )
