--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -81,7 +81,7 @@
             self._memory.begin_full(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
             self._state.stalls.renew(self._state.active_jobs(), share, self._now.steady_s)
-            self._reservations.is_in_order = self._state.stalls.has_idle_capacity
+            self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
         for request in self._ordered_requests():
             self._consider(request)
         if self._is_full:
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -62,7 +62,7 @@
         self._count_by_step: Counter[StepState] = Counter()
         self._freed: set[str] = set()
         self.version = 0
-        self.is_in_order = True
+        self.blocks_only_later_steps = True
 
     def __iter__(self) -> Iterator[Reservation]:
         """Yield each reservation."""
@@ -76,7 +76,7 @@
             return True
         if sort_key.rank == RANK_OVERDUE:
             return reservation.blocks_overdue and reservation.sort_key._replace(rank=RANK_OVERDUE) < sort_key
-        if self.is_in_order:
+        if self.blocks_only_later_steps:
             return reservation.sort_key < sort_key
         return reservation.sort_key.rank == sort_key.rank
 
