--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -342,7 +342,7 @@
                 reports.add(request)
 
     def _forget_reservation(self, step: StepState) -> None:
-        self._reservations.drop_of(step)
+        self._reservations.drop_for_step(step)
 
     def _reopen_reservation(self, step: StepState) -> None:
         """Drop a step's reservation that stops nothing and is no longer fresh, to make it anew."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -100,7 +100,7 @@
         self._count_by_step = Counter(reservation.step for reservation in self._reservations)
         self.version += 1
 
-    def drop_of(self, step: StepState) -> None:
+    def drop_for_step(self, step: StepState) -> None:
         """Give back the room that is kept for a step."""
         if self.has(step):
             self.drop(lambda reservation: reservation.step is step)
