--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -105,7 +105,7 @@
         if self.has(step):
             self.drop(lambda reservation: reservation.step is step)
 
-    def take_freed(self) -> set[str]:
+    def pop_freed_workers(self) -> set[str]:
         """Return the workers on which reservations were dropped since the last call."""
         freed, self._freed = self._freed, set()
         return freed
