--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -60,7 +60,7 @@
         self._reservations: list[Reservation] = []
         # How many reservations each step has: it is asked several times for each step of a pass.
         self._count_by_step: Counter[StepState] = Counter()
-        self._freed: set[str] = set()
+        self._freed_workers: set[str] = set()
         self.version = 0
         self.blocks_only_later_steps = True
 
@@ -91,7 +91,7 @@
         kept = []
         for reservation in self._reservations:
             if is_dropped(reservation):
-                self._freed.update(reservation.count_by_worker)
+                self._freed_workers.update(reservation.count_by_worker)
             else:
                 kept.append(reservation)
         if len(kept) == len(self._reservations):
@@ -107,7 +107,7 @@
 
     def pop_freed_workers(self) -> set[str]:
         """Return the workers on which reservations were dropped since the last call."""
-        freed, self._freed = self._freed, set()
+        freed, self._freed_workers = self._freed_workers, set()
         return freed
 
     def has(self, step: StepState) -> bool:
