--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -88,15 +88,15 @@
 
     def drop(self, is_dropped: Callable[[Reservation], bool]) -> None:
         """Give room back."""
-        kept = []
+        remaining = []
         for reservation in self._reservations:
             if is_dropped(reservation):
                 self._freed_workers.update(reservation.count_by_worker)
             else:
-                kept.append(reservation)
-        if len(kept) == len(self._reservations):
+                remaining.append(reservation)
+        if len(remaining) == len(self._reservations):
             return
-        self._reservations = kept
+        self._reservations = remaining
         self._count_by_step = Counter(reservation.step for reservation in self._reservations)
         self.version += 1
 
