--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -8,7 +8,7 @@
 from .job_state import StepState
 from .placement import allowed_workers
 from .reservations import Reservation, Reservations
-from .room import effective_demand, fitting, is_near, per_worker_limit, Room
+from .room import effective_demand, fitting, FreeCapacity, is_near, per_worker_limit
 from .standing import SortKey
 from .workers import WorkerState
 
@@ -25,7 +25,7 @@
     step: StepState,
     count: int,
     sort_key: SortKey,
-    room: Room,
+    room: FreeCapacity,
     reservations: Reservations,
     now_s: float,
 ) -> Reservation | None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -17,7 +17,7 @@
 from .preemption import Plan, Preemption
 from .ranks import rank_by_job, RANK_GUARANTEED, RANK_ORDINARY
 from .reservations import Reservation
-from .room import effective_demand, fits, Room
+from .room import effective_demand, fits, FreeCapacity
 from .runs import Run
 from .stall_reports import StallReports
 from .stalls import used_share
@@ -67,7 +67,7 @@
             for worker in takers
             if state.knows_room(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
         ]
-        self._room = Room(self._workers, state.reservations)
+        self._room = FreeCapacity(self._workers, state.reservations)
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
@@ -165,7 +165,7 @@
     def _start_alone(self, request: Request) -> None:
         """Start suspects on workers that run nothing; nobody is stopped for them."""
         empty = [worker for worker in self._workers if not worker.run_by_key]
-        placement = place(request, Room(empty, self._reservations))
+        placement = place(request, FreeCapacity(empty, self._reservations))
         if placement.task_count:
             self._start(request, placement)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -9,7 +9,7 @@
 from .job_state import StepState
 from .mechanisms import Mechanism
 from .ranks import RANK_OVERDUE
-from .room import effective_demand, fits, fitting, is_admissible, is_near, per_worker_limit, Room
+from .room import effective_demand, fits, fitting, FreeCapacity, is_admissible, is_near, per_worker_limit
 from .settings import SchedulerSettings
 from .standing import SortKey
 from .variables import candidate_variables, is_slow, is_suspect
@@ -109,7 +109,7 @@
 _UNLIMITED = 1_000_000
 
 
-def place(request: Request, room: Room) -> Placement:
+def place(request: Request, room: FreeCapacity) -> Placement:
     """Return room for a step: all of a gang, or as many tasks as fit."""
     near = _spots(request, room, request.work_s, near=True)
     if request.step.spec.gang:
@@ -122,7 +122,7 @@
     return placement
 
 
-def allowed_workers(step: StepState, room: Room) -> list[WorkerState]:
+def allowed_workers(step: StepState, room: FreeCapacity) -> list[WorkerState]:
     """Return the workers that may run a step once they have room."""
     able = room.admissible(step)
     if step.advice is not None:
@@ -170,7 +170,7 @@
     return spots_by_rack
 
 
-def _place_gang(request: Request, room: Room, near: list[Spot]) -> Placement:
+def _place_gang(request: Request, room: FreeCapacity, near: list[Spot]) -> Placement:
     step = request.step
     if sum(spot.task_count for spot in near) >= request.task_count:
         found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
@@ -205,7 +205,7 @@
     return best
 
 
-def _spots(request: Request, room: Room, work_s: float, *, near: bool) -> list[Spot]:
+def _spots(request: Request, room: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
     step = request.step
     demand = effective_demand(step)
     end_s = request.now_s + work_s
@@ -225,7 +225,7 @@
     return [worker for worker in free if fits(free_by_id[worker.worker_id], demand)]
 
 
-def _candidates(request: Request, room: Room, *, near: bool) -> list[WorkerState]:
+def _candidates(request: Request, room: FreeCapacity, *, near: bool) -> list[WorkerState]:
     step = request.step
     able = room.admissible(step)
     if near and step.spec.data_rack:
@@ -238,14 +238,14 @@
     return without_failed(step, able)
 
 
-def _by_preference(spots: list[Spot], request: Request, room: Room) -> list[Spot]:
+def _by_preference(spots: list[Spot], request: Request, room: FreeCapacity) -> list[Spot]:
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
     preferred = _by_policy(spots, request, room)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
 
 
-def _by_policy(spots: list[Spot], request: Request, room: Room) -> list[Spot]:
+def _by_policy(spots: list[Spot], request: Request, room: FreeCapacity) -> list[Spot]:
     free_by_id = room.free_by_id
     policy = request.policy
     if not policy.has_placement:
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -9,7 +9,7 @@
 from .mechanisms import Mechanism
 from .placement import allowed_workers
 from .ranks import RANK_ORDINARY
-from .room import effective_demand, fitting, is_near, per_worker_limit, Room
+from .room import effective_demand, fitting, FreeCapacity, is_near, per_worker_limit
 from .runs import Run, RunPhase
 from .settings import SchedulerSettings
 from .standing import SortKey
@@ -71,7 +71,7 @@
 
     step: StepState
     wanted: int
-    room: Room
+    room: FreeCapacity
     sort_key: SortKey
 
 
@@ -107,7 +107,9 @@
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
-    def plan(self, step: StepState, count: int, room: Room, sort_key: SortKey, *, may_go_far: bool) -> Plan | None:
+    def plan(
+        self, step: StepState, count: int, room: FreeCapacity, sort_key: SortKey, *, may_go_far: bool
+    ) -> Plan | None:
         """Return the cheapest way to make room, if there is one."""
         everywhere = allowed_workers(step, room)
         able = [worker for worker in everywhere if is_near(worker, step)]
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -11,7 +11,7 @@
 _UNLIMITED = 1_000_000
 
 
-class Room:
+class FreeCapacity:
     """Free resources of the workers that may take starts.
 
     Parameters
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -9,7 +9,7 @@
 from .job_state import StepState
 from .placement import place, Request
 from .reservations import Reservations
-from .room import effective_demand, fitting, per_worker_limit, Room
+from .room import effective_demand, fitting, FreeCapacity, per_worker_limit
 from .state import SchedulerState
 from .workers import WorkerState
 
@@ -56,15 +56,17 @@
         return WaitReason.NO_CAPACITY
 
     @cached_property
-    def _unreserved_room(self) -> Room:
+    def _unreserved_room(self) -> FreeCapacity:
         """What is free, reserved or not."""
-        return Room(list(self._workers), Reservations())
+        return FreeCapacity(list(self._workers), Reservations())
 
     @cached_property
-    def _listed_room(self) -> Room:
+    def _listed_room(self) -> FreeCapacity:
         """What would be free if every worker took starts that is listed and does not leave."""
         workers = self._state.worker_by_id.values()
-        return Room([worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations())
+        return FreeCapacity(
+            [worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations()
+        )
 
     def _report(self, request: Request, reason: WaitReason) -> StepWaiting:
         step = request.step
@@ -81,7 +83,7 @@
         )
 
 
-def _fitting(step: StepState, room: Room) -> int:
+def _fitting(step: StepState, room: FreeCapacity) -> int:
     """Return how many tasks of a step fit into some room."""
     demand = effective_demand(step)
     return sum(min(fitting(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step))
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -15,7 +15,7 @@
 from dahliaarch_kernel.scheduler.placement import place, Request
 from dahliaarch_kernel.scheduler.ranks import RANK_ORDINARY
 from dahliaarch_kernel.scheduler.reservations import Reservations
-from dahliaarch_kernel.scheduler.room import effective_demand, Room
+from dahliaarch_kernel.scheduler.room import effective_demand, FreeCapacity
 from dahliaarch_kernel.scheduler.runs import Run
 from dahliaarch_kernel.scheduler.standing import SortKey
 
@@ -40,7 +40,7 @@
         reservations = Reservations()
         expire_leases(state, now)
         workers = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
-        room = Room(workers, reservations)
+        room = FreeCapacity(workers, reservations)
         for job in state.active_jobs():
             job.open_due(now.wall_s)
             for step in job.ready_steps():
@@ -49,7 +49,7 @@
         effects, state.effects = state.effects, []
         return effects
 
-    def _consider(self, step: StepState, room: Room, reservations: Reservations, now: Moment) -> None:
+    def _consider(self, step: StepState, room: FreeCapacity, reservations: Reservations, now: Moment) -> None:
         settings = self._state.settings
         request = Request(
             step,
@@ -71,7 +71,7 @@
             if reservation is not None:
                 reservations.add(reservation)
 
-    def _start(self, step: StepState, request: Request, now: Moment, room: Room) -> None:
+    def _start(self, step: StepState, request: Request, now: Moment, room: FreeCapacity) -> None:
         indices = sorted(step.pending)
         number = self._state.next_run_number()
         demand = effective_demand(step)
