--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -37,7 +37,7 @@
     for worker in allowed_workers(step, room):
         if is_near(worker, step):
             free = worker.free.minus(reserved_by_id.get(worker.worker_id, NO_RESOURCES))
-            slots.extend(_future_slots(worker, free, step, count, room.ends(worker, now_s)))
+            slots.extend(_future_slots(worker, free, step, count, room.expected_releases(worker, now_s)))
     slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
     for slot in slots:
@@ -62,14 +62,14 @@
     free: Resources,
     step: StepState,
     count: int,
-    ends: list[tuple[float, Resources]],
+    expected_releases: list[tuple[float, Resources]],
 ) -> Iterator[_FutureSlot]:
     """Yield, as its runs end, when one more task fits on a worker."""
     demand = effective_demand(step)
     max_count = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
     yielded = 0
-    for after_s, freed in ((0.0, NO_RESOURCES), *ends):
+    for after_s, freed in ((0.0, NO_RESOURCES), *expected_releases):
         free = free.plus(freed)
         fitting_count = min(max_count, fitting(free, demand))
         for _ in range(fitting_count - yielded):
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -40,7 +40,7 @@
         """Let nothing more start on a worker in this pass."""
         self.free_by_id[worker.worker_id] = NO_RESOURCES
 
-    def ends(self, worker: WorkerState, now_s: float) -> list[tuple[float, Resources]]:
+    def expected_releases(self, worker: WorkerState, now_s: float) -> list[tuple[float, Resources]]:
         """Return when each run on a worker is expected to end, from now, and what it frees; the first first.
 
         Each gang that waits asks for it on all workers, in one pass.
