--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -27,13 +27,13 @@
         self.workers = workers
         self.free_by_id = {worker.worker_id: worker.free for worker in workers}
         self._reservations = reservations
-        self._ends_by_worker: dict[str, list[tuple[float, Resources]]] = {}
+        self._expected_releases_by_worker: dict[str, list[tuple[float, Resources]]] = {}
         self._admissible_by_need: dict[tuple[str, str], list[WorkerState]] = {}
         self._index_reservations()
 
     def take(self, worker: WorkerState, demand: Resources) -> None:
         """Use up room."""
-        self._ends_by_worker.pop(worker.worker_id, None)
+        self._expected_releases_by_worker.pop(worker.worker_id, None)
         self.free_by_id[worker.worker_id] = self.free_by_id[worker.worker_id].minus(demand)
 
     def close(self, worker: WorkerState) -> None:
@@ -45,10 +45,10 @@
 
         Each gang that waits asks for it on all workers, in one pass.
         """
-        known = self._ends_by_worker.get(worker.worker_id)
+        known = self._expected_releases_by_worker.get(worker.worker_id)
         if known is None:
             known = sorted((run.left_s(now_s), run.demand) for run in worker.run_by_key.values())
-            self._ends_by_worker[worker.worker_id] = known
+            self._expected_releases_by_worker[worker.worker_id] = known
         return known
 
     def admissible(self, step: StepState) -> list[WorkerState]:
