--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -78,12 +78,12 @@
             stalls.waited_s(step, self._now.steady_s),
             wanted,
             stalls.used_share,
-            has_room_twice=_fitting(step, self._listed_room) >= 2 * wanted,
-            has_takers_twice=_fitting(step, self._unreserved_room) >= 2 * wanted,
+            has_room_twice=_total_fitting_count(step, self._listed_room) >= 2 * wanted,
+            has_takers_twice=_total_fitting_count(step, self._unreserved_room) >= 2 * wanted,
         )
 
 
-def _fitting(step: StepState, room: FreeCapacity) -> int:
+def _total_fitting_count(step: StepState, room: FreeCapacity) -> int:
     """Return how many tasks of a step fit into some room."""
     demand = effective_demand(step)
     return sum(min(fitting(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step))
