--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -117,7 +117,7 @@
         return 0 if worker.run_by_key or step.spec.gang or step.spec.lasting else 1
     if not step.spec.max_per_worker:
         return _UNLIMITED
-    return max(0, step.spec.max_per_worker - sum(_is_of(run, step) for run in worker.run_by_key.values()))
+    return max(0, step.spec.max_per_worker - sum(_belongs_to_step(run, step) for run in worker.run_by_key.values()))
 
 
 def is_admissible(worker: WorkerState, step: StepState) -> bool:
@@ -132,6 +132,6 @@
     return not step.spec.data_rack or step.spec.data_rack in worker.profile.labels
 
 
-def _is_of(run: Run, step: StepState) -> bool:
+def _belongs_to_step(run: Run, step: StepState) -> bool:
     key = run.key
     return (key.job_id, key.occurrence, key.step) == (step.job.spec.job_id, step.occurrence, step.number)
