--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -28,7 +28,7 @@
         self.free_by_id = {worker.worker_id: worker.free for worker in workers}
         self._reservations = reservations
         self._expected_releases_by_worker: dict[str, list[tuple[float, Resources]]] = {}
-        self._admissible_by_need: dict[tuple[str, str], list[WorkerState]] = {}
+        self._admissible_by_requirements: dict[tuple[str, str], list[WorkerState]] = {}
         self._index_reservations()
 
     def take(self, worker: WorkerState, demand: Resources) -> None:
@@ -54,10 +54,10 @@
     def admissible(self, step: StepState) -> list[WorkerState]:
         """Return the workers that may ever run a step's tasks."""
         need = (step.job.queue.service, step.spec.label)
-        known = self._admissible_by_need.get(need)
+        known = self._admissible_by_requirements.get(need)
         if known is None:
             known = [worker for worker in self.workers if is_admissible(worker, step)]
-            self._admissible_by_need[need] = known
+            self._admissible_by_requirements[need] = known
         return known
 
     def free_for(self, worker: WorkerState, step: StepState, sort_key: SortKey, end_s: float) -> Resources:
