--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -53,11 +53,11 @@
 
     def admissible(self, step: StepState) -> list[WorkerState]:
         """Return the workers that may ever run a step's tasks."""
-        need = (step.job.queue.service, step.spec.label)
-        known = self._admissible_by_requirements.get(need)
+        requirements = (step.job.queue.service, step.spec.label)
+        known = self._admissible_by_requirements.get(requirements)
         if known is None:
             known = [worker for worker in self.workers if is_admissible(worker, step)]
-            self._admissible_by_requirements[need] = known
+            self._admissible_by_requirements[requirements] = known
         return known
 
     def free_for(self, worker: WorkerState, step: StepState, sort_key: SortKey, end_s: float) -> Resources:
