--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -71,9 +71,9 @@
     yielded = 0
     for after_s, freed in ((0.0, NO_RESOURCES), *expected_releases):
         free = free.plus(freed)
-        fitting_count = min(max_count, fitting(free, demand))
-        for _ in range(fitting_count - yielded):
+        slot_count = min(max_count, fitting(free, demand))
+        for _ in range(slot_count - yielded):
             yield _FutureSlot(after_s, worker.worker_id, rack)
-        yielded = max(yielded, fitting_count)
+        yielded = max(yielded, slot_count)
         if yielded >= max_count:
             return
