--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -8,7 +8,7 @@
 from .job_state import StepState
 from .placement import allowed_workers
 from .reservations import Reservation, Reservations
-from .room import effective_demand, fitting, FreeCapacity, is_near, per_worker_limit
+from .room import effective_demand, fitting_count, FreeCapacity, is_near, per_worker_limit
 from .standing import SortKey
 from .workers import WorkerState
 
@@ -66,12 +66,12 @@
 ) -> Iterator[_FutureSlot]:
     """Yield, as its runs end, when one more task fits on a worker."""
     demand = effective_demand(step)
-    max_count = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
+    max_count = min(count, per_worker_limit(worker, step), fitting_count(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
     yielded = 0
     for after_s, freed in ((0.0, NO_RESOURCES), *expected_releases):
         free = free.plus(freed)
-        slot_count = min(max_count, fitting(free, demand))
+        slot_count = min(max_count, fitting_count(free, demand))
         for _ in range(slot_count - yielded):
             yield _FutureSlot(after_s, worker.worker_id, rack)
         yielded = max(yielded, slot_count)
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -9,7 +9,7 @@
 from .job_state import StepState
 from .mechanisms import Mechanism
 from .ranks import RANK_OVERDUE
-from .room import effective_demand, fits, fitting, FreeCapacity, is_admissible, is_near, per_worker_limit
+from .room import effective_demand, fits, fitting_count, FreeCapacity, is_admissible, is_near, per_worker_limit
 from .settings import SchedulerSettings
 from .standing import SortKey
 from .variables import candidate_variables, is_slow, is_suspect
@@ -156,7 +156,7 @@
     count_by_rack: Counter[str] = Counter()
     for worker in (each for each in workers if is_admissible(each, step) and is_near(each, step)):
         rack = worker.rack if spec.gang and spec.same_rack else ''
-        count_by_rack[rack] += min(fitting(worker.profile.capacity, demand), limit)
+        count_by_rack[rack] += min(fitting_count(worker.profile.capacity, demand), limit)
         if count_by_rack[rack] >= count:
             return True
     return False
@@ -212,7 +212,7 @@
     found = []
     for worker in _with_room(_candidates(request, room, near=near), room.free_by_id, demand):
         free = room.free_for(worker, step, request.reservation_sort_key, end_s)
-        count = min(fitting(free, demand), per_worker_limit(worker, step))
+        count = min(fitting_count(free, demand), per_worker_limit(worker, step))
         if count:
             found.append(Spot(worker, count))
     return _by_preference(found, request, room)
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -9,7 +9,7 @@
 from .mechanisms import Mechanism
 from .placement import allowed_workers
 from .ranks import RANK_ORDINARY
-from .room import effective_demand, fitting, FreeCapacity, is_near, per_worker_limit
+from .room import effective_demand, fitting_count, FreeCapacity, is_near, per_worker_limit
 from .runs import Run, RunPhase
 from .settings import SchedulerSettings
 from .standing import SortKey
@@ -181,7 +181,7 @@
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
         offers = []
-        best = min(fitting(free, demand), limit)
+        best = min(fitting_count(free, demand), limit)
         if best:
             offers.append(_Offer(worker, (), best, 0.0))
         victims: list[Run] = []
@@ -190,7 +190,7 @@
             free = free.plus(run.demand)
             victims.append(run)
             cost += self.cost(run)
-            count = min(fitting(free, demand), limit)
+            count = min(fitting_count(free, demand), limit)
             if count > best:
                 best = count
                 offers.append(_Offer(worker, tuple(victims), count, cost))
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -93,7 +93,7 @@
     return cpu <= free_cpu and memory <= free_memory and accelerators <= free_accelerators
 
 
-def fitting(free: Resources, demand: Resources) -> int:
+def fitting_count(free: Resources, demand: Resources) -> int:
     """Return how many tasks of a demand fit into free room.
 
     None does where a worker holds more than it has left: it would be over its
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -9,7 +9,7 @@
 from .job_state import StepState
 from .placement import place, Request
 from .reservations import Reservations
-from .room import effective_demand, fitting, FreeCapacity, per_worker_limit
+from .room import effective_demand, fitting_count, FreeCapacity, per_worker_limit
 from .state import SchedulerState
 from .workers import WorkerState
 
@@ -86,4 +86,6 @@
 def _total_fitting_count(step: StepState, room: FreeCapacity) -> int:
     """Return how many tasks of a step fit into some room."""
     demand = effective_demand(step)
-    return sum(min(fitting(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step))
+    return sum(
+        min(fitting_count(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step)
+    )
--- a/packages/standins/dahliaarch_standins/comparison/workload.py
+++ b/packages/standins/dahliaarch_standins/comparison/workload.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from dahliaarch_kernel.configuration import Queue
-from dahliaarch_kernel.scheduler.room import fitting
+from dahliaarch_kernel.scheduler.room import fitting_count
 from dahliaarch_kernel.workload import JobSpec, StepSpec
 
 from .shapes import Deployment, JobKind
@@ -157,7 +157,7 @@
     work_s = min(_log_normal(choice, kind.mean_work_s, kind.work_spread), kind.largest_work_s)
     is_gang = kind.is_gang and width > 1
     demand = kind.demand._replace(accelerators=choice.choice(kind.accelerators))
-    fits_in_rack = width <= deployment.pool.workers_per_rack * fitting(deployment.pool.capacity, demand)
+    fits_in_rack = width <= deployment.pool.workers_per_rack * fitting_count(deployment.pool.capacity, demand)
     step = StepSpec(
         width,
         demand,
