--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -25,7 +25,7 @@
     step: StepState,
     count: int,
     sort_key: SortKey,
-    room: FreeCapacity,
+    free_capacity: FreeCapacity,
     reservations: Reservations,
     now_s: float,
 ) -> Reservation | None:
@@ -34,10 +34,10 @@
         reservation for reservation in reservations if reservations.blocks(reservation, step, sort_key)
     )
     slots: list[_FutureSlot] = []
-    for worker in allowed_workers(step, room):
+    for worker in allowed_workers(step, free_capacity):
         if is_near(worker, step):
             free = worker.free.minus(reserved_by_id.get(worker.worker_id, NO_RESOURCES))
-            slots.extend(_future_slots(worker, free, step, count, room.expected_releases(worker, now_s)))
+            slots.extend(_future_slots(worker, free, step, count, free_capacity.expected_releases(worker, now_s)))
     slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
     for slot in slots:
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -109,22 +109,22 @@
 _UNLIMITED = 1_000_000
 
 
-def place(request: Request, room: FreeCapacity) -> Placement:
+def place(request: Request, free_capacity: FreeCapacity) -> Placement:
     """Return room for a step: all of a gang, or as many tasks as fit."""
-    near = _spots(request, room, request.work_s, near=True)
+    near = _spots(request, free_capacity, request.work_s, near=True)
     if request.step.spec.gang:
-        return _place_gang(request, room, near)
+        return _place_gang(request, free_capacity, near)
     placement = Placement(_fill(near, request.task_count, request.step))
     if placement.task_count < request.task_count and request.may_go_far and request.step.spec.data_rack:
-        far = _spots(request, room, request.work_s * request.settings.far_factor, near=False)
+        far = _spots(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
         if not placement.task_count:
             return Placement(_fill(far, request.task_count, request.step), request.settings.far_factor)
     return placement
 
 
-def allowed_workers(step: StepState, room: FreeCapacity) -> list[WorkerState]:
+def allowed_workers(step: StepState, free_capacity: FreeCapacity) -> list[WorkerState]:
     """Return the workers that may run a step once they have room."""
-    able = room.admissible(step)
+    able = free_capacity.admissible(step)
     if step.advice is not None:
         able = [worker for worker in able if step.advice.consents(worker.worker_id)]
     return without_failed(step, able)
@@ -170,7 +170,7 @@
     return spots_by_rack
 
 
-def _place_gang(request: Request, room: FreeCapacity, near: list[Spot]) -> Placement:
+def _place_gang(request: Request, free_capacity: FreeCapacity, near: list[Spot]) -> Placement:
     step = request.step
     if sum(spot.task_count for spot in near) >= request.task_count:
         found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
@@ -178,7 +178,7 @@
             return Placement(found)
     if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
         return NOWHERE
-    far = _spots(request, room, request.work_s * request.settings.far_factor, near=False)
+    far = _spots(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
     if sum(spot.task_count for spot in far) < request.task_count:
         return NOWHERE
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
@@ -205,17 +205,17 @@
     return best
 
 
-def _spots(request: Request, room: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
+def _spots(request: Request, free_capacity: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
     step = request.step
     demand = effective_demand(step)
     end_s = request.now_s + work_s
     found = []
-    for worker in _with_room(_candidates(request, room, near=near), room.free_by_id, demand):
-        free = room.free_for(worker, step, request.reservation_sort_key, end_s)
+    for worker in _with_room(_candidates(request, free_capacity, near=near), free_capacity.free_by_id, demand):
+        free = free_capacity.free_for(worker, step, request.reservation_sort_key, end_s)
         count = min(fitting_count(free, demand), per_worker_limit(worker, step))
         if count:
             found.append(Spot(worker, count))
-    return _by_preference(found, request, room)
+    return _by_preference(found, request, free_capacity)
 
 
 def _with_room(workers: list[WorkerState], free_by_id: Mapping[str, Resources], demand: Resources) -> list[WorkerState]:
@@ -225,9 +225,9 @@
     return [worker for worker in free if fits(free_by_id[worker.worker_id], demand)]
 
 
-def _candidates(request: Request, room: FreeCapacity, *, near: bool) -> list[WorkerState]:
+def _candidates(request: Request, free_capacity: FreeCapacity, *, near: bool) -> list[WorkerState]:
     step = request.step
-    able = room.admissible(step)
+    able = free_capacity.admissible(step)
     if near and step.spec.data_rack:
         able = [worker for worker in able if is_near(worker, step)]
     if step.advice is not None:
@@ -238,15 +238,15 @@
     return without_failed(step, able)
 
 
-def _by_preference(spots: list[Spot], request: Request, room: FreeCapacity) -> list[Spot]:
+def _by_preference(spots: list[Spot], request: Request, free_capacity: FreeCapacity) -> list[Spot]:
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
-    preferred = _by_policy(spots, request, room)
+    preferred = _by_policy(spots, request, free_capacity)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
 
 
-def _by_policy(spots: list[Spot], request: Request, room: FreeCapacity) -> list[Spot]:
-    free_by_id = room.free_by_id
+def _by_policy(spots: list[Spot], request: Request, free_capacity: FreeCapacity) -> list[Spot]:
+    free_by_id = free_capacity.free_by_id
     policy = request.policy
     if not policy.has_placement:
         return sorted(spots, key=lambda spot: _preference(spot.worker, free_by_id[spot.worker.worker_id], request))
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -71,7 +71,7 @@
 
     step: StepState
     wanted: int
-    room: FreeCapacity
+    free_capacity: FreeCapacity
     sort_key: SortKey
 
 
@@ -108,15 +108,15 @@
         self._cost_by_run: dict[Run, float] = {}
 
     def plan(
-        self, step: StepState, count: int, room: FreeCapacity, sort_key: SortKey, *, may_go_far: bool
+        self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, may_go_far: bool
     ) -> Plan | None:
         """Return the cheapest way to make room, if there is one."""
-        everywhere = allowed_workers(step, room)
+        everywhere = allowed_workers(step, free_capacity)
         able = [worker for worker in everywhere if is_near(worker, step)]
         groups = [able]
         if step.spec.gang and step.spec.same_rack:
             groups = list(by_rack(able).values())
-        search = _Search(step, count, room, sort_key)
+        search = _Search(step, count, free_capacity, sort_key)
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
         if not found and may_go_far:
@@ -176,7 +176,7 @@
         step = search.step
         demand = effective_demand(step)
         limit = per_worker_limit(worker, step)
-        free = search.room.free_for(worker, step, search.sort_key, _FOR_GOOD)
+        free = search.free_capacity.free_for(worker, step, search.sort_key, _FOR_GOOD)
         for run in worker.run_by_key.values():
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -83,9 +83,10 @@
         )
 
 
-def _total_fitting_count(step: StepState, room: FreeCapacity) -> int:
+def _total_fitting_count(step: StepState, free_capacity: FreeCapacity) -> int:
     """Return how many tasks of a step fit into some room."""
     demand = effective_demand(step)
     return sum(
-        min(fitting_count(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step)
+        min(fitting_count(worker.free, demand), per_worker_limit(worker, step))
+        for worker in free_capacity.admissible(step)
     )
