--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -67,7 +67,7 @@
             for worker in takers
             if state.knows_room(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
         ]
-        self._room = FreeCapacity(self._workers, state.reservations)
+        self._free_capacity = FreeCapacity(self._workers, state.reservations)
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
@@ -76,7 +76,7 @@
     def run(self) -> None:
         """Place every step that fits, in order of standing."""
         self._drop_stale_reservations()
-        self._memory.renew(self._room.free_by_id, self._reservations.pop_freed_workers())
+        self._memory.renew(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
         if self._is_full:
             self._memory.begin_full(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
@@ -205,9 +205,9 @@
     def _ask_advice(self, request: Request, advice: Advice) -> None:
         """Ask the outside policy: at first about all workers, then again once one it consents to has room."""
         step = request.step
-        free_by_id = self._room.free_by_id
+        free_by_id = self._free_capacity.free_by_id
         demand = effective_demand(step)
-        able = without_failed(step, self._room.admissible(step))
+        able = without_failed(step, self._free_capacity.admissible(step))
         known = [worker for worker in able if advice.consents(worker.worker_id)]
         if known and not any(fits(free_by_id[worker.worker_id], demand) for worker in known):
             return
@@ -221,7 +221,7 @@
         wanted = request.wanted_together
         if self._memory.is_blocked(signature, wanted):
             return Placement(())
-        placement = place(request, self._room)
+        placement = place(request, self._free_capacity)
         # Tickets come and go, so that a step that needs them is always tried.
         if not placement.task_count and request.step.advice is None:
             self._memory.block(signature, wanted)
@@ -276,9 +276,9 @@
                 run.slowdown = run_slowdown
                 run.assigned_s = self._now.wall_s
                 self._state.start(step, index, run)
-                self._room.take(spot.worker, demand)
+                self._free_capacity.take(spot.worker, demand)
             if request.isolation_s:
-                self._room.close(spot.worker)
+                self._free_capacity.close(spot.worker)
         step.alone_until_s = None
         self._forget_reservation(step)
 
@@ -302,7 +302,7 @@
         since_s = self._now.steady_s - _VICTIMS_AGAIN_S
         if self._memory.lacks_victims(signature, rank, wanted, since_s):
             return None
-        plan = self._preemption.plan(step, wanted, self._room, request.sort_key, may_go_far=request.may_go_far)
+        plan = self._preemption.plan(step, wanted, self._free_capacity, request.sort_key, may_go_far=request.may_go_far)
         if plan is None:
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
@@ -329,7 +329,9 @@
         sort_key = request.sort_key
         if not settings.has(Mechanism.RESERVATION_RANKS):
             sort_key = sort_key._replace(rank=RANK_GUARANTEED)
-        reservation = earliest_reservation(step, count, sort_key, self._room, self._reservations, self._now.steady_s)
+        reservation = earliest_reservation(
+            step, count, sort_key, self._free_capacity, self._reservations, self._now.steady_s
+        )
         if reservation is not None:
             waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
             self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _PRESSING_AFTER_S))
