--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -45,9 +45,9 @@
         step = request.step
         if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
             return WaitReason.ISOLATION
-        if place(request, self._unreserved_room).task_count:
+        if place(request, self._unreserved_capacity).task_count:
             return WaitReason.RESERVED
-        if place(request._replace(may_go_far=True), self._unreserved_room).task_count:
+        if place(request._replace(may_go_far=True), self._unreserved_capacity).task_count:
             return WaitReason.LOCALITY
         if step.advice is not None:
             return WaitReason.ADVICE
@@ -56,7 +56,7 @@
         return WaitReason.NO_CAPACITY
 
     @cached_property
-    def _unreserved_room(self) -> FreeCapacity:
+    def _unreserved_capacity(self) -> FreeCapacity:
         """What is free, reserved or not."""
         return FreeCapacity(list(self._workers), Reservations())
 
@@ -79,7 +79,7 @@
             wanted,
             stalls.used_share,
             has_room_twice=_total_fitting_count(step, self._listed_room) >= 2 * wanted,
-            has_takers_twice=_total_fitting_count(step, self._unreserved_room) >= 2 * wanted,
+            has_takers_twice=_total_fitting_count(step, self._unreserved_capacity) >= 2 * wanted,
         )
 
 
