--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -51,7 +51,7 @@
             return WaitReason.LOCALITY
         if step.advice is not None:
             return WaitReason.ADVICE
-        if place(request._replace(may_go_far=True), self._listed_room).task_count:
+        if place(request._replace(may_go_far=True), self._listed_capacity).task_count:
             return WaitReason.UNAVAILABLE
         return WaitReason.NO_CAPACITY
 
@@ -61,7 +61,7 @@
         return FreeCapacity(list(self._workers), Reservations())
 
     @cached_property
-    def _listed_room(self) -> FreeCapacity:
+    def _listed_capacity(self) -> FreeCapacity:
         """What would be free if every worker took starts that is listed and does not leave."""
         workers = self._state.worker_by_id.values()
         return FreeCapacity(
@@ -78,7 +78,7 @@
             stalls.waited_s(step, self._now.steady_s),
             wanted,
             stalls.used_share,
-            has_room_twice=_total_fitting_count(step, self._listed_room) >= 2 * wanted,
+            has_room_twice=_total_fitting_count(step, self._listed_capacity) >= 2 * wanted,
             has_takers_twice=_total_fitting_count(step, self._unreserved_capacity) >= 2 * wanted,
         )
 
