--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -276,7 +276,7 @@
                 run.slowdown = run_slowdown
                 run.assigned_s = self._now.wall_s
                 self._state.start(step, index, run)
-                self._free_capacity.take(spot.worker, demand)
+                self._free_capacity.allocate(spot.worker, demand)
             if request.isolation_s:
                 self._free_capacity.close(spot.worker)
         step.alone_until_s = None
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -31,7 +31,7 @@
         self._admissible_by_requirements: dict[tuple[str, str], list[WorkerState]] = {}
         self._index_reservations()
 
-    def take(self, worker: WorkerState, demand: Resources) -> None:
+    def allocate(self, worker: WorkerState, demand: Resources) -> None:
         """Use up room."""
         self._expected_releases_by_worker.pop(worker.worker_id, None)
         self.free_by_id[worker.worker_id] = self.free_by_id[worker.worker_id].minus(demand)
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -80,5 +80,5 @@
                 index = indices.pop(0)
                 run = Run(step.key(index), number, spot.worker.worker_id, demand, now.steady_s, request.work_s)
                 self._state.start(step, index, run)
-                room.take(spot.worker, demand)
+                room.allocate(spot.worker, demand)
                 number = number if step.spec.gang else self._state.next_run_number()
