--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -278,7 +278,7 @@
                 self._state.start(step, index, run)
                 self._free_capacity.allocate(spot.worker, demand)
             if request.isolation_s:
-                self._free_capacity.close(spot.worker)
+                self._free_capacity.mark_full(spot.worker)
         step.alone_until_s = None
         self._forget_reservation(step)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -36,7 +36,7 @@
         self._expected_releases_by_worker.pop(worker.worker_id, None)
         self.free_by_id[worker.worker_id] = self.free_by_id[worker.worker_id].minus(demand)
 
-    def close(self, worker: WorkerState) -> None:
+    def mark_full(self, worker: WorkerState) -> None:
         """Let nothing more start on a worker in this pass."""
         self.free_by_id[worker.worker_id] = NO_RESOURCES
 
