--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -13,7 +13,7 @@
 from .memory import Signature
 from .objectives import begin_s
 from .openings import earliest_reservation
-from .placement import has_near_place, place, Placement, Request, without_failed
+from .placement import has_near_place, place, Placement, PlacementRequest, without_failed
 from .preemption import Plan, Preemption
 from .ranks import rank_by_job, RANK_GUARANTEED, RANK_ORDINARY
 from .reservations import Reservation
@@ -87,14 +87,14 @@
         if self._is_full:
             self._explain_stalls()
 
-    def _ordered_requests(self) -> list[Request]:
+    def _ordered_requests(self) -> list[PlacementRequest]:
         """Return what asks for room and may find it now, in order of standing."""
         return sorted(
             (request for request in self._requests() if self._may_find_room(request)),
             key=attrgetter('sort_key'),
         )
 
-    def _requests(self) -> Iterator[Request]:
+    def _requests(self) -> Iterator[PlacementRequest]:
         """Yield what asks for room."""
         for job in self._state.active_jobs():
             if job_gate(job, self._now) is not None:
@@ -104,7 +104,7 @@
                 if step_gate(self._state, step, self._now) is None:
                     yield from self._requests_of(step, rank)
 
-    def _requests_of(self, step: StepState, rank: int) -> Iterator[Request]:
+    def _requests_of(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
         """Yield what a step asks for, apart for the tasks that must run alone."""
         suspected = suspects(step)
         others = step.pending - suspected
@@ -113,7 +113,7 @@
         if suspected:
             yield self._request(step, rank, suspected)._replace(isolation_s=isolation_s(step))
 
-    def _may_find_room(self, request: Request) -> bool:
+    def _may_find_room(self, request: PlacementRequest) -> bool:
         """Tell whether a step is worth considering in this pass."""
         step = request.step
         if request.isolation_s:
@@ -139,7 +139,7 @@
         variables = job_variables(step, order, self._state.times, self._now.wall_s)
         return order._replace(preference=-policy.priority(variables))
 
-    def _consider(self, request: Request) -> None:
+    def _consider(self, request: PlacementRequest) -> None:
         """Start what finds room; else stop others for it, or keep room."""
         step = request.step
         if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
@@ -162,20 +162,20 @@
         elif step.spec.gang:
             self._reserve(request, missing)
 
-    def _start_alone(self, request: Request) -> None:
+    def _start_alone(self, request: PlacementRequest) -> None:
         """Start suspects on workers that run nothing; nobody is stopped for them."""
         empty = [worker for worker in self._workers if not worker.run_by_key]
         placement = place(request, FreeCapacity(empty, self._reservations))
         if placement.task_count:
             self._start(request, placement)
 
-    def _request(self, step: StepState, rank: int, tasks: set[int]) -> Request:
+    def _request(self, step: StepState, rank: int, tasks: set[int]) -> PlacementRequest:
         work_s = self._state.times.expect_s(step.job.queue.name, step.spec)
         waited_s = self._now.wall_s - begin_s(step.job.spec, step.occurrence)
         settings = self._state.settings
         near_s = _GUARANTEED_NEAR_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
         is_overdue = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s) >= settings.idle_wait_s
-        return Request(
+        return PlacementRequest(
             step,
             len(tasks),
             work_s,
@@ -202,7 +202,7 @@
             step.near_place_seen_s = now_s
         return not step.has_near_place
 
-    def _ask_advice(self, request: Request, advice: Advice) -> None:
+    def _ask_advice(self, request: PlacementRequest, advice: Advice) -> None:
         """Ask the outside policy: at first about all workers, then again once one it consents to has room."""
         step = request.step
         free_by_id = self._free_capacity.free_by_id
@@ -216,7 +216,7 @@
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
-    def _place(self, request: Request, signature: Signature) -> Placement:
+    def _place(self, request: PlacementRequest, signature: Signature) -> Placement:
         """Try a placement unless a like request found no room since some has grown."""
         wanted = request.wanted_together
         if self._memory.is_blocked(signature, wanted):
@@ -227,7 +227,7 @@
             self._memory.block(signature, wanted)
         return placement
 
-    def _signature(self, request: Request) -> Signature:
+    def _signature(self, request: PlacementRequest) -> Signature:
         """Return what steps that need the same places have in common.
 
         The places of some steps are their own: those that failed somewhere, are
@@ -256,7 +256,7 @@
             owner=step.identity if is_special else None,
         )
 
-    def _start(self, request: Request, placement: Placement) -> None:
+    def _start(self, request: PlacementRequest, placement: Placement) -> None:
         step = request.step
         indices = list(request.indices)
         gang_run = self._state.next_run_number() if step.spec.gang else 0
@@ -282,7 +282,7 @@
         step.alone_until_s = None
         self._forget_reservation(step)
 
-    def _preempt(self, request: Request, count: int) -> None:
+    def _preempt(self, request: PlacementRequest, count: int) -> None:
         step = request.step
         if self._reservations.has(step):
             return
@@ -294,7 +294,7 @@
             self._state.stop_unit(victim, f'makes room for {step.job.spec.job_id}')
         self._reserve_plan(request, plan)
 
-    def _plan(self, request: Request, wanted: int) -> Plan | None:
+    def _plan(self, request: PlacementRequest, wanted: int) -> Plan | None:
         """Look for victims unless a like search has just found none."""
         step = request.step
         rank = request.rank
@@ -307,7 +307,7 @@
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
-    def _reserve_plan(self, request: Request, plan: Plan) -> None:
+    def _reserve_plan(self, request: PlacementRequest, plan: Plan) -> None:
         """Keep the room that comes free once what was stopped is gone."""
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
@@ -316,7 +316,7 @@
         )
         self._reservations.add(reservation)
 
-    def _reserve(self, request: Request, count: int) -> None:
+    def _reserve(self, request: PlacementRequest, count: int) -> None:
         """Keep the room that is expected to be free first, for a few gangs that wait."""
         step = request.step
         settings = self._state.settings
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -43,7 +43,7 @@
         return sum(spot.task_count for spot in self.spots)
 
 
-class Request(NamedTuple):
+class PlacementRequest(NamedTuple):
     """A step that asks for room.
 
     Parameters
@@ -109,7 +109,7 @@
 _UNLIMITED = 1_000_000
 
 
-def place(request: Request, free_capacity: FreeCapacity) -> Placement:
+def place(request: PlacementRequest, free_capacity: FreeCapacity) -> Placement:
     """Return room for a step: all of a gang, or as many tasks as fit."""
     near = _spots(request, free_capacity, request.work_s, near=True)
     if request.step.spec.gang:
@@ -170,7 +170,7 @@
     return spots_by_rack
 
 
-def _place_gang(request: Request, free_capacity: FreeCapacity, near: list[Spot]) -> Placement:
+def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[Spot]) -> Placement:
     step = request.step
     if sum(spot.task_count for spot in near) >= request.task_count:
         found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
@@ -184,7 +184,7 @@
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
 
-def _one_rack(request: Request, spots: list[Spot]) -> tuple[Spot, ...]:
+def _one_rack(request: PlacementRequest, spots: list[Spot]) -> tuple[Spot, ...]:
     """Return the fullest rack that still holds a whole gang, one on which nobody refused it of late first.
 
     Urgent gangs take a rack where none of their members is slow first.
@@ -205,7 +205,7 @@
     return best
 
 
-def _spots(request: Request, free_capacity: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
+def _spots(request: PlacementRequest, free_capacity: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
     step = request.step
     demand = effective_demand(step)
     end_s = request.now_s + work_s
@@ -225,7 +225,7 @@
     return [worker for worker in free if fits(free_by_id[worker.worker_id], demand)]
 
 
-def _candidates(request: Request, free_capacity: FreeCapacity, *, near: bool) -> list[WorkerState]:
+def _candidates(request: PlacementRequest, free_capacity: FreeCapacity, *, near: bool) -> list[WorkerState]:
     step = request.step
     able = free_capacity.admissible(step)
     if near and step.spec.data_rack:
@@ -238,14 +238,14 @@
     return without_failed(step, able)
 
 
-def _by_preference(spots: list[Spot], request: Request, free_capacity: FreeCapacity) -> list[Spot]:
+def _by_preference(spots: list[Spot], request: PlacementRequest, free_capacity: FreeCapacity) -> list[Spot]:
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
     preferred = _by_policy(spots, request, free_capacity)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
 
 
-def _by_policy(spots: list[Spot], request: Request, free_capacity: FreeCapacity) -> list[Spot]:
+def _by_policy(spots: list[Spot], request: PlacementRequest, free_capacity: FreeCapacity) -> list[Spot]:
     free_by_id = free_capacity.free_by_id
     policy = request.policy
     if not policy.has_placement:
@@ -258,7 +258,7 @@
     return [spot for _, spot in sorted(scored, key=lambda pair: pair[0])]
 
 
-def _preference(worker: WorkerState, free: Resources, request: Request) -> tuple[bool, bool, int, int]:
+def _preference(worker: WorkerState, free: Resources, request: PlacementRequest) -> tuple[bool, bool, int, int]:
     """Prefer sound workers, then full ones, so that whole workers stay free.
 
     Urgent work has little time to spare: it takes fast workers first.
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -7,7 +7,7 @@
 from .events import StepWaiting, WaitReason
 from .gates import job_gate, step_gate
 from .job_state import StepState
-from .placement import place, Request
+from .placement import place, PlacementRequest
 from .reservations import Reservations
 from .room import effective_demand, fitting_count, FreeCapacity, per_worker_limit
 from .state import SchedulerState
@@ -33,14 +33,14 @@
         self._workers = workers
         self._now = now
 
-    def add(self, request: Request) -> None:
+    def add(self, request: PlacementRequest) -> None:
         """Report why a request was not granted, unless that was reported."""
         step = request.step
         reason = job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._lacks(request)
         if self._state.stalls.note(step, reason, self._now.steady_s):
             self._state.notes.append(self._report(request, reason))
 
-    def _lacks(self, request: Request) -> WaitReason:
+    def _lacks(self, request: PlacementRequest) -> WaitReason:
         """Return what a step that may start found no place for."""
         step = request.step
         if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
@@ -68,7 +68,7 @@
             [worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations()
         )
 
-    def _report(self, request: Request, reason: WaitReason) -> StepWaiting:
+    def _report(self, request: PlacementRequest, reason: WaitReason) -> StepWaiting:
         step = request.step
         stalls = self._state.stalls
         wanted = request.wanted_together
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -12,7 +12,7 @@
 from dahliaarch_kernel.scheduler.leaving import expire_leases
 from dahliaarch_kernel.scheduler.objectives import begin_s
 from dahliaarch_kernel.scheduler.openings import earliest_reservation
-from dahliaarch_kernel.scheduler.placement import place, Request
+from dahliaarch_kernel.scheduler.placement import place, PlacementRequest
 from dahliaarch_kernel.scheduler.ranks import RANK_ORDINARY
 from dahliaarch_kernel.scheduler.reservations import Reservations
 from dahliaarch_kernel.scheduler.room import effective_demand, FreeCapacity
@@ -51,7 +51,7 @@
 
     def _consider(self, step: StepState, room: FreeCapacity, reservations: Reservations, now: Moment) -> None:
         settings = self._state.settings
-        request = Request(
+        request = PlacementRequest(
             step,
             len(step.pending),
             step.spec.estimate_s,
@@ -71,7 +71,7 @@
             if reservation is not None:
                 reservations.add(reservation)
 
-    def _start(self, step: StepState, request: Request, now: Moment, room: FreeCapacity) -> None:
+    def _start(self, step: StepState, request: PlacementRequest, now: Moment, room: FreeCapacity) -> None:
         indices = sorted(step.pending)
         number = self._state.next_run_number()
         demand = effective_demand(step)
