--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -16,7 +16,7 @@
 from .workers import WorkerState
 
 
-class Spot(NamedTuple):
+class WorkerAllocation(NamedTuple):
     """A worker and how many tasks of the step it takes."""
 
     worker: WorkerState
@@ -34,7 +34,7 @@
         How many times as long the tasks take there.
     """
 
-    spots: tuple[Spot, ...]
+    spots: tuple[WorkerAllocation, ...]
     slowdown: float = 1.0
 
     @property
@@ -162,15 +162,15 @@
     return False
 
 
-def by_rack(spots: list[Spot]) -> dict[str, list[Spot]]:
+def by_rack(spots: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
     """Group spots by rack."""
-    spots_by_rack: dict[str, list[Spot]] = defaultdict(list)
+    spots_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
     for spot in spots:
         spots_by_rack[spot.worker.rack].append(spot)
     return spots_by_rack
 
 
-def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[Spot]) -> Placement:
+def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[WorkerAllocation]) -> Placement:
     step = request.step
     if sum(spot.task_count for spot in near) >= request.task_count:
         found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
@@ -184,14 +184,14 @@
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
 
-def _one_rack(request: PlacementRequest, spots: list[Spot]) -> tuple[Spot, ...]:
+def _one_rack(request: PlacementRequest, spots: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
     """Return the fullest rack that still holds a whole gang, one on which nobody refused it of late first.
 
     Urgent gangs take a rack where none of their members is slow first.
     """
     step = request.step
     is_urgent = step.job.queue.priority == 0
-    best: tuple[Spot, ...] = ()
+    best: tuple[WorkerAllocation, ...] = ()
     best_order = (True, True, _UNLIMITED)
     for rack_spots in by_rack(spots).values():
         count = sum(spot.task_count for spot in rack_spots)
@@ -205,7 +205,9 @@
     return best
 
 
-def _spots(request: PlacementRequest, free_capacity: FreeCapacity, work_s: float, *, near: bool) -> list[Spot]:
+def _spots(
+    request: PlacementRequest, free_capacity: FreeCapacity, work_s: float, *, near: bool
+) -> list[WorkerAllocation]:
     step = request.step
     demand = effective_demand(step)
     end_s = request.now_s + work_s
@@ -214,7 +216,7 @@
         free = free_capacity.free_for(worker, step, request.reservation_sort_key, end_s)
         count = min(fitting_count(free, demand), per_worker_limit(worker, step))
         if count:
-            found.append(Spot(worker, count))
+            found.append(WorkerAllocation(worker, count))
     return _by_preference(found, request, free_capacity)
 
 
@@ -238,14 +240,18 @@
     return without_failed(step, able)
 
 
-def _by_preference(spots: list[Spot], request: PlacementRequest, free_capacity: FreeCapacity) -> list[Spot]:
+def _by_preference(
+    spots: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
+) -> list[WorkerAllocation]:
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
     preferred = _by_policy(spots, request, free_capacity)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
 
 
-def _by_policy(spots: list[Spot], request: PlacementRequest, free_capacity: FreeCapacity) -> list[Spot]:
+def _by_policy(
+    spots: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
+) -> list[WorkerAllocation]:
     free_by_id = free_capacity.free_by_id
     policy = request.policy
     if not policy.has_placement:
@@ -271,14 +277,14 @@
     return (is_last, is_urgent and is_slow(worker), accelerators, free.memory_mb)
 
 
-def _fill(spots: list[Spot], count: int, step: StepState) -> tuple[Spot, ...]:
+def _fill(spots: list[WorkerAllocation], count: int, step: StepState) -> tuple[WorkerAllocation, ...]:
     chosen = []
     left = count
     for spot in spots:
         if not left:
             break
         taken = min(left, spot.task_count)
-        chosen.append(Spot(spot.worker, taken))
+        chosen.append(WorkerAllocation(spot.worker, taken))
         left -= taken
     if left and step.spec.gang:
         return ()
