--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -263,8 +263,8 @@
         demand = effective_demand(step)
         slowdown = placement.slowdown
         if step.spec.gang:
-            slowdown *= max(spot.worker.slowdown for spot in placement.spots)
-        for spot in placement.spots:
+            slowdown *= max(spot.worker.slowdown for spot in placement.allocations)
+        for spot in placement.allocations:
             for _ in range(spot.task_count):
                 number = gang_run or self._state.next_run_number()
                 index = indices.pop(0)
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -34,13 +34,13 @@
         How many times as long the tasks take there.
     """
 
-    spots: tuple[WorkerAllocation, ...]
+    allocations: tuple[WorkerAllocation, ...]
     slowdown: float = 1.0
 
     @property
     def task_count(self) -> int:
         """Number of tasks placed."""
-        return sum(spot.task_count for spot in self.spots)
+        return sum(spot.task_count for spot in self.allocations)
 
 
 class PlacementRequest(NamedTuple):
@@ -162,10 +162,10 @@
     return False
 
 
-def by_rack(spots: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
+def by_rack(allocations: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
     """Group spots by rack."""
     spots_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
-    for spot in spots:
+    for spot in allocations:
         spots_by_rack[spot.worker.rack].append(spot)
     return spots_by_rack
 
@@ -184,7 +184,7 @@
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
 
-def _one_rack(request: PlacementRequest, spots: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
+def _one_rack(request: PlacementRequest, allocations: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
     """Return the fullest rack that still holds a whole gang, one on which nobody refused it of late first.
 
     Urgent gangs take a rack where none of their members is slow first.
@@ -193,7 +193,7 @@
     is_urgent = step.job.queue.priority == 0
     best: tuple[WorkerAllocation, ...] = ()
     best_order = (True, True, _UNLIMITED)
-    for rack_spots in by_rack(spots).values():
+    for rack_spots in by_rack(allocations).values():
         count = sum(spot.task_count for spot in rack_spots)
         if count < request.task_count:
             continue
@@ -241,23 +241,25 @@
 
 
 def _by_preference(
-    spots: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
+    allocations: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
 ) -> list[WorkerAllocation]:
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
-    preferred = _by_policy(spots, request, free_capacity)
+    preferred = _by_policy(allocations, request, free_capacity)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
 
 
 def _by_policy(
-    spots: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
+    allocations: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
 ) -> list[WorkerAllocation]:
     free_by_id = free_capacity.free_by_id
     policy = request.policy
     if not policy.has_placement:
-        return sorted(spots, key=lambda spot: _preference(spot.worker, free_by_id[spot.worker.worker_id], request))
+        return sorted(
+            allocations, key=lambda spot: _preference(spot.worker, free_by_id[spot.worker.worker_id], request)
+        )
     scored = []
-    for spot in spots:
+    for spot in allocations:
         candidate = candidate_variables(spot.worker, request.step, free_by_id[spot.worker.worker_id])
         if policy.admits(candidate):
             scored.append((policy.score(candidate), spot))
@@ -277,10 +279,10 @@
     return (is_last, is_urgent and is_slow(worker), accelerators, free.memory_mb)
 
 
-def _fill(spots: list[WorkerAllocation], count: int, step: StepState) -> tuple[WorkerAllocation, ...]:
+def _fill(allocations: list[WorkerAllocation], count: int, step: StepState) -> tuple[WorkerAllocation, ...]:
     chosen = []
     left = count
-    for spot in spots:
+    for spot in allocations:
         if not left:
             break
         taken = min(left, spot.task_count)
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -75,7 +75,7 @@
         indices = sorted(step.pending)
         number = self._state.next_run_number()
         demand = effective_demand(step)
-        for spot in place(request, room).spots:
+        for spot in place(request, room).allocations:
             for _ in range(spot.task_count):
                 index = indices.pop(0)
                 run = Run(step.key(index), number, spot.worker.worker_id, demand, now.steady_s, request.work_s)
