--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -263,22 +263,22 @@
         demand = effective_demand(step)
         slowdown = placement.slowdown
         if step.spec.gang:
-            slowdown *= max(spot.worker.slowdown for spot in placement.allocations)
-        for spot in placement.allocations:
-            for _ in range(spot.task_count):
+            slowdown *= max(allocation.worker.slowdown for allocation in placement.allocations)
+        for allocation in placement.allocations:
+            for _ in range(allocation.task_count):
                 number = gang_run or self._state.next_run_number()
                 index = indices.pop(0)
-                run_slowdown = slowdown if step.spec.gang else slowdown * spot.worker.slowdown
+                run_slowdown = slowdown if step.spec.gang else slowdown * allocation.worker.slowdown
                 work_s = request.work_s * run_slowdown
-                run = Run(step.key(index), number, spot.worker.worker_id, demand, self._now.steady_s, work_s)
+                run = Run(step.key(index), number, allocation.worker.worker_id, demand, self._now.steady_s, work_s)
                 run.rank = request.rank
                 run.isolation_s = request.isolation_s
                 run.slowdown = run_slowdown
                 run.assigned_s = self._now.wall_s
                 self._state.start(step, index, run)
-                self._free_capacity.allocate(spot.worker, demand)
+                self._free_capacity.allocate(allocation.worker, demand)
             if request.isolation_s:
-                self._free_capacity.mark_full(spot.worker)
+                self._free_capacity.mark_full(allocation.worker)
         step.alone_until_s = None
         self._forget_reservation(step)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -40,7 +40,7 @@
     @property
     def task_count(self) -> int:
         """Number of tasks placed."""
-        return sum(spot.task_count for spot in self.allocations)
+        return sum(allocation.task_count for allocation in self.allocations)
 
 
 class PlacementRequest(NamedTuple):
@@ -165,21 +165,21 @@
 def by_rack(allocations: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
     """Group spots by rack."""
     spots_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
-    for spot in allocations:
-        spots_by_rack[spot.worker.rack].append(spot)
+    for allocation in allocations:
+        spots_by_rack[allocation.worker.rack].append(allocation)
     return spots_by_rack
 
 
 def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[WorkerAllocation]) -> Placement:
     step = request.step
-    if sum(spot.task_count for spot in near) >= request.task_count:
+    if sum(allocation.task_count for allocation in near) >= request.task_count:
         found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
         if found:
             return Placement(found)
     if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
         return NOWHERE
     far = _spots(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
-    if sum(spot.task_count for spot in far) < request.task_count:
+    if sum(allocation.task_count for allocation in far) < request.task_count:
         return NOWHERE
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
@@ -194,12 +194,12 @@
     best: tuple[WorkerAllocation, ...] = ()
     best_order = (True, True, _UNLIMITED)
     for rack_spots in by_rack(allocations).values():
-        count = sum(spot.task_count for spot in rack_spots)
+        count = sum(allocation.task_count for allocation in rack_spots)
         if count < request.task_count:
             continue
         chosen = _fill(rack_spots, request.task_count, step)
-        has_refused = any(spot.worker.worker_id in step.refused_until_by_worker for spot in chosen)
-        order = (has_refused, is_urgent and any(is_slow(spot.worker) for spot in chosen), count)
+        has_refused = any(allocation.worker.worker_id in step.refused_until_by_worker for allocation in chosen)
+        order = (has_refused, is_urgent and any(is_slow(allocation.worker) for allocation in chosen), count)
         if order < best_order:
             best, best_order = chosen, order
     return best
@@ -246,7 +246,7 @@
     """Return the spots that the policy admits, the best first and those that refused the step of late last."""
     preferred = _by_policy(allocations, request, free_capacity)
     refused = request.step.refused_until_by_worker
-    return sorted(preferred, key=lambda spot: spot.worker.worker_id in refused) if refused else preferred
+    return sorted(preferred, key=lambda allocation: allocation.worker.worker_id in refused) if refused else preferred
 
 
 def _by_policy(
@@ -256,14 +256,15 @@
     policy = request.policy
     if not policy.has_placement:
         return sorted(
-            allocations, key=lambda spot: _preference(spot.worker, free_by_id[spot.worker.worker_id], request)
+            allocations,
+            key=lambda allocation: _preference(allocation.worker, free_by_id[allocation.worker.worker_id], request),
         )
     scored = []
-    for spot in allocations:
-        candidate = candidate_variables(spot.worker, request.step, free_by_id[spot.worker.worker_id])
+    for allocation in allocations:
+        candidate = candidate_variables(allocation.worker, request.step, free_by_id[allocation.worker.worker_id])
         if policy.admits(candidate):
-            scored.append((policy.score(candidate), spot))
-    return [spot for _, spot in sorted(scored, key=lambda pair: pair[0])]
+            scored.append((policy.score(candidate), allocation))
+    return [allocation for _, allocation in sorted(scored, key=lambda pair: pair[0])]
 
 
 def _preference(worker: WorkerState, free: Resources, request: PlacementRequest) -> tuple[bool, bool, int, int]:
@@ -282,11 +283,11 @@
 def _fill(allocations: list[WorkerAllocation], count: int, step: StepState) -> tuple[WorkerAllocation, ...]:
     chosen = []
     left = count
-    for spot in allocations:
+    for allocation in allocations:
         if not left:
             break
-        taken = min(left, spot.task_count)
-        chosen.append(WorkerAllocation(spot.worker, taken))
+        taken = min(left, allocation.task_count)
+        chosen.append(WorkerAllocation(allocation.worker, taken))
         left -= taken
     if left and step.spec.gang:
         return ()
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -75,10 +75,10 @@
         indices = sorted(step.pending)
         number = self._state.next_run_number()
         demand = effective_demand(step)
-        for spot in place(request, room).allocations:
-            for _ in range(spot.task_count):
+        for allocation in place(request, room).allocations:
+            for _ in range(allocation.task_count):
                 index = indices.pop(0)
-                run = Run(step.key(index), number, spot.worker.worker_id, demand, now.steady_s, request.work_s)
+                run = Run(step.key(index), number, allocation.worker.worker_id, demand, now.steady_s, request.work_s)
                 self._state.start(step, index, run)
-                room.allocate(spot.worker, demand)
+                room.allocate(allocation.worker, demand)
                 number = number if step.spec.gang else self._state.next_run_number()
