--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -111,12 +111,12 @@
 
 def place(request: PlacementRequest, free_capacity: FreeCapacity) -> Placement:
     """Return room for a step: all of a gang, or as many tasks as fit."""
-    near = _spots(request, free_capacity, request.work_s, near=True)
+    near = _find_allocations(request, free_capacity, request.work_s, near=True)
     if request.step.spec.gang:
         return _place_gang(request, free_capacity, near)
     placement = Placement(_fill(near, request.task_count, request.step))
     if placement.task_count < request.task_count and request.may_go_far and request.step.spec.data_rack:
-        far = _spots(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
+        far = _find_allocations(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
         if not placement.task_count:
             return Placement(_fill(far, request.task_count, request.step), request.settings.far_factor)
     return placement
@@ -178,7 +178,7 @@
             return Placement(found)
     if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
         return NOWHERE
-    far = _spots(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
+    far = _find_allocations(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
     if sum(allocation.task_count for allocation in far) < request.task_count:
         return NOWHERE
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
@@ -205,7 +205,7 @@
     return best
 
 
-def _spots(
+def _find_allocations(
     request: PlacementRequest, free_capacity: FreeCapacity, work_s: float, *, near: bool
 ) -> list[WorkerAllocation]:
     step = request.step
