--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -193,11 +193,11 @@
     is_urgent = step.job.queue.priority == 0
     best: tuple[WorkerAllocation, ...] = ()
     best_order = (True, True, _UNLIMITED)
-    for rack_spots in by_rack(allocations).values():
-        count = sum(allocation.task_count for allocation in rack_spots)
+    for rack_allocations in by_rack(allocations).values():
+        count = sum(allocation.task_count for allocation in rack_allocations)
         if count < request.task_count:
             continue
-        chosen = _fill(rack_spots, request.task_count, step)
+        chosen = _fill(rack_allocations, request.task_count, step)
         has_refused = any(allocation.worker.worker_id in step.refused_until_by_worker for allocation in chosen)
         order = (has_refused, is_urgent and any(is_slow(allocation.worker) for allocation in chosen), count)
         if order < best_order:
