--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -164,10 +164,10 @@
 
 def by_rack(allocations: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
     """Group spots by rack."""
-    spots_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
+    allocations_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
     for allocation in allocations:
-        spots_by_rack[allocation.worker.rack].append(allocation)
-    return spots_by_rack
+        allocations_by_rack[allocation.worker.rack].append(allocation)
+    return allocations_by_rack
 
 
 def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[WorkerAllocation]) -> Placement:
