--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -102,7 +102,7 @@
         return self.sort_key.rank
 
 
-NOWHERE = Placement(())
+NO_PLACEMENT = Placement(())
 
 
 # More tasks than any rack holds.
@@ -177,10 +177,10 @@
         if found:
             return Placement(found)
     if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
-        return NOWHERE
+        return NO_PLACEMENT
     far = _find_allocations(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
     if sum(allocation.task_count for allocation in far) < request.task_count:
-        return NOWHERE
+        return NO_PLACEMENT
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
 
