--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -173,7 +173,7 @@
 def _place_gang(request: PlacementRequest, free_capacity: FreeCapacity, near: list[WorkerAllocation]) -> Placement:
     step = request.step
     if sum(allocation.task_count for allocation in near) >= request.task_count:
-        found = _one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
+        found = _fill_one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
         if found:
             return Placement(found)
     if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
@@ -184,7 +184,7 @@
     return Placement(_fill(far, request.task_count, step), request.settings.far_factor)
 
 
-def _one_rack(request: PlacementRequest, allocations: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
+def _fill_one_rack(request: PlacementRequest, allocations: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
     """Return the fullest rack that still holds a whole gang, one on which nobody refused it of late first.
 
     Urgent gangs take a rack where none of their members is slow first.
