--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -120,7 +120,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._memory.is_blocked(self._signature(request), request.wanted_together)
+        return not self._memory.is_blocked(self._signature(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
@@ -218,7 +218,7 @@
 
     def _place(self, request: PlacementRequest, signature: Signature) -> Placement:
         """Try a placement unless a like request found no room since some has grown."""
-        wanted = request.wanted_together
+        wanted = request.min_task_count
         if self._memory.is_blocked(signature, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -87,7 +87,7 @@
     is_overdue: bool = False
 
     @property
-    def wanted_together(self) -> int:
+    def min_task_count(self) -> int:
         """How many tasks must find room for any to start."""
         return self.task_count if self.step.spec.gang else 1
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -71,7 +71,7 @@
     def _report(self, request: PlacementRequest, reason: WaitReason) -> StepWaiting:
         step = request.step
         stalls = self._state.stalls
-        wanted = request.wanted_together
+        wanted = request.min_task_count
         return StepWaiting(
             step.identity,
             reason,
