--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -62,7 +62,7 @@
         self.log_times: list[float] = []
         self.sort_key: CachedSortKey | None = None
         # Whether any place near its data, or any rack, could hold it, and when that was looked at, steady clock.
-        self.has_near_place = True
+        self.has_near_capacity = True
         self.near_place_seen_s = float('-inf')
         self.advice = Advice() if job.queue.advice else None
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -13,7 +13,7 @@
 from .memory import Signature
 from .objectives import begin_s
 from .openings import earliest_reservation
-from .placement import has_near_place, place, Placement, PlacementRequest, without_failed
+from .placement import has_near_capacity, place, Placement, PlacementRequest, without_failed
 from .preemption import Plan, Preemption
 from .ranks import rank_by_job, RANK_GUARANTEED, RANK_ORDINARY
 from .reservations import Reservation
@@ -198,9 +198,9 @@
         if now_s - step.near_place_seen_s >= _NEAR_PLACE_EVERY_S:
             workers = self._state.worker_by_id.values()
             staying = (worker for worker in workers if worker.is_listed and not worker.profile.draining)
-            step.has_near_place = has_near_place(step, count if step.spec.gang else 1, staying)
+            step.has_near_capacity = has_near_capacity(step, count if step.spec.gang else 1, staying)
             step.near_place_seen_s = now_s
-        return not step.has_near_place
+        return not step.has_near_capacity
 
     def _ask_advice(self, request: PlacementRequest, advice: Advice) -> None:
         """Ask the outside policy: at first about all workers, then again once one it consents to has room."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -138,7 +138,7 @@
     return others if len(others) * 2 >= len(able) else able
 
 
-def has_near_place(step: StepState, count: int, workers: Iterable[WorkerState]) -> bool:
+def has_near_capacity(step: StepState, count: int, workers: Iterable[WorkerState]) -> bool:
     """Tell whether so many tasks of a step would fit near its data, or in one rack, if nothing else ran.
 
     Parameters
