--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -63,7 +63,7 @@
         self.sort_key: CachedSortKey | None = None
         # Whether any place near its data, or any rack, could hold it, and when that was looked at, steady clock.
         self.has_near_capacity = True
-        self.near_place_seen_s = float('-inf')
+        self.near_capacity_checked_s = float('-inf')
         self.advice = Advice() if job.queue.advice else None
 
     @property
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -195,11 +195,11 @@
         if not step.spec.data_rack and not (step.spec.gang and step.spec.same_rack):
             return False
         now_s = self._now.steady_s
-        if now_s - step.near_place_seen_s >= _NEAR_PLACE_EVERY_S:
+        if now_s - step.near_capacity_checked_s >= _NEAR_PLACE_EVERY_S:
             workers = self._state.worker_by_id.values()
             staying = (worker for worker in workers if worker.is_listed and not worker.profile.draining)
             step.has_near_capacity = has_near_capacity(step, count if step.spec.gang else 1, staying)
-            step.near_place_seen_s = now_s
+            step.near_capacity_checked_s = now_s
         return not step.has_near_capacity
 
     def _ask_advice(self, request: PlacementRequest, advice: Advice) -> None:
