--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -22,7 +22,7 @@
         Rank of the step.
     service, label, data_rack : str
         Where it may run and where it is fast.
-    is_gang, in_one_rack, may_go_far : bool
+    is_gang, in_one_rack, allows_far_workers : bool
         How its tasks may be spread.
     owner : StepKey or None
         The step, where its places are its own.
@@ -35,7 +35,7 @@
     data_rack: str
     is_gang: bool
     in_one_rack: bool
-    may_go_far: bool
+    allows_far_workers: bool
     owner: StepKey | None
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -252,7 +252,7 @@
             spec.data_rack,
             is_gang=spec.gang,
             in_one_rack=spec.same_rack,
-            may_go_far=request.may_go_far,
+            allows_far_workers=request.allows_far_workers,
             owner=step.identity if is_special else None,
         )
 
@@ -302,7 +302,9 @@
         since_s = self._now.steady_s - _VICTIMS_AGAIN_S
         if self._memory.lacks_victims(signature, rank, wanted, since_s):
             return None
-        plan = self._preemption.plan(step, wanted, self._free_capacity, request.sort_key, may_go_far=request.may_go_far)
+        plan = self._preemption.plan(
+            step, wanted, self._free_capacity, request.sort_key, allows_far_workers=request.allows_far_workers
+        )
         if plan is None:
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -78,7 +78,7 @@
     task_count: int
     work_s: float
     now_s: float
-    may_go_far: bool
+    allows_far_workers: bool
     settings: SchedulerSettings
     policy: Policy
     sort_key: SortKey
@@ -115,7 +115,7 @@
     if request.step.spec.gang:
         return _place_gang(request, free_capacity, near)
     placement = Placement(_fill(near, request.task_count, request.step))
-    if placement.task_count < request.task_count and request.may_go_far and request.step.spec.data_rack:
+    if placement.task_count < request.task_count and request.allows_far_workers and request.step.spec.data_rack:
         far = _find_allocations(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
         if not placement.task_count:
             return Placement(_fill(far, request.task_count, request.step), request.settings.far_factor)
@@ -176,7 +176,7 @@
         found = _fill_one_rack(request, near) if step.spec.same_rack else _fill(near, request.task_count, step)
         if found:
             return Placement(found)
-    if not request.may_go_far or not (step.spec.same_rack or step.spec.data_rack):
+    if not request.allows_far_workers or not (step.spec.same_rack or step.spec.data_rack):
         return NO_PLACEMENT
     far = _find_allocations(request, free_capacity, request.work_s * request.settings.far_factor, near=False)
     if sum(allocation.task_count for allocation in far) < request.task_count:
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -108,7 +108,7 @@
         self._cost_by_run: dict[Run, float] = {}
 
     def plan(
-        self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, may_go_far: bool
+        self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, allows_far_workers: bool
     ) -> Plan | None:
         """Return the cheapest way to make room, if there is one."""
         everywhere = allowed_workers(step, free_capacity)
@@ -119,7 +119,7 @@
         search = _Search(step, count, free_capacity, sort_key)
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
-        if not found and may_go_far:
+        if not found and allows_far_workers:
             return self._plan_among(search, everywhere)
         return min(found, key=_weighted_cost, default=None)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -47,11 +47,11 @@
             return WaitReason.ISOLATION
         if place(request, self._unreserved_capacity).task_count:
             return WaitReason.RESERVED
-        if place(request._replace(may_go_far=True), self._unreserved_capacity).task_count:
+        if place(request._replace(allows_far_workers=True), self._unreserved_capacity).task_count:
             return WaitReason.LOCALITY
         if step.advice is not None:
             return WaitReason.ADVICE
-        if place(request._replace(may_go_far=True), self._listed_capacity).task_count:
+        if place(request._replace(allows_far_workers=True), self._listed_capacity).task_count:
             return WaitReason.UNAVAILABLE
         return WaitReason.NO_CAPACITY
 
