--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -180,7 +180,7 @@
             len(tasks),
             work_s,
             self._now.steady_s,
-            self._may_go_far(step, len(tasks), has_waited=is_overdue or waited_s > near_s),
+            self._allows_far_workers(step, len(tasks), has_waited=is_overdue or waited_s > near_s),
             settings,
             self._state.policy,
             self._sort_key(step, rank),
@@ -188,7 +188,7 @@
             is_overdue=is_overdue,
         )
 
-    def _may_go_far(self, step: StepState, count: int, *, has_waited: bool) -> bool:
+    def _allows_far_workers(self, step: StepState, count: int, *, has_waited: bool) -> bool:
         """Tell whether a step may start away from its data, or spread over racks."""
         if has_waited or not self._state.settings.has(Mechanism.NEAR_FIRST):
             return True
