--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -212,7 +212,7 @@
     demand = effective_demand(step)
     end_s = request.now_s + work_s
     found = []
-    for worker in _with_room(_candidates(request, free_capacity, near=near), free_capacity.free_by_id, demand):
+    for worker in _with_free_capacity(_candidates(request, free_capacity, near=near), free_capacity.free_by_id, demand):
         free = free_capacity.free_for(worker, step, request.reservation_sort_key, end_s)
         count = min(fitting_count(free, demand), per_worker_limit(worker, step))
         if count:
@@ -220,7 +220,9 @@
     return _by_preference(found, request, free_capacity)
 
 
-def _with_room(workers: list[WorkerState], free_by_id: Mapping[str, Resources], demand: Resources) -> list[WorkerState]:
+def _with_free_capacity(
+    workers: list[WorkerState], free_by_id: Mapping[str, Resources], demand: Resources
+) -> list[WorkerState]:
     """Return the workers on which one task fits; most have no accelerator free, which is looked at first."""
     wanted = demand.accelerators
     free = [worker for worker in workers if free_by_id[worker.worker_id].accelerators >= wanted]
