--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -207,11 +207,11 @@
         step = request.step
         free_by_id = self._free_capacity.free_by_id
         demand = effective_demand(step)
-        able = without_failed(step, self._free_capacity.admissible(step))
-        known = [worker for worker in able if advice.consents(worker.worker_id)]
+        eligible = without_failed(step, self._free_capacity.admissible(step))
+        known = [worker for worker in eligible if advice.consents(worker.worker_id)]
         if known and not any(fits(free_by_id[worker.worker_id], demand) for worker in known):
             return
-        likeliest = sorted(known or able, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
+        likeliest = sorted(known or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
         asked = advice.to_ask(likeliest, self._now.steady_s)
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -124,18 +124,18 @@
 
 def allowed_workers(step: StepState, free_capacity: FreeCapacity) -> list[WorkerState]:
     """Return the workers that may run a step once they have room."""
-    able = free_capacity.admissible(step)
+    eligible = free_capacity.admissible(step)
     if step.advice is not None:
-        able = [worker for worker in able if step.advice.consents(worker.worker_id)]
-    return without_failed(step, able)
+        eligible = [worker for worker in eligible if step.advice.consents(worker.worker_id)]
+    return without_failed(step, eligible)
 
 
-def without_failed(step: StepState, able: list[WorkerState]) -> list[WorkerState]:
+def without_failed(step: StepState, eligible: list[WorkerState]) -> list[WorkerState]:
     """Leave out workers on which a step failed, unless that leaves too few."""
     if not step.failed_on:
-        return able
-    others = [worker for worker in able if worker.worker_id not in step.failed_on]
-    return others if len(others) * 2 >= len(able) else able
+        return eligible
+    others = [worker for worker in eligible if worker.worker_id not in step.failed_on]
+    return others if len(others) * 2 >= len(eligible) else eligible
 
 
 def has_near_capacity(step: StepState, count: int, workers: Iterable[WorkerState]) -> bool:
@@ -231,15 +231,15 @@
 
 def _candidates(request: PlacementRequest, free_capacity: FreeCapacity, *, near: bool) -> list[WorkerState]:
     step = request.step
-    able = free_capacity.admissible(step)
+    eligible = free_capacity.admissible(step)
     if near and step.spec.data_rack:
-        able = [worker for worker in able if is_near(worker, step)]
+        eligible = [worker for worker in eligible if is_near(worker, step)]
     if step.advice is not None:
-        able = [worker for worker in able if step.advice.ticket(worker.worker_id, request.now_s)]
+        eligible = [worker for worker in eligible if step.advice.ticket(worker.worker_id, request.now_s)]
     if request.is_overdue:
         # A worker on which it failed is better than none.
-        return able
-    return without_failed(step, able)
+        return eligible
+    return without_failed(step, eligible)
 
 
 def _by_preference(
