--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -45,7 +45,7 @@
 _VICTIMS_AGAIN_S = 0.1
 
 
-class Pass:
+class SchedulingPass:
     """One pass of decisions at one moment.
 
     Parameters
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -16,7 +16,7 @@
 from .learning import update_slowdowns
 from .leaving import empty_leaving, expire_leases
 from .mechanisms import Mechanism
-from .passes import Pass
+from .passes import SchedulingPass
 from .progress import JobProgress
 from .runs import RunPhase
 from .settings import SchedulerSettings
@@ -277,7 +277,7 @@
         watch_progress(state, now)
         if state.settings.has(Mechanism.WORKER_PACES):
             update_slowdowns(state.worker_by_id.values())
-        Pass(state, now).run()
+        SchedulingPass(state, now).run()
         effects = state.effects
         state.effects = []
         return effects
