--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -61,10 +61,10 @@
         self._state = state
         self._now = now
         self._reservations = state.reservations
-        takers = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
+        accepting = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
         self._workers = [
             worker
-            for worker in takers
+            for worker in accepting
             if state.knows_room(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
         ]
         self._free_capacity = FreeCapacity(self._workers, state.reservations)
