--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -124,9 +124,9 @@
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
-        known = step.sort_key
-        if known is not None and known.sort_key.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
-            return known.sort_key
+        cached = step.sort_key
+        if cached is not None and cached.sort_key.rank == rank and self._now.steady_s - cached.at_s < _FULL_EVERY_S:
+            return cached.sort_key
         found = self._compute_sort_key(step, rank)
         step.sort_key = CachedSortKey(found, self._now.steady_s)
         return found
