--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -127,9 +127,9 @@
         cached = step.sort_key
         if cached is not None and cached.sort_key.rank == rank and self._now.steady_s - cached.at_s < _FULL_EVERY_S:
             return cached.sort_key
-        found = self._compute_sort_key(step, rank)
-        step.sort_key = CachedSortKey(found, self._now.steady_s)
-        return found
+        sort_key = self._compute_sort_key(step, rank)
+        step.sort_key = CachedSortKey(sort_key, self._now.steady_s)
+        return sort_key
 
     def _compute_sort_key(self, step: StepState, rank: int) -> SortKey:
         order = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
