--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -132,12 +132,12 @@
         return sort_key
 
     def _compute_sort_key(self, step: StepState, rank: int) -> SortKey:
-        order = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
+        sort_key = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
         policy = self._state.policy
         if not policy.has_priority:
-            return order
-        variables = job_variables(step, order, self._state.times, self._now.wall_s)
-        return order._replace(preference=-policy.priority(variables))
+            return sort_key
+        variables = job_variables(step, sort_key, self._state.times, self._now.wall_s)
+        return sort_key._replace(preference=-policy.priority(variables))
 
     def _consider(self, request: PlacementRequest) -> None:
         """Start what finds room; else stop others for it, or keep room."""
