--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -90,7 +90,7 @@
     def _ordered_requests(self) -> list[PlacementRequest]:
         """Return what asks for room and may find it now, in order of standing."""
         return sorted(
-            (request for request in self._requests() if self._may_find_room(request)),
+            (request for request in self._requests() if self._may_be_placed(request)),
             key=attrgetter('sort_key'),
         )
 
@@ -113,7 +113,7 @@
         if suspected:
             yield self._request(step, rank, suspected)._replace(isolation_s=isolation_s(step))
 
-    def _may_find_room(self, request: PlacementRequest) -> bool:
+    def _may_be_placed(self, request: PlacementRequest) -> bool:
         """Tell whether a step is worth considering in this pass."""
         step = request.step
         if request.isolation_s:
