--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -83,7 +83,7 @@
             self._state.stalls.renew(self._state.active_jobs(), share, self._now.steady_s)
             self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
         for request in self._ordered_requests():
-            self._consider(request)
+            self._schedule(request)
         if self._is_full:
             self._explain_stalls()
 
@@ -139,7 +139,7 @@
         variables = job_variables(step, sort_key, self._state.times, self._now.wall_s)
         return sort_key._replace(preference=-policy.priority(variables))
 
-    def _consider(self, request: PlacementRequest) -> None:
+    def _schedule(self, request: PlacementRequest) -> None:
         """Start what finds room; else stop others for it, or keep room."""
         step = request.step
         if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
