--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -102,9 +102,9 @@
             rank = self._ranks.get(job.spec.job_id, RANK_ORDINARY)
             for step in job.ready_steps():
                 if step_gate(self._state, step, self._now) is None:
-                    yield from self._requests_of(step, rank)
+                    yield from self._requests_for_step(step, rank)
 
-    def _requests_of(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
+    def _requests_for_step(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
         """Yield what a step asks for, apart for the tasks that must run alone."""
         suspected = suspects(step)
         others = step.pending - suspected
@@ -342,7 +342,7 @@
         """Report why steps wait whose jobs have had nothing running for a while."""
         reports = StallReports(self._state, self._workers, self._now)
         for step in self._state.stalls.due(self._now.steady_s):
-            for request in self._requests_of(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
+            for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
                 reports.add(request)
 
     def _forget_reservation(self, step: StepState) -> None:
