--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -155,7 +155,7 @@
             self._start(request, placement)
         missing = request.task_count - placement.task_count
         if not missing:
-            self._forget_reservation(step)
+            self._drop_reservation(step)
             return
         if request.rank < RANK_ORDINARY:
             self._preempt(request, missing)
@@ -280,7 +280,7 @@
             if request.isolation_s:
                 self._free_capacity.mark_full(allocation.worker)
         step.alone_until_s = None
-        self._forget_reservation(step)
+        self._drop_reservation(step)
 
     def _preempt(self, request: PlacementRequest, count: int) -> None:
         step = request.step
@@ -345,7 +345,7 @@
             for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
                 reports.add(request)
 
-    def _forget_reservation(self, step: StepState) -> None:
+    def _drop_reservation(self, step: StepState) -> None:
         self._reservations.drop_for_step(step)
 
     def _reopen_reservation(self, step: StepState) -> None:
