--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -147,7 +147,7 @@
             return
         step.was_considered = True
         signature = self._signature(request)
-        self._reopen_reservation(step)
+        self._drop_outdated_reservation(step)
         placement = self._place(request, signature)
         if not placement.task_count and step.advice is not None:
             self._ask_advice(request, step.advice)
@@ -348,7 +348,7 @@
     def _drop_reservation(self, step: StepState) -> None:
         self._reservations.drop_for_step(step)
 
-    def _reopen_reservation(self, step: StepState) -> None:
+    def _drop_outdated_reservation(self, step: StepState) -> None:
         """Drop a step's reservation that stops nothing and is no longer fresh, to make it anew."""
         if not self._reservations.has(step):
             return
