--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -362,9 +362,9 @@
     def _drop_stale_reservations(self) -> None:
         """Drop reservations that came to nothing."""
         known = {worker.worker_id for worker in self._workers}
-        self._reservations.drop(lambda reservation: not self._still_holds(reservation, known))
+        self._reservations.drop(lambda reservation: not self._is_valid(reservation, known))
 
-    def _still_holds(self, reservation: Reservation, known: set[str]) -> bool:
+    def _is_valid(self, reservation: Reservation, known: set[str]) -> bool:
         if reservation.step.job.has_ended or not reservation.step.pending:
             return False
         if not reservation.awaits_preemption:
