--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -292,7 +292,7 @@
             return
         for victim in plan.victims:
             self._state.stop_unit(victim, f'makes room for {step.job.spec.job_id}')
-        self._reserve_plan(request, plan)
+        self._reserve_for_plan(request, plan)
 
     def _plan(self, request: PlacementRequest, wanted: int) -> Plan | None:
         """Look for victims unless a like search has just found none."""
@@ -309,7 +309,7 @@
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
-    def _reserve_plan(self, request: PlacementRequest, plan: Plan) -> None:
+    def _reserve_for_plan(self, request: PlacementRequest, plan: Plan) -> None:
         """Keep the room that comes free once what was stopped is gone."""
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
