--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -85,7 +85,7 @@
         for request in self._ordered_requests():
             self._schedule(request)
         if self._is_full:
-            self._explain_stalls()
+            self._report_stalls()
 
     def _ordered_requests(self) -> list[PlacementRequest]:
         """Return what asks for room and may find it now, in order of standing."""
@@ -338,7 +338,7 @@
             waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
             self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _PRESSING_AFTER_S))
 
-    def _explain_stalls(self) -> None:
+    def _report_stalls(self) -> None:
         """Report why steps wait whose jobs have had nothing running for a while."""
         reports = StallReports(self._state, self._workers, self._now)
         for step in self._state.stalls.due(self._now.steady_s):
