--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -26,7 +26,7 @@
 from .variables import job_variables
 
 # A reservation whose room did not come free by then is made anew, in seconds.
-_RESERVATION_SLACK_S = 1.0
+_RESERVATION_GRACE_S = 1.0
 
 # Guaranteed work waits this long for a place near its data or in one rack, in
 # seconds: under half of the shortest bound on its beginning.
@@ -370,4 +370,4 @@
         if not reservation.awaits_preemption:
             return not reservation.step.run_by_index
         late_s = self._now.steady_s - reservation.ready_s
-        return late_s < _RESERVATION_SLACK_S and known.issuperset(reservation.count_by_worker)
+        return late_s < _RESERVATION_GRACE_S and known.issuperset(reservation.count_by_worker)
