--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -30,7 +30,7 @@
 
 # Guaranteed work waits this long for a place near its data or in one rack, in
 # seconds: under half of the shortest bound on its beginning.
-_GUARANTEED_NEAR_S = 1.2
+_GUARANTEED_LOCALITY_WAIT_S = 1.2
 
 # How often steps that found no room are considered again though nothing has
 # changed for them, in seconds: reservations are made anew and victims looked for.
@@ -173,7 +173,7 @@
         work_s = self._state.times.expect_s(step.job.queue.name, step.spec)
         waited_s = self._now.wall_s - begin_s(step.job.spec, step.occurrence)
         settings = self._state.settings
-        near_s = _GUARANTEED_NEAR_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
+        near_s = _GUARANTEED_LOCALITY_WAIT_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
         is_overdue = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s) >= settings.idle_wait_s
         return PlacementRequest(
             step,
