--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -34,7 +34,7 @@
 
 # How often steps that found no room are considered again though nothing has
 # changed for them, in seconds: reservations are made anew and victims looked for.
-_FULL_EVERY_S = 0.25
+_FULL_PASS_INTERVAL_S = 0.25
 # How often it is looked at whether a step has any place near its data, in seconds:
 # workers come and go.
 _NEAR_PLACE_EVERY_S = 1.0
@@ -71,7 +71,7 @@
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
-        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_EVERY_S
+        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_PASS_INTERVAL_S
 
     def run(self) -> None:
         """Place every step that fits, in order of standing."""
@@ -125,7 +125,11 @@
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's place in the order, worked out anew from time to time."""
         cached = step.sort_key
-        if cached is not None and cached.sort_key.rank == rank and self._now.steady_s - cached.at_s < _FULL_EVERY_S:
+        if (
+            cached is not None
+            and cached.sort_key.rank == rank
+            and self._now.steady_s - cached.at_s < _FULL_PASS_INTERVAL_S
+        ):
             return cached.sort_key
         sort_key = self._compute_sort_key(step, rank)
         step.sort_key = CachedSortKey(sort_key, self._now.steady_s)
@@ -352,7 +356,7 @@
         """Drop a step's reservation that stops nothing and is no longer fresh, to make it anew."""
         if not self._reservations.has(step):
             return
-        oldest_s = self._now.steady_s - _FULL_EVERY_S
+        oldest_s = self._now.steady_s - _FULL_PASS_INTERVAL_S
         self._reservations.drop(
             lambda reservation: (
                 reservation.step is step and not reservation.awaits_preemption and reservation.created_s <= oldest_s
