--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -37,7 +37,7 @@
 _FULL_PASS_INTERVAL_S = 0.25
 # How often it is looked at whether a step has any place near its data, in seconds:
 # workers come and go.
-_NEAR_PLACE_EVERY_S = 1.0
+_NEAR_CAPACITY_CHECK_INTERVAL_S = 1.0
 # How long a gang waits beside idle capacity before overdue work behind it leaves its
 # room alone, in seconds.
 _PRESSING_AFTER_S = 12.0
@@ -199,7 +199,7 @@
         if not step.spec.data_rack and not (step.spec.gang and step.spec.same_rack):
             return False
         now_s = self._now.steady_s
-        if now_s - step.near_capacity_checked_s >= _NEAR_PLACE_EVERY_S:
+        if now_s - step.near_capacity_checked_s >= _NEAR_CAPACITY_CHECK_INTERVAL_S:
             workers = self._state.worker_by_id.values()
             staying = (worker for worker in workers if worker.is_listed and not worker.profile.draining)
             step.has_near_capacity = has_near_capacity(step, count if step.spec.gang else 1, staying)
