--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -40,7 +40,7 @@
 _NEAR_CAPACITY_CHECK_INTERVAL_S = 1.0
 # How long a gang waits beside idle capacity before overdue work behind it leaves its
 # room alone, in seconds.
-_PRESSING_AFTER_S = 12.0
+_BLOCK_OVERDUE_AFTER_S = 12.0
 # A search for victims that failed is not repeated within this time, in seconds.
 _VICTIMS_AGAIN_S = 0.1
 
@@ -340,7 +340,7 @@
         )
         if reservation is not None:
             waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
-            self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _PRESSING_AFTER_S))
+            self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _BLOCK_OVERDUE_AFTER_S))
 
     def _report_stalls(self) -> None:
         """Report why steps wait whose jobs have had nothing running for a while."""
