--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -42,7 +42,7 @@
 # room alone, in seconds.
 _BLOCK_OVERDUE_AFTER_S = 12.0
 # A search for victims that failed is not repeated within this time, in seconds.
-_VICTIMS_AGAIN_S = 0.1
+_VICTIM_SEARCH_INTERVAL_S = 0.1
 
 
 class SchedulingPass:
@@ -303,7 +303,7 @@
         step = request.step
         rank = request.rank
         signature = self._signature(request)
-        since_s = self._now.steady_s - _VICTIMS_AGAIN_S
+        since_s = self._now.steady_s - _VICTIM_SEARCH_INTERVAL_S
         if self._memory.lacks_victims(signature, rank, wanted, since_s):
             return None
         plan = self._preemption.plan(
