--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -177,14 +177,14 @@
         work_s = self._state.times.expect_s(step.job.queue.name, step.spec)
         waited_s = self._now.wall_s - begin_s(step.job.spec, step.occurrence)
         settings = self._state.settings
-        near_s = _GUARANTEED_LOCALITY_WAIT_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
+        locality_wait_s = _GUARANTEED_LOCALITY_WAIT_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
         is_overdue = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s) >= settings.idle_wait_s
         return PlacementRequest(
             step,
             len(tasks),
             work_s,
             self._now.steady_s,
-            self._allows_far_workers(step, len(tasks), has_waited=is_overdue or waited_s > near_s),
+            self._allows_far_workers(step, len(tasks), has_waited=is_overdue or waited_s > locality_wait_s),
             settings,
             self._state.policy,
             self._sort_key(step, rank),
