--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -14,7 +14,7 @@
 from .objectives import begin_s
 from .openings import earliest_reservation
 from .placement import has_near_capacity, place, Placement, PlacementRequest, without_failed
-from .preemption import Plan, Preemption
+from .preemption import Preemption, PreemptionPlan
 from .ranks import rank_by_job, RANK_GUARANTEED, RANK_ORDINARY
 from .reservations import Reservation
 from .room import effective_demand, fits, FreeCapacity
@@ -298,7 +298,7 @@
             self._state.stop_unit(victim, f'makes room for {step.job.spec.job_id}')
         self._reserve_for_plan(request, plan)
 
-    def _plan(self, request: PlacementRequest, wanted: int) -> Plan | None:
+    def _plan(self, request: PlacementRequest, wanted: int) -> PreemptionPlan | None:
         """Look for victims unless a like search has just found none."""
         step = request.step
         rank = request.rank
@@ -313,7 +313,7 @@
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
-    def _reserve_for_plan(self, request: PlacementRequest, plan: Plan) -> None:
+    def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
         """Keep the room that comes free once what was stopped is gone."""
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -33,7 +33,7 @@
 StepOf = Callable[[Run], StepState | None]
 
 
-class Plan(NamedTuple):
+class PreemptionPlan(NamedTuple):
     """Room for a step once some runs are stopped.
 
     Parameters
@@ -109,7 +109,7 @@
 
     def plan(
         self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, allows_far_workers: bool
-    ) -> Plan | None:
+    ) -> PreemptionPlan | None:
         """Return the cheapest way to make room, if there is one."""
         everywhere = allowed_workers(step, free_capacity)
         able = [worker for worker in everywhere if is_near(worker, step)]
@@ -148,7 +148,7 @@
         weight = _URGENT_WEIGHT if run.rank < RANK_ORDINARY else 1.0
         return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_S)
 
-    def _plan_with_fast(self, search: _Search, workers: list[WorkerState]) -> Plan | None:
+    def _plan_with_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
         """Return the better of the plans with fast workers alone and with all."""
         plan = self._plan_among(search, workers)
         fast = [worker for worker in workers if not is_slow(worker)]
@@ -157,7 +157,7 @@
         other = self._plan_among(search, fast)
         return plan if other is None else min((other, plan), key=_weighted_cost)
 
-    def _plan_among(self, search: _Search, workers: list[WorkerState]) -> Plan | None:
+    def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
         offers = [offer for worker in workers for offer in self._offers(search, worker)]
         offers.sort(key=lambda offer: offer.cost / offer.task_count)
         chosen: dict[str, _Offer] = {}
@@ -215,7 +215,7 @@
         return step is not None and step.spec.lasting
 
 
-def _as_plan(chosen: dict[str, _Offer], count: int) -> Plan:
+def _as_plan(chosen: dict[str, _Offer], count: int) -> PreemptionPlan:
     """Keep what is needed, the dearest offers last to stay."""
     left = count
     count_by_worker: dict[str, int] = {}
@@ -231,9 +231,9 @@
         victims.extend(offer.victims)
         cost += offer.cost
         has_slow = has_slow or is_slow(offer.worker)
-    return Plan(count_by_worker, tuple(victims), cost, has_slow)
+    return PreemptionPlan(count_by_worker, tuple(victims), cost, has_slow)
 
 
-def _weighted_cost(plan: Plan) -> float:
+def _weighted_cost(plan: PreemptionPlan) -> float:
     """Return a plan's cost, slow workers dearer: work that waited for stops ends late there."""
     return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.has_slow else plan.cost
