--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -75,7 +75,7 @@
     sort_key: SortKey
 
 
-class _Offer(NamedTuple):
+class _WorkerOption(NamedTuple):
     """One more task on a worker, after more runs there are stopped."""
 
     worker: WorkerState
@@ -160,7 +160,7 @@
     def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
         offers = [offer for worker in workers for offer in self._offers(search, worker)]
         offers.sort(key=lambda offer: offer.cost / offer.task_count)
-        chosen: dict[str, _Offer] = {}
+        chosen: dict[str, _WorkerOption] = {}
         for offer in offers:
             if sum(each.task_count for each in chosen.values()) >= search.wanted:
                 break
@@ -171,7 +171,7 @@
             return None
         return _as_plan(chosen, search.wanted)
 
-    def _offers(self, search: _Search, worker: WorkerState) -> list[_Offer]:
+    def _offers(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
         """Return what a worker offers, with more and more of its runs stopped."""
         step = search.step
         demand = effective_demand(step)
@@ -183,7 +183,7 @@
         offers = []
         best = min(fitting_count(free, demand), limit)
         if best:
-            offers.append(_Offer(worker, (), best, 0.0))
+            offers.append(_WorkerOption(worker, (), best, 0.0))
         victims: list[Run] = []
         cost = 0.0
         for run in self._victims(worker, search.sort_key.rank):
@@ -193,7 +193,7 @@
             count = min(fitting_count(free, demand), limit)
             if count > best:
                 best = count
-                offers.append(_Offer(worker, tuple(victims), count, cost))
+                offers.append(_WorkerOption(worker, tuple(victims), count, cost))
         return offers
 
     def _victims(self, worker: WorkerState, rank: int) -> list[Run]:
@@ -215,7 +215,7 @@
         return step is not None and step.spec.lasting
 
 
-def _as_plan(chosen: dict[str, _Offer], count: int) -> PreemptionPlan:
+def _as_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
     """Keep what is needed, the dearest offers last to stay."""
     left = count
     count_by_worker: dict[str, int] = {}
