--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -158,15 +158,15 @@
         return plan if other is None else min((other, plan), key=_weighted_cost)
 
     def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
-        offers = [offer for worker in workers for offer in self._offers(search, worker)]
-        offers.sort(key=lambda offer: offer.cost / offer.task_count)
+        offers = [option for worker in workers for option in self._offers(search, worker)]
+        offers.sort(key=lambda option: option.cost / option.task_count)
         chosen: dict[str, _WorkerOption] = {}
-        for offer in offers:
+        for option in offers:
             if sum(each.task_count for each in chosen.values()) >= search.wanted:
                 break
-            known = chosen.get(offer.worker.worker_id)
-            if known is None or offer.task_count > known.task_count:
-                chosen[offer.worker.worker_id] = offer
+            known = chosen.get(option.worker.worker_id)
+            if known is None or option.task_count > known.task_count:
+                chosen[option.worker.worker_id] = option
         if sum(each.task_count for each in chosen.values()) < search.wanted:
             return None
         return _as_plan(chosen, search.wanted)
@@ -222,15 +222,15 @@
     victims: list[Run] = []
     cost = 0.0
     has_slow = False
-    for offer in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
+    for option in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
         if not left:
             break
-        taken = min(left, offer.task_count)
+        taken = min(left, option.task_count)
         left -= taken
-        count_by_worker[offer.worker.worker_id] = taken
-        victims.extend(offer.victims)
-        cost += offer.cost
-        has_slow = has_slow or is_slow(offer.worker)
+        count_by_worker[option.worker.worker_id] = taken
+        victims.extend(option.victims)
+        cost += option.cost
+        has_slow = has_slow or is_slow(option.worker)
     return PreemptionPlan(count_by_worker, tuple(victims), cost, has_slow)
 
 
