--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -158,10 +158,10 @@
         return plan if other is None else min((other, plan), key=_weighted_cost)
 
     def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
-        offers = [option for worker in workers for option in self._offers(search, worker)]
-        offers.sort(key=lambda option: option.cost / option.task_count)
+        options = [option for worker in workers for option in self._offers(search, worker)]
+        options.sort(key=lambda option: option.cost / option.task_count)
         chosen: dict[str, _WorkerOption] = {}
-        for option in offers:
+        for option in options:
             if sum(each.task_count for each in chosen.values()) >= search.wanted:
                 break
             known = chosen.get(option.worker.worker_id)
@@ -180,10 +180,10 @@
         for run in worker.run_by_key.values():
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
-        offers = []
+        options = []
         best = min(fitting_count(free, demand), limit)
         if best:
-            offers.append(_WorkerOption(worker, (), best, 0.0))
+            options.append(_WorkerOption(worker, (), best, 0.0))
         victims: list[Run] = []
         cost = 0.0
         for run in self._victims(worker, search.sort_key.rank):
@@ -193,8 +193,8 @@
             count = min(fitting_count(free, demand), limit)
             if count > best:
                 best = count
-                offers.append(_WorkerOption(worker, tuple(victims), count, cost))
-        return offers
+                options.append(_WorkerOption(worker, tuple(victims), count, cost))
+        return options
 
     def _victims(self, worker: WorkerState, rank: int) -> list[Run]:
         found = [
