--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -158,7 +158,7 @@
         return plan if other is None else min((other, plan), key=_weighted_cost)
 
     def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
-        options = [option for worker in workers for option in self._offers(search, worker)]
+        options = [option for worker in workers for option in self._options(search, worker)]
         options.sort(key=lambda option: option.cost / option.task_count)
         chosen: dict[str, _WorkerOption] = {}
         for option in options:
@@ -171,7 +171,7 @@
             return None
         return _as_plan(chosen, search.wanted)
 
-    def _offers(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
+    def _options(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
         """Return what a worker offers, with more and more of its runs stopped."""
         step = search.step
         demand = effective_demand(step)
