--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -30,7 +30,7 @@
 # A run with less than this left is cheaper to wait for than to stop.
 _NEARLY_DONE_S = 0.4
 
-StepOf = Callable[[Run], StepState | None]
+StepLookup = Callable[[Run], StepState | None]
 
 
 class PreemptionPlan(NamedTuple):
@@ -99,7 +99,7 @@
         Limits and weights.
     """
 
-    def __init__(self, step_of: StepOf, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
+    def __init__(self, step_of: StepLookup, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
         """Start a search at one moment."""
         self._settings = settings
         self._policy = policy
