--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -99,11 +99,11 @@
         Limits and weights.
     """
 
-    def __init__(self, step_of: StepLookup, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
+    def __init__(self, find_step: StepLookup, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
         """Start a search at one moment."""
         self._settings = settings
         self._policy = policy
-        self._step_of = step_of
+        self._step_of = find_step
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
