--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -103,7 +103,7 @@
         """Start a search at one moment."""
         self._settings = settings
         self._policy = policy
-        self._step_of = find_step
+        self._find_step = find_step
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
@@ -132,7 +132,7 @@
         return known
 
     def _unit_cost(self, run: Run) -> float:
-        step = self._step_of(run)
+        step = self._find_step(run)
         if step is None:
             return 0.0
         if not self._settings.has(Mechanism.CHEAP_VICTIMS):
@@ -211,7 +211,7 @@
         return self.cost(run) / share
 
     def _is_lasting(self, run: Run) -> bool:
-        step = self._step_of(run)
+        step = self._find_step(run)
         return step is not None and step.spec.lasting
 
 
