--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -17,7 +17,7 @@
 from .workers import by_rack, WorkerState
 
 # Room that others have reserved is taken, however short the work that asks.
-_FOR_GOOD = float('inf')
+_UNBOUNDED_S = float('inf')
 # Urgent work that is stopped ends late: it has little slack, and is worth little late.
 _URGENT_WEIGHT = 6.0
 # Cost of any stop, in seconds of the run's work: its restart elsewhere.
@@ -176,7 +176,7 @@
         step = search.step
         demand = effective_demand(step)
         limit = per_worker_limit(worker, step)
-        free = search.free_capacity.free_for(worker, step, search.sort_key, _FOR_GOOD)
+        free = search.free_capacity.free_for(worker, step, search.sort_key, _UNBOUNDED_S)
         for run in worker.run_by_key.values():
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
