--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -21,7 +21,7 @@
 # Urgent work that is stopped ends late: it has little slack, and is worth little late.
 _URGENT_WEIGHT = 6.0
 # Cost of any stop, in seconds of the run's work: its restart elsewhere.
-_RESTART_S = 0.5
+_RESTART_COST_S = 0.5
 # A plan with slow workers counts as this many times as dear, and so many
 # weighted core-seconds more: urgent work that waits for stops and then runs longer
 # ends late.
@@ -146,7 +146,7 @@
         worked_s = max(0.0, self._now_s - run.started_s)
         unsaved_s = 0.0 if step.spec.checkpoints else worked_s
         weight = _URGENT_WEIGHT if run.rank < RANK_ORDINARY else 1.0
-        return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_S)
+        return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_COST_S)
 
     def _plan_with_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
         """Return the better of the plans with fast workers alone and with all."""
