--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -111,8 +111,8 @@
         self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, allows_far_workers: bool
     ) -> PreemptionPlan | None:
         """Return the cheapest way to make room, if there is one."""
-        everywhere = allowed_workers(step, free_capacity)
-        able = [worker for worker in everywhere if is_near(worker, step)]
+        candidates = allowed_workers(step, free_capacity)
+        able = [worker for worker in candidates if is_near(worker, step)]
         groups = [able]
         if step.spec.gang and step.spec.same_rack:
             groups = list(by_rack(able).values())
@@ -120,7 +120,7 @@
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
         if not found and allows_far_workers:
-            return self._plan_among(search, everywhere)
+            return self._plan_among(search, candidates)
         return min(found, key=_weighted_cost, default=None)
 
     def cost(self, run: Run) -> float:
