--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -112,10 +112,10 @@
     ) -> PreemptionPlan | None:
         """Return the cheapest way to make room, if there is one."""
         candidates = allowed_workers(step, free_capacity)
-        able = [worker for worker in candidates if is_near(worker, step)]
-        groups = [able]
+        near = [worker for worker in candidates if is_near(worker, step)]
+        groups = [near]
         if step.spec.gang and step.spec.same_rack:
-            groups = list(by_rack(able).values())
+            groups = list(by_rack(near).values())
         search = _Search(step, count, free_capacity, sort_key)
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
