--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -202,9 +202,9 @@
             for run in worker.run_by_key.values()
             if run.rank > rank and run.phase is not RunPhase.STOPPING and not self._is_lasting(run)
         ]
-        return sorted(found, key=lambda run: self._price(run, worker.profile.capacity))
+        return sorted(found, key=lambda run: self._relative_cost(run, worker.profile.capacity))
 
-    def _price(self, run: Run, capacity: Resources) -> float:
+    def _relative_cost(self, run: Run, capacity: Resources) -> float:
         share = max(weighted_cores(run.demand), 1.0) / max(weighted_cores(capacity), 1.0)
         if run.left_s(self._now_s) < _NEARLY_DONE_S:
             return 0.0
