--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -140,9 +140,9 @@
         members = list(step.run_by_index.values()) if step.spec.gang else [run]
         if self._policy.has_reclaim:
             return self._policy.reclaim_cost(victim_variables(run, step, len(members), self._now_s))
-        return sum(self._own_cost(member, step) for member in members)
+        return sum(self._run_cost(member, step) for member in members)
 
-    def _own_cost(self, run: Run, step: StepState) -> float:
+    def _run_cost(self, run: Run, step: StepState) -> float:
         worked_s = max(0.0, self._now_s - run.started_s)
         unsaved_s = 0.0 if step.spec.checkpoints else worked_s
         weight = _URGENT_WEIGHT if run.rank < RANK_ORDINARY else 1.0
