--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -117,7 +117,7 @@
         if step.spec.gang and step.spec.same_rack:
             groups = list(by_rack(near).values())
         search = _Search(step, count, free_capacity, sort_key)
-        plans = [self._plan_with_fast(search, group) for group in groups]
+        plans = [self._plan_preferring_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
         if not found and allows_far_workers:
             return self._plan_among(search, candidates)
@@ -148,7 +148,7 @@
         weight = _URGENT_WEIGHT if run.rank < RANK_ORDINARY else 1.0
         return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_COST_S)
 
-    def _plan_with_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
+    def _plan_preferring_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
         """Return the better of the plans with fast workers alone and with all."""
         plan = self._plan_among(search, workers)
         fast = [worker for worker in workers if not is_slow(worker)]
