--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -169,7 +169,7 @@
                 chosen[option.worker.worker_id] = option
         if sum(each.task_count for each in chosen.values()) < search.wanted:
             return None
-        return _as_plan(chosen, search.wanted)
+        return _build_plan(chosen, search.wanted)
 
     def _options(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
         """Return what a worker offers, with more and more of its runs stopped."""
@@ -215,7 +215,7 @@
         return step is not None and step.spec.lasting
 
 
-def _as_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
+def _build_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
     """Keep what is needed, the dearest offers last to stay."""
     left = count
     count_by_worker: dict[str, int] = {}
