--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -51,7 +51,7 @@
     count_by_worker: dict[str, int]
     victims: tuple[Run, ...]
     cost: float
-    has_slow: bool
+    uses_slow_workers: bool
 
 
 class _Search(NamedTuple):
@@ -152,7 +152,7 @@
         """Return the better of the plans with fast workers alone and with all."""
         plan = self._plan_among(search, workers)
         fast = [worker for worker in workers if not is_slow(worker)]
-        if plan is None or not plan.has_slow or not fast:
+        if plan is None or not plan.uses_slow_workers or not fast:
             return plan
         other = self._plan_among(search, fast)
         return plan if other is None else min((other, plan), key=_weighted_cost)
@@ -221,7 +221,7 @@
     count_by_worker: dict[str, int] = {}
     victims: list[Run] = []
     cost = 0.0
-    has_slow = False
+    uses_slow_workers = False
     for option in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
         if not left:
             break
@@ -230,10 +230,10 @@
         count_by_worker[option.worker.worker_id] = taken
         victims.extend(option.victims)
         cost += option.cost
-        has_slow = has_slow or is_slow(option.worker)
-    return PreemptionPlan(count_by_worker, tuple(victims), cost, has_slow)
+        uses_slow_workers = uses_slow_workers or is_slow(option.worker)
+    return PreemptionPlan(count_by_worker, tuple(victims), cost, uses_slow_workers)
 
 
 def _weighted_cost(plan: PreemptionPlan) -> float:
     """Return a plan's cost, slow workers dearer: work that waited for stops ends late there."""
-    return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.has_slow else plan.cost
+    return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.uses_slow_workers else plan.cost
