--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -125,11 +125,11 @@
 
     def cost(self, run: Run) -> float:
         """Return the work lost by stopping a run, its whole gang included."""
-        known = self._cost_by_run.get(run)
-        if known is None:
-            known = self._unit_cost(run)
-            self._cost_by_run[run] = known
-        return known
+        cached = self._cost_by_run.get(run)
+        if cached is None:
+            cached = self._unit_cost(run)
+            self._cost_by_run[run] = cached
+        return cached
 
     def _unit_cost(self, run: Run) -> float:
         step = self._find_step(run)
