--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -19,7 +19,7 @@
 from .reservations import Reservation
 from .room import effective_demand, fits, FreeCapacity
 from .runs import Run
-from .stall_reports import StallReports
+from .stall_reports import StallReporter
 from .stalls import used_share
 from .standing import CachedSortKey, SortKey
 from .state import SchedulerState
@@ -344,7 +344,7 @@
 
     def _report_stalls(self) -> None:
         """Report why steps wait whose jobs have had nothing running for a while."""
-        reports = StallReports(self._state, self._workers, self._now)
+        reports = StallReporter(self._state, self._workers, self._now)
         for step in self._state.stalls.due(self._now.steady_s):
             for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
                 reports.add(request)
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -14,7 +14,7 @@
 from .workers import WorkerState
 
 
-class StallReports:
+class StallReporter:
     """Tells, once a pass has started what it could, why the rest waits.
 
     Parameters
