--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -36,11 +36,13 @@
     def add(self, request: PlacementRequest) -> None:
         """Report why a request was not granted, unless that was reported."""
         step = request.step
-        reason = job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._lacks(request)
+        reason = (
+            job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
+        )
         if self._state.stalls.note(step, reason, self._now.steady_s):
             self._state.notes.append(self._report(request, reason))
 
-    def _lacks(self, request: PlacementRequest) -> WaitReason:
+    def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
         """Return what a step that may start found no place for."""
         step = request.step
         if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
