--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -53,7 +53,7 @@
     explained_s: float = float('-inf')
 
 
-class Stalls:
+class StallTracker:
     """The ready steps of jobs that have nothing running, and those whose tasks last.
 
     Attributes
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -15,7 +15,7 @@
 from .reservations import Reservations
 from .runs import Run, RunPhase
 from .settings import SchedulerSettings
-from .stalls import Stalls
+from .stalls import StallTracker
 from .workers import WorkerState
 
 # Runs of one owner count up below its epoch, so that numbers rise over owners.
@@ -141,7 +141,7 @@
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
         self.memory = PassMemory()
-        self.stalls = Stalls()
+        self.stalls = StallTracker()
         self._runs_started = 0
 
     def step_of(self, key: TaskKey) -> StepState | None:
