--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -39,7 +39,7 @@
         reason = (
             job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
         )
-        if self._state.stalls.note(step, reason, self._now.steady_s):
+        if self._state.stalls.set_reason(step, reason, self._now.steady_s):
             self._state.notes.append(self._report(request, reason))
 
     def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -104,7 +104,7 @@
         """Whether less than half of the pool was in use when they were last found."""
         return self.used_share < _IDLE_SHARE
 
-    def note(self, step: StepState, reason: WaitReason, now_s: float) -> bool:
+    def set_reason(self, step: StepState, reason: WaitReason, now_s: float) -> bool:
         """Record why a step waits; tell whether that is to be reported."""
         stall = self._stall_by_step.get(step)
         if stall is None:
