--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -80,7 +80,7 @@
         if self._is_full:
             self._memory.begin_full(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
-            self._state.stalls.renew(self._state.active_jobs(), share, self._now.steady_s)
+            self._state.stalls.update(self._state.active_jobs(), share, self._now.steady_s)
             self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
         for request in self._ordered_requests():
             self._schedule(request)
--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -69,7 +69,7 @@
         # Since when less than half of the pool has been in use, steady clock.
         self._idle_since_s = float('inf')
 
-    def renew(self, jobs: Iterable[JobState], used: float, now_s: float) -> None:
+    def update(self, jobs: Iterable[JobState], used: float, now_s: float) -> None:
         """Find the steps that are stalled at this moment, and for how long they have been.
 
         Parameters
