--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -112,7 +112,7 @@
         self._stall_by_step[step] = stall._replace(reason=reason, explained_s=now_s)
         return stall.reason is not reason
 
-    def due(self, now_s: float) -> list[StepState]:
+    def due_for_report(self, now_s: float) -> list[StepState]:
         """Return the steps that are to be explained now, those first that were longest ago."""
         late = {
             step: stall.explained_s
