--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -178,7 +178,7 @@
         waited_s = self._now.wall_s - begin_s(step.job.spec, step.occurrence)
         settings = self._state.settings
         locality_wait_s = _GUARANTEED_LOCALITY_WAIT_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
-        is_overdue = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s) >= settings.idle_wait_s
+        is_overdue = self._state.stalls.waited_with_idle_capacity_s(step, self._now.steady_s) >= settings.idle_wait_s
         return PlacementRequest(
             step,
             len(tasks),
@@ -339,7 +339,7 @@
             step, count, sort_key, self._free_capacity, self._reservations, self._now.steady_s
         )
         if reservation is not None:
-            waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
+            waited_s = self._state.stalls.waited_with_idle_capacity_s(step, self._now.steady_s)
             self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _BLOCK_OVERDUE_AFTER_S))
 
     def _report_stalls(self) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -91,7 +91,7 @@
         stall = self._stall_by_step.get(step)
         return 0.0 if stall is None else now_s - stall.since_s
 
-    def waited_beside_idle_s(self, step: StepState, now_s: float) -> float:
+    def waited_with_idle_capacity_s(self, step: StepState, now_s: float) -> float:
         """Return for how long a step has been stalled while less than half of the pool was in use, in seconds.
 
         A task that lasts serves nobody while it waits, however busy the pool is.
