--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -13,7 +13,7 @@
 # A step whose job has had nothing running for so long is reported, in seconds.
 _REPORT_AFTER_S = 1.0
 # How often the reason of a step that waits is worked out anew, in seconds.
-_EXPLAIN_EVERY_S = 1.0
+_EXPLAIN_INTERVAL_S = 1.0
 # A pool of whose capacity a smaller share is in use has idle capacity.
 _IDLE_SHARE = 0.5
 # Steps explained at most in one pass: each takes as long as a few placements.
@@ -117,7 +117,7 @@
         late = {
             step: stall.explained_s
             for step, stall in self._stall_by_step.items()
-            if now_s - stall.since_s >= _REPORT_AFTER_S and now_s - stall.explained_s >= _EXPLAIN_EVERY_S
+            if now_s - stall.since_s >= _REPORT_AFTER_S and now_s - stall.explained_s >= _EXPLAIN_INTERVAL_S
         }
         return nsmallest(_EXPLAINED_IN_A_PASS, late, key=late.__getitem__)
 
