--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -17,7 +17,7 @@
 # A pool of whose capacity a smaller share is in use has idle capacity.
 _IDLE_SHARE = 0.5
 # Steps explained at most in one pass: each takes as long as a few placements.
-_EXPLAINED_IN_A_PASS = 4
+_MAX_EXPLAINED_PER_PASS = 4
 
 
 class Load(NamedTuple):
@@ -119,7 +119,7 @@
             for step, stall in self._stall_by_step.items()
             if now_s - stall.since_s >= _REPORT_AFTER_S and now_s - stall.explained_s >= _EXPLAIN_INTERVAL_S
         }
-        return nsmallest(_EXPLAINED_IN_A_PASS, late, key=late.__getitem__)
+        return nsmallest(_MAX_EXPLAINED_PER_PASS, late, key=late.__getitem__)
 
     def count_by_reason(self) -> Mapping[WaitReason, int]:
         """Return how many steps wait for each reason."""
