--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -83,8 +83,8 @@
         """
         self.used_share = used
         self._idle_since_s = min(self._idle_since_s, now_s) if self.has_idle_capacity else float('inf')
-        earlier = self._stall_by_step
-        self._stall_by_step = {step: earlier.get(step) or Stall(now_s) for step in _stalled_steps(jobs)}
+        previous = self._stall_by_step
+        self._stall_by_step = {step: previous.get(step) or Stall(now_s) for step in _stalled_steps(jobs)}
 
     def waited_s(self, step: StepState, now_s: float) -> float:
         """Return for how long a step has been stalled, in seconds; 0 for others."""
