--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -114,12 +114,12 @@
 
     def due_for_report(self, now_s: float) -> list[StepState]:
         """Return the steps that are to be explained now, those first that were longest ago."""
-        late = {
+        explained_s_by_step = {
             step: stall.explained_s
             for step, stall in self._stall_by_step.items()
             if now_s - stall.since_s >= _REPORT_AFTER_S and now_s - stall.explained_s >= _EXPLAIN_INTERVAL_S
         }
-        return nsmallest(_MAX_EXPLAINED_PER_PASS, late, key=late.__getitem__)
+        return nsmallest(_MAX_EXPLAINED_PER_PASS, explained_s_by_step, key=explained_s_by_step.__getitem__)
 
     def count_by_reason(self) -> Mapping[WaitReason, int]:
         """Return how many steps wait for each reason."""
