--- a/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
@@ -32,11 +32,11 @@
     for account, urgent in jobs_by_account.items():
         left = guaranteed_by_account.get(account, 0)
         for job in sorted(urgent, key=attrgetter('spec.accepted_s')):
-            left -= _first_accelerators(job)
+            left -= _first_step_accelerators(job)
             ranks[job.spec.job_id] = RANK_GUARANTEED if left >= 0 else RANK_URGENT
     return ranks
 
 
-def _first_accelerators(job: JobState) -> int:
+def _first_step_accelerators(job: JobState) -> int:
     """Return what a job's first step needs."""
     return sum(step.task_count * step.demand.accelerators for step in job.spec.steps[:1])
