--- a/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
@@ -30,10 +30,10 @@
             jobs_by_account[job.spec.account].append(job)
     ranks = {}
     for account, urgent in jobs_by_account.items():
-        left = guaranteed_by_account.get(account, 0)
+        remaining = guaranteed_by_account.get(account, 0)
         for job in sorted(urgent, key=attrgetter('spec.accepted_s')):
-            left -= _first_step_accelerators(job)
-            ranks[job.spec.job_id] = RANK_GUARANTEED if left >= 0 else RANK_URGENT
+            remaining -= _first_step_accelerators(job)
+            ranks[job.spec.job_id] = RANK_GUARANTEED if remaining >= 0 else RANK_URGENT
     return ranks
 
 
