--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -45,20 +45,20 @@
 
         Each gang that waits asks for it on all workers, in one pass.
         """
-        known = self._expected_releases_by_worker.get(worker.worker_id)
-        if known is None:
-            known = sorted((run.left_s(now_s), run.demand) for run in worker.run_by_key.values())
-            self._expected_releases_by_worker[worker.worker_id] = known
-        return known
+        cached = self._expected_releases_by_worker.get(worker.worker_id)
+        if cached is None:
+            cached = sorted((run.left_s(now_s), run.demand) for run in worker.run_by_key.values())
+            self._expected_releases_by_worker[worker.worker_id] = cached
+        return cached
 
     def admissible(self, step: StepState) -> list[WorkerState]:
         """Return the workers that may ever run a step's tasks."""
         requirements = (step.job.queue.service, step.spec.label)
-        known = self._admissible_by_requirements.get(requirements)
-        if known is None:
-            known = [worker for worker in self.workers if is_admissible(worker, step)]
-            self._admissible_by_requirements[requirements] = known
-        return known
+        cached = self._admissible_by_requirements.get(requirements)
+        if cached is None:
+            cached = [worker for worker in self.workers if is_admissible(worker, step)]
+            self._admissible_by_requirements[requirements] = cached
+        return cached
 
     def free_for(self, worker: WorkerState, step: StepState, sort_key: SortKey, end_s: float) -> Resources:
         """Return the room that a step of a standing may use until ``end_s``."""
