--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -365,13 +365,13 @@
 
     def _drop_stale_reservations(self) -> None:
         """Drop reservations that came to nothing."""
-        known = {worker.worker_id for worker in self._workers}
-        self._reservations.drop(lambda reservation: not self._is_valid(reservation, known))
+        worker_ids = {worker.worker_id for worker in self._workers}
+        self._reservations.drop(lambda reservation: not self._is_valid(reservation, worker_ids))
 
-    def _is_valid(self, reservation: Reservation, known: set[str]) -> bool:
+    def _is_valid(self, reservation: Reservation, worker_ids: set[str]) -> bool:
         if reservation.step.job.has_ended or not reservation.step.pending:
             return False
         if not reservation.awaits_preemption:
             return not reservation.step.run_by_index
         late_s = self._now.steady_s - reservation.ready_s
-        return late_s < _RESERVATION_GRACE_S and known.issuperset(reservation.count_by_worker)
+        return late_s < _RESERVATION_GRACE_S and worker_ids.issuperset(reservation.count_by_worker)
