--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -212,10 +212,10 @@
         free_by_id = self._free_capacity.free_by_id
         demand = effective_demand(step)
         eligible = without_failed(step, self._free_capacity.admissible(step))
-        known = [worker for worker in eligible if advice.consents(worker.worker_id)]
-        if known and not any(fits(free_by_id[worker.worker_id], demand) for worker in known):
+        consenting = [worker for worker in eligible if advice.consents(worker.worker_id)]
+        if consenting and not any(fits(free_by_id[worker.worker_id], demand) for worker in consenting):
             return
-        likeliest = sorted(known or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
+        likeliest = sorted(consenting or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
         asked = advice.to_ask(likeliest, self._now.steady_s)
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
