--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -344,10 +344,10 @@
 
     def _report_stalls(self) -> None:
         """Report why steps wait whose jobs have had nothing running for a while."""
-        reports = StallReporter(self._state, self._workers, self._now)
+        reporter = StallReporter(self._state, self._workers, self._now)
         for step in self._state.stalls.due_for_report(self._now.steady_s):
             for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
-                reports.add(request)
+                reporter.add(request)
 
     def _drop_reservation(self, step: StepState) -> None:
         self._reservations.drop_for_step(step)
