--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -1,4 +1,4 @@
-"""Room kept for gangs that wait, with smaller work let in before."""
+"""Reservations for waiting gangs; work that ends before they start is backfilled."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
@@ -14,7 +14,7 @@
 
 
 class _FutureSlot(NamedTuple):
-    """One more task of a gang fits on a worker from a time on."""
+    """Capacity for one more task of a gang on a worker, from a point in time on."""
 
     after_s: float
     worker_id: str
@@ -29,7 +29,7 @@
     reservations: Reservations,
     now_s: float,
 ) -> Reservation | None:
-    """Return a reservation on the room that is expected to be free first."""
+    """Return a reservation of the capacity that is expected to be free earliest."""
     reserved_by_id = _reserved_by_worker(
         reservation for reservation in reservations if reservations.blocks(reservation, step, sort_key)
     )
@@ -64,7 +64,7 @@
     count: int,
     expected_releases: list[tuple[float, Resources]],
 ) -> Iterator[_FutureSlot]:
-    """Yield, as its runs end, when one more task fits on a worker."""
+    """Yield a slot for each further task that fits on a worker as its runs end."""
     demand = effective_demand(step)
     max_count = min(count, per_worker_limit(worker, step), fitting_count(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
