--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -1,4 +1,4 @@
-"""One pass over all steps that have tasks to start."""
+"""One scheduling pass over all steps that have tasks to start."""
 
 from collections.abc import Iterator
 from operator import attrgetter
@@ -25,39 +25,40 @@
 from .state import SchedulerState
 from .variables import job_variables
 
-# A reservation whose room did not come free by then is made anew, in seconds.
+# How long after its expected time a reservation is kept whose capacity has not come free,
+# in seconds. A new one is made then.
 _RESERVATION_GRACE_S = 1.0
 
-# Guaranteed work waits this long for a place near its data or in one rack, in
-# seconds: under half of the shortest bound on its beginning.
+# How long guaranteed work waits for capacity near its data or in one rack, in seconds:
+# less than half of the shortest limit on the time until it starts.
 _GUARANTEED_LOCALITY_WAIT_S = 1.2
 
-# How often steps that found no room are considered again though nothing has
-# changed for them, in seconds: reservations are made anew and victims looked for.
+# Interval of full passes, in seconds. They reconsider also the steps for which nothing has
+# changed since no capacity was found: reservations are renewed and victims searched for.
 _FULL_PASS_INTERVAL_S = 0.25
-# How often it is looked at whether a step has any place near its data, in seconds:
-# workers come and go.
+# Interval at which a step's possible capacity near its data is checked again, in seconds:
+# workers join and leave.
 _NEAR_CAPACITY_CHECK_INTERVAL_S = 1.0
-# How long a gang waits beside idle capacity before overdue work behind it leaves its
-# room alone, in seconds.
+# How long a gang waits while the pool has idle capacity before its reservation also blocks
+# overdue work that follows it, in seconds.
 _BLOCK_OVERDUE_AFTER_S = 12.0
-# A search for victims that failed is not repeated within this time, in seconds.
+# Minimum time before a failed search for victims is repeated, in seconds.
 _VICTIM_SEARCH_INTERVAL_S = 0.1
 
 
 class SchedulingPass:
-    """One pass of decisions at one moment.
+    """One scheduling pass at one point in time.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed; starts and stops are recorded there.
+        State of the scheduler, in which starts and stops are recorded.
     now : Moment
-        The present.
+        The current time.
     """
 
     def __init__(self, state: SchedulerState, now: Moment) -> None:
-        """Read the free room."""
+        """Read the free capacity."""
         self._state = state
         self._now = now
         self._reservations = state.reservations
@@ -74,7 +75,7 @@
         self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_PASS_INTERVAL_S
 
     def run(self) -> None:
-        """Place every step that fits, in order of standing."""
+        """Place every step that fits, in order of sort keys."""
         self._drop_stale_reservations()
         self._memory.renew(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
         if self._is_full:
@@ -88,14 +89,14 @@
             self._report_stalls()
 
     def _ordered_requests(self) -> list[PlacementRequest]:
-        """Return what asks for room and may find it now, in order of standing."""
+        """Return the requests that may be granted now, in order of sort keys."""
         return sorted(
             (request for request in self._requests() if self._may_be_placed(request)),
             key=attrgetter('sort_key'),
         )
 
     def _requests(self) -> Iterator[PlacementRequest]:
-        """Yield what asks for room."""
+        """Yield the requests of all ready steps that no gate holds back."""
         for job in self._state.active_jobs():
             if job_gate(job, self._now) is not None:
                 continue
@@ -105,7 +106,7 @@
                     yield from self._requests_for_step(step, rank)
 
     def _requests_for_step(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
-        """Yield what a step asks for, apart for the tasks that must run alone."""
+        """Yield the requests of a step, a separate one for tasks that must run in isolation."""
         suspected = suspects(step)
         others = step.pending - suspected
         if others:
@@ -114,7 +115,7 @@
             yield self._request(step, rank, suspected)._replace(isolation_s=isolation_s(step))
 
     def _may_be_placed(self, request: PlacementRequest) -> bool:
-        """Tell whether a step is worth considering in this pass."""
+        """Return whether a request may succeed in this pass."""
         step = request.step
         if request.isolation_s:
             return True
@@ -123,7 +124,7 @@
         return not self._memory.is_blocked(self._signature(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
-        """Return a step's place in the order, worked out anew from time to time."""
+        """Return a step's sort key, recomputed periodically."""
         cached = step.sort_key
         if (
             cached is not None
@@ -144,7 +145,7 @@
         return sort_key._replace(preference=-policy.priority(variables))
 
     def _schedule(self, request: PlacementRequest) -> None:
-        """Start what finds room; else stop others for it, or keep room."""
+        """Start the tasks that fit; for the rest, preempt runs or reserve capacity."""
         step = request.step
         if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
             self._start_alone(request)
@@ -167,7 +168,7 @@
             self._reserve(request, missing)
 
     def _start_alone(self, request: PlacementRequest) -> None:
-        """Start suspects on workers that run nothing; nobody is stopped for them."""
+        """Start suspects on workers without runs, without preempting any for them."""
         empty = [worker for worker in self._workers if not worker.run_by_key]
         placement = place(request, FreeCapacity(empty, self._reservations))
         if placement.task_count:
@@ -193,7 +194,7 @@
         )
 
     def _allows_far_workers(self, step: StepState, count: int, *, has_waited: bool) -> bool:
-        """Tell whether a step may start away from its data, or spread over racks."""
+        """Return whether a step may start away from its data or across racks."""
         if has_waited or not self._state.settings.has(Mechanism.NEAR_FIRST):
             return True
         if not step.spec.data_rack and not (step.spec.gang and step.spec.same_rack):
@@ -207,7 +208,7 @@
         return not step.has_near_capacity
 
     def _ask_advice(self, request: PlacementRequest, advice: Advice) -> None:
-        """Ask the outside policy: at first about all workers, then again once one it consents to has room."""
+        """Ask the outside policy: first about all workers, again once a worker with its consent has free capacity."""
         step = request.step
         free_by_id = self._free_capacity.free_by_id
         demand = effective_demand(step)
@@ -221,21 +222,21 @@
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
     def _place(self, request: PlacementRequest, signature: Signature) -> Placement:
-        """Try a placement unless a like request found no room since some has grown."""
+        """Return a placement, unless one for an equal signature failed since free capacity last grew."""
         wanted = request.min_task_count
         if self._memory.is_blocked(signature, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
-        # Tickets come and go, so that a step that needs them is always tried.
+        # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
             self._memory.block(signature, wanted)
         return placement
 
     def _signature(self, request: PlacementRequest) -> Signature:
-        """Return what steps that need the same places have in common.
+        """Return a signature that is equal for all steps with the same placement requirements.
 
-        The places of some steps are their own: those that failed somewhere, are
-        limited on each worker, or may use what is reserved for them.
+        It is unique for steps that failed or were refused on a worker, that are overdue,
+        isolated, limited per worker or need advice, or that have a reservation.
         """
         step = request.step
         spec = step.spec
@@ -299,7 +300,7 @@
         self._reserve_for_plan(request, plan)
 
     def _plan(self, request: PlacementRequest, wanted: int) -> PreemptionPlan | None:
-        """Look for victims unless a like search has just found none."""
+        """Search for victims, unless a search for an equal signature has just failed."""
         step = request.step
         rank = request.rank
         signature = self._signature(request)
@@ -314,7 +315,7 @@
         return plan
 
     def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
-        """Keep the room that comes free once what was stopped is gone."""
+        """Reserve the capacity that becomes free when the victims have stopped."""
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
         reservation = Reservation(
@@ -323,7 +324,7 @@
         self._reservations.add(reservation)
 
     def _reserve(self, request: PlacementRequest, count: int) -> None:
-        """Keep the room that is expected to be free first, for a few gangs that wait."""
+        """Reserve the capacity expected to be free earliest, for a limited number of waiting gangs."""
         step = request.step
         settings = self._state.settings
         if not settings.has(Mechanism.GANG_RESERVATIONS):
@@ -343,7 +344,7 @@
             self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _BLOCK_OVERDUE_AFTER_S))
 
     def _report_stalls(self) -> None:
-        """Report why steps wait whose jobs have had nothing running for a while."""
+        """Report why steps wait whose jobs have had no running task for a while."""
         reporter = StallReporter(self._state, self._workers, self._now)
         for step in self._state.stalls.due_for_report(self._now.steady_s):
             for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
@@ -353,7 +354,7 @@
         self._reservations.drop_for_step(step)
 
     def _drop_outdated_reservation(self, step: StepState) -> None:
-        """Drop a step's reservation that stops nothing and is no longer fresh, to make it anew."""
+        """Drop a step's reservation if it is due to be recomputed and awaits no preempted runs."""
         if not self._reservations.has(step):
             return
         oldest_s = self._now.steady_s - _FULL_PASS_INTERVAL_S
@@ -364,7 +365,7 @@
         )
 
     def _drop_stale_reservations(self) -> None:
-        """Drop reservations that came to nothing."""
+        """Drop reservations that are no longer needed or can no longer be used."""
         worker_ids = {worker.worker_id for worker in self._workers}
         self._reservations.drop(lambda reservation: not self._is_valid(reservation, worker_ids))
 
