--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -1,4 +1,4 @@
-"""Where the tasks of a step go."""
+"""Placement of the tasks of a step on workers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -17,21 +17,21 @@
 
 
 class WorkerAllocation(NamedTuple):
-    """A worker and how many tasks of the step it takes."""
+    """A worker and the number of tasks of a step on it."""
 
     worker: WorkerState
     task_count: int
 
 
 class Placement(NamedTuple):
-    """Workers for tasks of a step.
+    """Workers on which tasks of a step are placed.
 
     Parameters
     ----------
-    spots : tuple of Spot
+    allocations : tuple of WorkerAllocation
         Workers, in order of use.
     slowdown : float
-        How many times as long the tasks take there.
+        Factor by which the run time of the tasks grows there.
     """
 
     allocations: tuple[WorkerAllocation, ...]
@@ -44,7 +44,7 @@
 
 
 class PlacementRequest(NamedTuple):
-    """A step that asks for room.
+    """A request to place tasks of a step.
 
     Parameters
     ----------
@@ -53,25 +53,26 @@
     task_count : int
         Tasks to place; a gang needs them all.
     work_s : float
-        Expected run time near its data, in one rack.
+        Expected run time near the step's data and in one rack.
     now_s : float
-        The present, steady clock.
-    may_go_far : bool
-        Whether a slower place is acceptable.
+        The current time, steady clock.
+    allows_far_workers : bool
+        Whether placement away from the data or across racks, where tasks run slower,
+        is acceptable.
     settings : SchedulerSettings
-        Limits, and how many times as long tasks take there.
+        Limits, and the slowdown of tasks on far workers.
     policy : Policy
         The operators' programs.
-    standing : Standing
-        Where the step stands, its rank included.
+    sort_key : SortKey
+        Sort key of the step, which includes its rank.
     indices : tuple of int
-        The tasks, the first first.
+        Indices of the tasks, in order of placement.
     isolation_s : float
-        How long they must have run before others may start beside them; 0 unless
-        workers crashed under them.
+        How long the tasks must have run before others may start on the same worker;
+        0 unless workers crashed while they ran there.
     is_overdue : bool
-        Whether it has waited for so long beside idle capacity that reservations
-        no longer keep it out.
+        Whether the step has waited so long while the pool had idle capacity that most
+        reservations no longer block it.
     """
 
     step: StepState
@@ -88,12 +89,12 @@
 
     @property
     def min_task_count(self) -> int:
-        """How many tasks must find room for any to start."""
+        """Minimum number of tasks that must fit for any to start."""
         return self.task_count if self.step.spec.gang else 1
 
     @property
     def reservation_sort_key(self) -> SortKey:
-        """Standing against which reservations are held."""
+        """Sort key for the check against reservations."""
         return self.sort_key._replace(rank=RANK_OVERDUE) if self.is_overdue else self.sort_key
 
     @property
@@ -110,7 +111,7 @@
 
 
 def place(request: PlacementRequest, free_capacity: FreeCapacity) -> Placement:
-    """Return room for a step: all of a gang, or as many tasks as fit."""
+    """Return a placement of a whole gang, or of as many tasks of another step as fit."""
     near = _find_allocations(request, free_capacity, request.work_s, near=True)
     if request.step.spec.gang:
         return _place_gang(request, free_capacity, near)
@@ -123,7 +124,7 @@
 
 
 def allowed_workers(step: StepState, free_capacity: FreeCapacity) -> list[WorkerState]:
-    """Return the workers that may run a step once they have room."""
+    """Return the workers that may run a step once they have free capacity."""
     eligible = free_capacity.admissible(step)
     if step.advice is not None:
         eligible = [worker for worker in eligible if step.advice.consents(worker.worker_id)]
@@ -131,7 +132,7 @@
 
 
 def without_failed(step: StepState, eligible: list[WorkerState]) -> list[WorkerState]:
-    """Leave out workers on which a step failed, unless that leaves too few."""
+    """Exclude workers on which a step failed, unless fewer than half would remain."""
     if not step.failed_on:
         return eligible
     others = [worker for worker in eligible if worker.worker_id not in step.failed_on]
@@ -139,7 +140,7 @@
 
 
 def has_near_capacity(step: StepState, count: int, workers: Iterable[WorkerState]) -> bool:
-    """Tell whether so many tasks of a step would fit near its data, or in one rack, if nothing else ran.
+    """Return whether ``count`` tasks of a step would fit near its data, or in one rack, on idle workers.
 
     Parameters
     ----------
@@ -148,7 +149,7 @@
     count : int
         Tasks that must fit together.
     workers : iterable of WorkerState
-        Workers that stay.
+        Workers that are not draining.
     """
     spec = step.spec
     demand = effective_demand(step)
@@ -163,7 +164,7 @@
 
 
 def by_rack(allocations: list[WorkerAllocation]) -> dict[str, list[WorkerAllocation]]:
-    """Group spots by rack."""
+    """Group allocations by rack."""
     allocations_by_rack: dict[str, list[WorkerAllocation]] = defaultdict(list)
     for allocation in allocations:
         allocations_by_rack[allocation.worker.rack].append(allocation)
@@ -185,9 +186,10 @@
 
 
 def _fill_one_rack(request: PlacementRequest, allocations: list[WorkerAllocation]) -> tuple[WorkerAllocation, ...]:
-    """Return the fullest rack that still holds a whole gang, one on which nobody refused it of late first.
+    """Return allocations in the rack with the least free capacity that holds a whole gang.
 
-    Urgent gangs take a rack where none of their members is slow first.
+    Racks without a worker that recently refused the step are preferred, then, for urgent
+    gangs, racks where none of the chosen workers is slow.
     """
     step = request.step
     is_urgent = step.job.queue.priority == 0
@@ -223,7 +225,7 @@
 def _with_free_capacity(
     workers: list[WorkerState], free_by_id: Mapping[str, Resources], demand: Resources
 ) -> list[WorkerState]:
-    """Return the workers on which one task fits; most have no accelerator free, which is looked at first."""
+    """Return the workers on which one task fits; accelerators, which most have none free of, are checked first."""
     wanted = demand.accelerators
     free = [worker for worker in workers if free_by_id[worker.worker_id].accelerators >= wanted]
     return [worker for worker in free if fits(free_by_id[worker.worker_id], demand)]
@@ -237,7 +239,7 @@
     if step.advice is not None:
         eligible = [worker for worker in eligible if step.advice.ticket(worker.worker_id, request.now_s)]
     if request.is_overdue:
-        # A worker on which it failed is better than none.
+        # A worker on which the step failed is better than none.
         return eligible
     return without_failed(step, eligible)
 
@@ -245,7 +247,7 @@
 def _by_preference(
     allocations: list[WorkerAllocation], request: PlacementRequest, free_capacity: FreeCapacity
 ) -> list[WorkerAllocation]:
-    """Return the spots that the policy admits, the best first and those that refused the step of late last."""
+    """Return the allocations that the policy admits, best first, workers that recently refused the step last."""
     preferred = _by_policy(allocations, request, free_capacity)
     refused = request.step.refused_until_by_worker
     return sorted(preferred, key=lambda allocation: allocation.worker.worker_id in refused) if refused else preferred
@@ -270,9 +272,9 @@
 
 
 def _preference(worker: WorkerState, free: Resources, request: PlacementRequest) -> tuple[bool, bool, int, int]:
-    """Prefer sound workers, then full ones, so that whole workers stay free.
+    """Return a sort key that prefers healthy workers, then full ones, so that whole workers stay free.
 
-    Urgent work has little time to spare: it takes fast workers first.
+    Urgent work, which has little slack, prefers fast workers to full ones.
     """
     settings = request.settings
     is_urgent = request.step.job.queue.priority == 0
