--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -1,4 +1,4 @@
-"""Which runs are stopped to make room for more urgent work."""
+"""Selection of the runs that are stopped in favor of more urgent work."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -16,36 +16,38 @@
 from .variables import is_slow, victim_variables
 from .workers import by_rack, WorkerState
 
-# Room that others have reserved is taken, however short the work that asks.
+# End of the preempting work, for the check against reservations: they are respected
+# however short the work is.
 _UNBOUNDED_S = float('inf')
-# Urgent work that is stopped ends late: it has little slack, and is worth little late.
+# Urgent runs are costlier to stop: they have little slack and are worth little when late.
 _URGENT_WEIGHT = 6.0
-# Cost of any stop, in seconds of the run's work: its restart elsewhere.
+# Fixed cost of stopping a run, in seconds of its work: the restart on another worker.
 _RESTART_COST_S = 0.5
-# A plan with slow workers counts as this many times as dear, and so many
-# weighted core-seconds more: urgent work that waits for stops and then runs longer
-# ends late.
+# The cost of a plan that uses slow workers is multiplied by the factor and raised by the
+# second value, in weighted core-seconds: urgent work that waits for runs to stop and then
+# runs longer ends late.
 _SLOW_FACTOR = 3.0
 _SLOW_COST = 100.0
-# A run with less than this left is cheaper to wait for than to stop.
+# Remaining time in seconds below which it is cheaper to wait for a run than to stop it.
+# Its cost counts as 0 in the order of victims.
 _NEARLY_DONE_S = 0.4
 
 StepLookup = Callable[[Run], StepState | None]
 
 
 class PreemptionPlan(NamedTuple):
-    """Room for a step once some runs are stopped.
+    """Workers for a step and the runs to stop there first.
 
     Parameters
     ----------
     count_by_worker : dict
-        Tasks of the step for each worker.
+        Number of tasks of the step for each worker.
     victims : tuple of Run
         Runs to stop.
     cost : float
         Work lost, in weighted core-seconds.
-    has_slow : bool
-        Whether a worker on which tasks take longer is among them.
+    uses_slow_workers : bool
+        Whether tasks take longer on one of the workers.
     """
 
     count_by_worker: dict[str, int]
@@ -55,18 +57,18 @@
 
 
 class _Search(NamedTuple):
-    """What room is looked for.
+    """Parameters of a search for victims.
 
     Parameters
     ----------
     step : StepState
         The step.
     wanted : int
-        Tasks that must find room.
-    room : Room
-        What is free now.
-    standing : Standing
-        Where it stands: only runs of higher ranks may be stopped.
+        Number of tasks that must fit.
+    free_capacity : FreeCapacity
+        Capacity that is free now.
+    sort_key : SortKey
+        Sort key of the step: only runs of higher ranks may be stopped.
     """
 
     step: StepState
@@ -76,7 +78,7 @@
 
 
 class _WorkerOption(NamedTuple):
-    """One more task on a worker, after more runs there are stopped."""
+    """Tasks that fit on a worker once some of its runs are stopped, and the cost of that."""
 
     worker: WorkerState
     victims: tuple[Run, ...]
@@ -85,14 +87,14 @@
 
 
 class Preemption:
-    """Finds the cheapest victims.
+    """Finds the runs that are cheapest to stop.
 
     Parameters
     ----------
-    step_of : callable
+    find_step : callable
         Returns the step of a run.
     now_s : float
-        The present, steady clock.
+        The current time, steady clock.
     policy : Policy
         The operators' programs.
     settings : SchedulerSettings
@@ -100,7 +102,7 @@
     """
 
     def __init__(self, find_step: StepLookup, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
-        """Start a search at one moment."""
+        """Create a search for one scheduling pass."""
         self._settings = settings
         self._policy = policy
         self._find_step = find_step
@@ -110,7 +112,7 @@
     def plan(
         self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, allows_far_workers: bool
     ) -> PreemptionPlan | None:
-        """Return the cheapest way to make room, if there is one."""
+        """Return the cheapest plan that fits the step, or None."""
         candidates = allowed_workers(step, free_capacity)
         near = [worker for worker in candidates if is_near(worker, step)]
         groups = [near]
@@ -149,7 +151,7 @@
         return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_COST_S)
 
     def _plan_preferring_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
-        """Return the better of the plans with fast workers alone and with all."""
+        """Return the cheaper of the plans on all workers and on fast workers only."""
         plan = self._plan_among(search, workers)
         fast = [worker for worker in workers if not is_slow(worker)]
         if plan is None or not plan.uses_slow_workers or not fast:
@@ -172,7 +174,7 @@
         return _build_plan(chosen, search.wanted)
 
     def _options(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
-        """Return what a worker offers, with more and more of its runs stopped."""
+        """Return the options of a worker, with an increasing number of its runs stopped."""
         step = search.step
         demand = effective_demand(step)
         limit = per_worker_limit(worker, step)
@@ -216,7 +218,7 @@
 
 
 def _build_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
-    """Keep what is needed, the dearest offers last to stay."""
+    """Return a plan for the tasks needed, using the options that are cheapest per task."""
     left = count
     count_by_worker: dict[str, int] = {}
     victims: list[Run] = []
@@ -235,5 +237,5 @@
 
 
 def _weighted_cost(plan: PreemptionPlan) -> float:
-    """Return a plan's cost, slow workers dearer: work that waited for stops ends late there."""
+    """Return a plan's cost, raised if it uses slow workers: work that waited for stops ends late there."""
     return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.uses_slow_workers else plan.cost
