--- a/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/reservations.py
@@ -1,4 +1,4 @@
-"""Room on workers that is kept for steps that wait."""
+"""Worker capacity reserved for waiting steps."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -10,26 +10,27 @@
 
 
 class Reservation(NamedTuple):
-    """Room kept on workers for a step that waits for it.
+    """Worker capacity reserved for a waiting step.
 
     Parameters
     ----------
     step : StepState
-        The step that waits.
+        The waiting step.
     count_by_worker : dict
-        Tasks that it will place on each worker.
+        Number of tasks to be placed on each worker.
     ready_s : float
-        When the room is expected to be free, steady clock.
-    is_firm : bool
-        Whether runs are being stopped for it; other reservations are made anew
-        from time to time.
-    made_s : float
-        When it was made, steady clock.
-    standing : Standing
-        Where the step stands.
-    is_pressing : bool
-        Whether the step has waited for so long beside idle capacity that overdue work
-        behind it must leave the room alone: a stream of it would never end.
+        When the capacity is expected to be free, steady clock.
+    sort_key : SortKey
+        Sort key of the step.
+    awaits_preemption : bool
+        Whether runs are being stopped to free the capacity. Other reservations are
+        recomputed periodically.
+    created_s : float
+        When the reservation was made, steady clock.
+    blocks_overdue : bool
+        Whether the step has waited so long while the pool had idle capacity that also
+        overdue work that follows it must not use the reserved capacity. Otherwise a
+        steady stream of overdue work would starve the step.
     """
 
     step: StepState
@@ -42,34 +43,34 @@
 
 
 class Reservations:
-    """All reservations, in the order in which they were made.
+    """All reservations, in order of creation.
 
     Attributes
     ----------
     version : int
-        Grows with every change, for those who keep an index.
-    is_in_order : bool
-        Whether reservations that stop nothing keep their room only from what stands behind
-        them, so that no two steps wait for each other's. In a pool without idle
-        capacity they keep it from all of their rank: what stays free there serves
-        urgent work, which then stops others less often.
+        Incremented by every change, so that indexes of the reservations can be invalidated.
+    blocks_only_later_steps : bool
+        Whether reservations without preemption block only steps that follow in scheduling
+        order, so that no two steps wait for each other's reservations. In a pool without
+        idle capacity they block all steps of their rank: capacity that stays free there
+        is available to urgent work, which then preempts less often.
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without reservations."""
         self._reservations: list[Reservation] = []
-        # How many reservations each step has: it is asked several times for each step of a pass.
+        # Reservations per step: `has` is called several times for each step of a pass.
         self._count_by_step: Counter[StepState] = Counter()
         self._freed_workers: set[str] = set()
         self.version = 0
         self.blocks_only_later_steps = True
 
     def __iter__(self) -> Iterator[Reservation]:
-        """Yield each reservation."""
+        """Iterate over the reservations."""
         return iter(self._reservations)
 
     def blocks(self, reservation: Reservation, step: StepState, sort_key: SortKey) -> bool:
-        """Tell whether a step of a standing must leave the room of a reservation alone."""
+        """Return whether a reservation keeps a step with this sort key from using its capacity."""
         if reservation.step is step:
             return False
         if reservation.awaits_preemption or reservation.sort_key.rank < sort_key.rank:
@@ -81,13 +82,13 @@
         return reservation.sort_key.rank == sort_key.rank
 
     def add(self, reservation: Reservation) -> None:
-        """Keep room."""
+        """Add a reservation."""
         self._reservations.append(reservation)
         self._count_by_step[reservation.step] += 1
         self.version += 1
 
     def drop(self, is_dropped: Callable[[Reservation], bool]) -> None:
-        """Give room back."""
+        """Remove the reservations that satisfy a predicate."""
         remaining = []
         for reservation in self._reservations:
             if is_dropped(reservation):
@@ -101,19 +102,19 @@
         self.version += 1
 
     def drop_for_step(self, step: StepState) -> None:
-        """Give back the room that is kept for a step."""
+        """Remove the reservation of a step."""
         if self.has(step):
             self.drop(lambda reservation: reservation.step is step)
 
     def pop_freed_workers(self) -> set[str]:
-        """Return the workers on which reservations were dropped since the last call."""
+        """Return the workers on which reservations were removed since the last call."""
         freed, self._freed_workers = self._freed_workers, set()
         return freed
 
     def has(self, step: StepState) -> bool:
-        """Tell whether room is kept for a step."""
+        """Return whether a step has a reservation."""
         return step in self._count_by_step
 
     def count_without_preemption(self) -> int:
-        """Return how many reservations stop nothing."""
+        """Return the number of reservations that do not wait for preempted runs to stop."""
         return sum(not reservation.awaits_preemption for reservation in self._reservations)
