--- a/packages/kernel/dahliaarch_kernel/scheduler/room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/room.py
@@ -1,4 +1,4 @@
-"""Room on workers during one pass of decisions."""
+"""Free capacity of workers during one scheduling pass."""
 
 from ..workload import NO_RESOURCES, Resources
 from .job_state import StepState
@@ -7,19 +7,19 @@
 from .standing import SortKey
 from .workers import WorkerState
 
-# Used where a demand has no part in a resource.
+# Larger than any number of tasks: the result where no resource limits it.
 _UNLIMITED = 1_000_000
 
 
 class FreeCapacity:
-    """Free resources of the workers that may take starts.
+    """Free resources of the workers that accept starts.
 
     Parameters
     ----------
     workers : list of WorkerState
-        Workers that may take starts.
+        Workers that accept starts.
     reservations : Reservations
-        Room that is kept.
+        Capacity that is reserved for waiting steps.
     """
 
     def __init__(self, workers: list[WorkerState], reservations: Reservations) -> None:
@@ -32,18 +32,18 @@
         self._index_reservations()
 
     def allocate(self, worker: WorkerState, demand: Resources) -> None:
-        """Use up room."""
+        """Subtract a demand from a worker's free resources."""
         self._expected_releases_by_worker.pop(worker.worker_id, None)
         self.free_by_id[worker.worker_id] = self.free_by_id[worker.worker_id].minus(demand)
 
     def mark_full(self, worker: WorkerState) -> None:
-        """Let nothing more start on a worker in this pass."""
+        """Prevent further starts on a worker in this pass."""
         self.free_by_id[worker.worker_id] = NO_RESOURCES
 
     def expected_releases(self, worker: WorkerState, now_s: float) -> list[tuple[float, Resources]]:
-        """Return when each run on a worker is expected to end, from now, and what it frees; the first first.
+        """Return in how many seconds each run on a worker is expected to end and what it frees, earliest first.
 
-        Each gang that waits asks for it on all workers, in one pass.
+        The result is cached: within a pass, every waiting gang requests it for all workers.
         """
         cached = self._expected_releases_by_worker.get(worker.worker_id)
         if cached is None:
@@ -52,7 +52,7 @@
         return cached
 
     def admissible(self, step: StepState) -> list[WorkerState]:
-        """Return the workers that may ever run a step's tasks."""
+        """Return the workers that are able to run a step's tasks, whatever runs there now."""
         requirements = (step.job.queue.service, step.spec.label)
         cached = self._admissible_by_requirements.get(requirements)
         if cached is None:
@@ -61,7 +61,7 @@
         return cached
 
     def free_for(self, worker: WorkerState, step: StepState, sort_key: SortKey, end_s: float) -> Resources:
-        """Return the room that a step of a standing may use until ``end_s``."""
+        """Return the resources that a step with this sort key may use until ``end_s``."""
         free = self.free_by_id.get(worker.worker_id, NO_RESOURCES)
         if self._indexed_version != self._reservations.version:
             self._index_reservations()
@@ -71,7 +71,7 @@
         return free
 
     def _index_reservations(self) -> None:
-        """Note by worker what reservations keep there: most workers have none."""
+        """Index the reserved resources by worker: most workers have no reservation."""
         self._reserved_by_worker: dict[str, list[tuple[Reservation, Resources]]] = {}
         for reservation in self._reservations:
             demand = effective_demand(reservation.step)
@@ -81,23 +81,24 @@
 
 
 def effective_demand(step: StepState) -> Resources:
-    """Return what a task counts against a worker's room."""
+    """Return the resources that a task uses up on a worker."""
     demand = step.spec.demand
     return demand._replace(cpu_millis=0) if step.spec.fills else demand
 
 
 def fits(free: Resources, demand: Resources) -> bool:
-    """Tell whether one task of a demand fits into free room."""
+    """Return whether one task with this demand fits into free resources."""
     free_cpu, free_memory, free_accelerators = free
     cpu, memory, accelerators = demand
     return cpu <= free_cpu and memory <= free_memory and accelerators <= free_accelerators
 
 
 def fitting_count(free: Resources, demand: Resources) -> int:
-    """Return how many tasks of a demand fit into free room.
+    """Return how many tasks with this demand fit into free resources.
 
-    None does where a worker holds more than it has left: it would be over its
-    room as they start, though they ask for none of what is short.
+    The result is 0 where a resource is negative, that is, where the runs on a worker
+    exceed its capacity: the worker would still be over its capacity when the tasks
+    start, even if they need none of the resource that is short.
     """
     if min(free) < 0:
         return 0
@@ -112,7 +113,7 @@
 
 
 def per_worker_limit(worker: WorkerState, step: StepState) -> int:
-    """Return how many more tasks of a step a worker may take."""
+    """Return the maximum number of further tasks of a step on a worker."""
     if worker.may_hide_ends:
         return 0 if worker.run_by_key or step.spec.gang or step.spec.lasting else 1
     if not step.spec.max_per_worker:
@@ -121,14 +122,14 @@
 
 
 def is_admissible(worker: WorkerState, step: StepState) -> bool:
-    """Tell whether a worker may ever run a step's tasks."""
+    """Return whether a worker is able to run a step's tasks, whatever runs there now."""
     if worker.profile.service != step.job.queue.service:
         return False
     return not step.spec.label or step.spec.label in worker.profile.labels
 
 
 def is_near(worker: WorkerState, step: StepState) -> bool:
-    """Tell whether a worker is on the rack of a step's data."""
+    """Return whether a worker is in the rack of a step's data; True for steps without one."""
     return not step.spec.data_rack or step.spec.data_rack in worker.profile.labels
 
 
