--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -1,4 +1,4 @@
-"""Where a step stands in the order in which steps are tried."""
+"""Keys that determine the order in which steps are scheduled."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,19 @@
 
 
 class SortKey(NamedTuple):
-    """Where a step stands in the order; smaller goes first.
+    """Sort key of a step; steps with smaller keys are scheduled first.
 
     Parameters
     ----------
     rank : int
         0 for guaranteed work, 1 for other work of priority 0, 2 for the rest.
     preference : float
-        Negative priority by the operators' program; 0 where there is none.
+        Negated result of the operators' priority program; 0 without one.
     begun_s : float
-        When its occurrence came up, seconds since 1970: what came first goes
-        first.
+        When the step's occurrence became due or, without a due time, its job was
+        accepted, seconds since 1970; earlier ones come first.
     step : StepKey
-        The step: no two have the same standing.
+        The step, which makes each key unique.
     """
 
     rank: int
@@ -28,7 +28,7 @@
 
 
 class CachedSortKey(NamedTuple):
-    """A standing and when it was worked out, steady clock."""
+    """A sort key and when it was computed, steady clock."""
 
     sort_key: SortKey
     at_s: float
