--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -1,4 +1,4 @@
-"""Why ready steps are not started, and for how long their jobs have had nothing running."""
+"""Why ready steps are not started, and how long their jobs have had no running task."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -10,25 +10,25 @@
 from .job_state import JobState, StepState
 from .workers import WorkerState
 
-# A step whose job has had nothing running for so long is reported, in seconds.
+# How long a job must have had no running task before its ready steps are reported, in seconds.
 _REPORT_AFTER_S = 1.0
-# How often the reason of a step that waits is worked out anew, in seconds.
+# Minimum interval at which the wait reason of a step is recomputed, in seconds.
 _EXPLAIN_INTERVAL_S = 1.0
-# A pool of whose capacity a smaller share is in use has idle capacity.
+# The pool has idle capacity while a smaller share of its capacity is in use.
 _IDLE_SHARE = 0.5
-# Steps explained at most in one pass: each takes as long as a few placements.
+# Maximum number of steps explained per pass: each takes as long as a few placements.
 _MAX_EXPLAINED_PER_PASS = 4
 
 
 class Load(NamedTuple):
-    """What is to be done.
+    """Number of active jobs and of waiting steps.
 
     Parameters
     ----------
     active_jobs : int
         Jobs that have not ended.
     waiting_by_reason : mapping
-        Ready steps of jobs that have nothing running, by what keeps them from being started.
+        Number of ready steps of jobs without a running task, by wait reason.
     """
 
     active_jobs: int
@@ -36,16 +36,16 @@
 
 
 class Stall(NamedTuple):
-    """A ready step whose job has nothing running, or whose tasks last.
+    """A ready step whose job has no running task, or whose tasks are lasting.
 
     Parameters
     ----------
     since_s : float
-        Since when, steady clock.
+        Start of the stall, steady clock.
     reason : WaitReason
-        What keeps it from being started, as far as known.
+        Wait reason, if known.
     explained_s : float
-        When that was worked out, steady clock.
+        When the reason was determined, steady clock.
     """
 
     since_s: float
@@ -54,23 +54,23 @@
 
 
 class StallTracker:
-    """The ready steps of jobs that have nothing running, and those whose tasks last.
+    """The ready steps of jobs without a running task, and those with lasting tasks.
 
     Attributes
     ----------
     used_share : float
-        Share of the pool's capacity that was in use when they were last found.
+        Share of the pool's capacity that was in use at the last update.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without stalled steps."""
         self.used_share = 1.0
         self._stall_by_step: dict[StepState, Stall] = {}
-        # Since when less than half of the pool has been in use, steady clock.
+        # Since when less than half of the pool's capacity has been in use, steady clock.
         self._idle_since_s = float('inf')
 
     def update(self, jobs: Iterable[JobState], used: float, now_s: float) -> None:
-        """Find the steps that are stalled at this moment, and for how long they have been.
+        """Determine which steps are stalled; those that already were keep their start time.
 
         Parameters
         ----------
@@ -79,7 +79,7 @@
         used : float
             Share of the pool's capacity that is in use.
         now_s : float
-            The present, steady clock.
+            The current time, steady clock.
         """
         self.used_share = used
         self._idle_since_s = min(self._idle_since_s, now_s) if self.has_idle_capacity else float('inf')
@@ -87,25 +87,26 @@
         self._stall_by_step = {step: previous.get(step) or Stall(now_s) for step in _stalled_steps(jobs)}
 
     def waited_s(self, step: StepState, now_s: float) -> float:
-        """Return for how long a step has been stalled, in seconds; 0 for others."""
+        """Return how long a step has been stalled, in seconds; 0 if it is not."""
         stall = self._stall_by_step.get(step)
         return 0.0 if stall is None else now_s - stall.since_s
 
     def waited_with_idle_capacity_s(self, step: StepState, now_s: float) -> float:
-        """Return for how long a step has been stalled while less than half of the pool was in use, in seconds.
+        """Return how long a step has been stalled while less than half of the pool was in use, in seconds.
 
-        A task that lasts serves nobody while it waits, however busy the pool is.
+        For lasting tasks the whole wait counts: they serve no requests until they run,
+        however busy the pool is.
         """
         waited_s = self.waited_s(step, now_s)
         return waited_s if step.spec.lasting else max(0.0, min(waited_s, now_s - self._idle_since_s))
 
     @property
     def has_idle_capacity(self) -> bool:
-        """Whether less than half of the pool was in use when they were last found."""
+        """Whether less than half of the pool's capacity was in use at the last update."""
         return self.used_share < _IDLE_SHARE
 
     def set_reason(self, step: StepState, reason: WaitReason, now_s: float) -> bool:
-        """Record why a step waits; tell whether that is to be reported."""
+        """Record why a step waits; return whether the reason is new and must be reported."""
         stall = self._stall_by_step.get(step)
         if stall is None:
             return False
@@ -113,7 +114,7 @@
         return stall.reason is not reason
 
     def due_for_report(self, now_s: float) -> list[StepState]:
-        """Return the steps that are to be explained now, those first that were longest ago."""
+        """Return the steps whose wait reason is to be determined now, least recently explained first."""
         explained_s_by_step = {
             step: stall.explained_s
             for step, stall in self._stall_by_step.items()
@@ -122,14 +123,14 @@
         return nsmallest(_MAX_EXPLAINED_PER_PASS, explained_s_by_step, key=explained_s_by_step.__getitem__)
 
     def count_by_reason(self) -> Mapping[WaitReason, int]:
-        """Return how many steps wait for each reason."""
+        """Return the number of waiting steps for each reason."""
         return Counter(stall.reason for stall in self._stall_by_step.values())
 
 
 def used_share(workers: Iterable[WorkerState]) -> float:
-    """Return the share of the listed workers' capacity that runs hold; 1 without workers.
+    """Return the share of the listed workers' capacity that runs use; 1 without workers.
 
-    Capacity is counted in accelerators and in weighted cores; the lower share counts.
+    The share is computed for accelerators and for weighted cores; the lower one is returned.
     """
     listed = [worker for worker in workers if worker.is_listed]
     return min(
