--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -1,4 +1,4 @@
-"""Reports of why steps wait whose jobs have had nothing running for a while."""
+"""Reports of why ready steps wait whose jobs have had no running task for a while."""
 
 from collections.abc import Sequence
 from functools import cached_property
@@ -15,26 +15,26 @@
 
 
 class StallReporter:
-    """Tells, once a pass has started what it could, why the rest waits.
+    """Reports, after a pass has started all tasks it could, why the remaining steps wait.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed; reports are noted there.
+        State of the scheduler, to which reports are added.
     workers : sequence of WorkerState
-        Workers that take starts.
+        Workers that accept starts.
     now : Moment
-        The present.
+        The current time.
     """
 
     def __init__(self, state: SchedulerState, workers: Sequence[WorkerState], now: Moment) -> None:
-        """Start without a report."""
+        """Create a reporter for the end of one pass."""
         self._state = state
         self._workers = workers
         self._now = now
 
     def add(self, request: PlacementRequest) -> None:
-        """Report why a request was not granted, unless that was reported."""
+        """Report why a request was not granted, unless that reason was reported before."""
         step = request.step
         reason = (
             job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
@@ -43,7 +43,7 @@
             self._state.notes.append(self._report(request, reason))
 
     def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
-        """Return what a step that may start found no place for."""
+        """Return why no place was found for a step that no gate holds back."""
         step = request.step
         if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
             return WaitReason.ISOLATION
@@ -59,12 +59,12 @@
 
     @cached_property
     def _unreserved_capacity(self) -> FreeCapacity:
-        """What is free, reserved or not."""
+        """Free capacity, including what is reserved."""
         return FreeCapacity(list(self._workers), Reservations())
 
     @cached_property
     def _listed_capacity(self) -> FreeCapacity:
-        """What would be free if every worker took starts that is listed and does not leave."""
+        """Capacity that would be free if all listed workers that are not draining accepted starts."""
         workers = self._state.worker_by_id.values()
         return FreeCapacity(
             [worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations()
@@ -86,7 +86,7 @@
 
 
 def _total_fitting_count(step: StepState, free_capacity: FreeCapacity) -> int:
-    """Return how many tasks of a step fit into some room."""
+    """Return how many tasks of a step fit on all workers together, with reserved capacity included."""
     demand = effective_demand(step)
     return sum(
         min(fitting_count(worker.free, demand), per_worker_limit(worker, step))
