--- a/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ranks.py
@@ -1,4 +1,4 @@
-"""Ranks of work: lower ones go first and may stop higher ones."""
+"""Ranks of work: a lower rank is scheduled first and may preempt higher ones."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -7,23 +7,24 @@
 from ..configuration import Queue
 from .job_state import JobState
 
-# Any work that has waited for too long beside idle capacity, against reservations only.
+# Any work that has waited too long while the pool had idle capacity. Applies only to the
+# check against reservations.
 RANK_OVERDUE = -1
 # Work of priority 0 within its account's guarantee.
 RANK_GUARANTEED = 0
 # Other work of priority 0.
 RANK_URGENT = 1
-# The rest.
+# All other work.
 RANK_ORDINARY = 2
 
 
 def rank_of_queue(queue: Queue) -> int:
-    """Return the rank of a queue's work, whatever its account is guaranteed."""
+    """Return the rank of a queue's work, regardless of its account's guarantee."""
     return RANK_ORDINARY if queue.priority else RANK_URGENT
 
 
 def rank_by_job(jobs: Iterable[JobState], guaranteed_by_account: Mapping[str, int]) -> dict[str, int]:
-    """Return the ranks of the jobs of priority 0; those accepted first are guaranteed first."""
+    """Return the ranks of jobs of priority 0; the guarantee covers jobs in order of acceptance."""
     jobs_by_account: dict[str, list[JobState]] = defaultdict(list)
     for job in jobs:
         if job.queue.priority == 0:
@@ -38,5 +39,5 @@
 
 
 def _first_step_accelerators(job: JobState) -> int:
-    """Return what a job's first step needs."""
+    """Return the number of accelerators that a job's first step needs."""
     return sum(step.task_count * step.demand.accelerators for step in job.spec.steps[:1])
