--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -148,7 +148,7 @@
         """Start the tasks that fit; for the rest, preempt runs or reserve capacity."""
         step = request.step
         if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
-            self._start_alone(request)
+            self._start_isolated(request)
             return
         step.was_considered = True
         signature = self._signature(request)
@@ -167,7 +167,7 @@
         elif step.spec.gang:
             self._reserve(request, missing)
 
-    def _start_alone(self, request: PlacementRequest) -> None:
+    def _start_isolated(self, request: PlacementRequest) -> None:
         """Start suspects on workers without runs, without preempting any for them."""
         empty = [worker for worker in self._workers if not worker.run_by_key]
         placement = place(request, FreeCapacity(empty, self._reservations))
