--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -240,7 +240,7 @@
         """
         step = request.step
         spec = step.spec
-        own_reasons = (
+        unique_reasons = (
             spec.max_per_worker,
             step.failed_on,
             step.refused_until_by_worker,
@@ -248,7 +248,7 @@
             request.isolation_s,
             request.is_overdue,
         )
-        is_special = any(own_reasons) or self._reservations.has(step)
+        is_special = any(unique_reasons) or self._reservations.has(step)
         return Signature(
             effective_demand(step),
             request.rank,
