--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -248,7 +248,7 @@
             request.isolation_s,
             request.is_overdue,
         )
-        is_special = any(unique_reasons) or self._reservations.has(step)
+        is_unique = any(unique_reasons) or self._reservations.has(step)
         return Signature(
             effective_demand(step),
             request.rank,
@@ -258,7 +258,7 @@
             is_gang=spec.gang,
             in_one_rack=spec.same_rack,
             allows_far_workers=request.allows_far_workers,
-            owner=step.identity if is_special else None,
+            owner=step.identity if is_unique else None,
         )
 
     def _start(self, request: PlacementRequest, placement: Placement) -> None:
