--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -129,7 +129,7 @@
         if (
             cached is not None
             and cached.sort_key.rank == rank
-            and self._now.steady_s - cached.at_s < _FULL_PASS_INTERVAL_S
+            and self._now.steady_s - cached.computed_s < _FULL_PASS_INTERVAL_S
         ):
             return cached.sort_key
         sort_key = self._compute_sort_key(step, rank)
--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -31,4 +31,4 @@
     """A sort key and when it was computed, steady clock."""
 
     sort_key: SortKey
-    at_s: float
+    computed_s: float
