--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -40,7 +40,7 @@
             job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
         )
         if self._state.stalls.set_reason(step, reason, self._now.steady_s):
-            self._state.notes.append(self._report(request, reason))
+            self._state.notes.append(self._build_report(request, reason))
 
     def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
         """Return why no place was found for a step that no gate holds back."""
@@ -70,7 +70,7 @@
             [worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations()
         )
 
-    def _report(self, request: PlacementRequest, reason: WaitReason) -> StepWaiting:
+    def _build_report(self, request: PlacementRequest, reason: WaitReason) -> StepWaiting:
         step = request.step
         stalls = self._state.stalls
         wanted = request.min_task_count
