--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -348,7 +348,7 @@
         reporter = StallReporter(self._state, self._workers, self._now)
         for step in self._state.stalls.due_for_report(self._now.steady_s):
             for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
-                reporter.add(request)
+                reporter.report(request)
 
     def _drop_reservation(self, step: StepState) -> None:
         self._reservations.drop_for_step(step)
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -33,7 +33,7 @@
         self._workers = workers
         self._now = now
 
-    def add(self, request: PlacementRequest) -> None:
+    def report(self, request: PlacementRequest) -> None:
         """Report why a request was not granted, unless that reason was reported before."""
         step = request.step
         reason = (
