--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -279,8 +279,8 @@
     settings = request.settings
     is_urgent = request.step.job.queue.priority == 0
     is_last = worker.may_hide_ends or (is_suspect(worker) and settings.has(Mechanism.SUSPECTS_LAST))
-    is_full_last = not settings.has(Mechanism.PACKING)
-    accelerators = -free.accelerators if is_full_last else free.accelerators
+    prefers_empty = not settings.has(Mechanism.PACKING)
+    accelerators = -free.accelerators if prefers_empty else free.accelerators
     return (is_last, is_urgent and is_slow(worker), accelerators, free.memory_mb)
 
 
