--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -286,13 +286,13 @@
 
 def _fill(allocations: list[WorkerAllocation], count: int, step: StepState) -> tuple[WorkerAllocation, ...]:
     chosen = []
-    left = count
+    remaining = count
     for allocation in allocations:
-        if not left:
+        if not remaining:
             break
-        taken = min(left, allocation.task_count)
+        taken = min(remaining, allocation.task_count)
         chosen.append(WorkerAllocation(allocation.worker, taken))
-        left -= taken
-    if left and step.spec.gang:
+        remaining -= taken
+    if remaining and step.spec.gang:
         return ()
     return tuple(chosen)
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -219,16 +219,16 @@
 
 def _build_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
     """Return a plan for the tasks needed, using the options that are cheapest per task."""
-    left = count
+    remaining = count
     count_by_worker: dict[str, int] = {}
     victims: list[Run] = []
     cost = 0.0
     uses_slow_workers = False
     for option in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
-        if not left:
+        if not remaining:
             break
-        taken = min(left, option.task_count)
-        left -= taken
+        taken = min(remaining, option.task_count)
+        remaining -= taken
         count_by_worker[option.worker.worker_id] = taken
         victims.extend(option.victims)
         cost += option.cost
