--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -166,8 +166,8 @@
         for option in options:
             if sum(each.task_count for each in chosen.values()) >= search.wanted:
                 break
-            known = chosen.get(option.worker.worker_id)
-            if known is None or option.task_count > known.task_count:
+            previous = chosen.get(option.worker.worker_id)
+            if previous is None or option.task_count > previous.task_count:
                 chosen[option.worker.worker_id] = option
         if sum(each.task_count for each in chosen.values()) < search.wanted:
             return None
