--- a/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stalls.py
@@ -94,7 +94,7 @@
     def waited_with_idle_capacity_s(self, step: StepState, now_s: float) -> float:
         """Return how long a step has been stalled while less than half of the pool was in use, in seconds.
 
-        For lasting tasks the whole wait counts: they serve no requests until they run,
+        For lasting tasks the whole wait counts: they serve nobody until they run,
         however busy the pool is.
         """
         waited_s = self.waited_s(step, now_s)
