--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -34,7 +34,7 @@
         self._now = now
 
     def report(self, request: PlacementRequest) -> None:
-        """Report why a request was not granted, unless that reason was reported before."""
+        """Report why a request was not granted, unless the reason is unchanged since the last report."""
         step = request.step
         reason = (
             job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
