--- a/packages/kernel/dahliaarch_kernel/scheduler/openings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/openings.py
@@ -1,4 +1,4 @@
-"""Room kept for gangs that wait, with smaller work let in before."""
+"""Reservations for waiting gangs; work that ends before they start is backfilled."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Iterator
@@ -8,13 +8,13 @@
 from .job_state import StepState
 from .placement import allowed_workers
 from .reservations import Reservation, Reservations
-from .room import effective_demand, fitting, is_near, per_worker_limit, Room
-from .standing import Standing
+from .room import effective_demand, fitting_count, FreeCapacity, is_near, per_worker_limit
+from .standing import SortKey
 from .workers import WorkerState
 
 
-class _Opening(NamedTuple):
-    """One more task of a gang fits on a worker from a time on."""
+class _FutureSlot(NamedTuple):
+    """Capacity for one more task of a gang on a worker, from a point in time on."""
 
     after_s: float
     worker_id: str
@@ -24,56 +24,56 @@
 def earliest_reservation(
     step: StepState,
     count: int,
-    standing: Standing,
-    room: Room,
+    sort_key: SortKey,
+    free_capacity: FreeCapacity,
     reservations: Reservations,
     now_s: float,
 ) -> Reservation | None:
-    """Return a reservation on the room that is expected to be free first."""
-    kept_by_id = _kept_by_worker(
-        reservation for reservation in reservations if reservations.keeps(reservation, step, standing)
+    """Return a reservation of the capacity that is expected to be free earliest."""
+    reserved_by_id = _reserved_by_worker(
+        reservation for reservation in reservations if reservations.blocks(reservation, step, sort_key)
     )
-    openings: list[_Opening] = []
-    for worker in allowed_workers(step, room):
+    slots: list[_FutureSlot] = []
+    for worker in allowed_workers(step, free_capacity):
         if is_near(worker, step):
-            free = worker.free.minus(kept_by_id.get(worker.worker_id, NO_RESOURCES))
-            openings.extend(_openings(worker, free, step, count, room.ends(worker, now_s)))
-    openings.sort()
+            free = worker.free.minus(reserved_by_id.get(worker.worker_id, NO_RESOURCES))
+            slots.extend(_future_slots(worker, free, step, count, free_capacity.expected_releases(worker, now_s)))
+    slots.sort()
     counts_by_rack: dict[str, Counter[str]] = defaultdict(Counter)
-    for opening in openings:
-        counts = counts_by_rack[opening.rack]
-        counts[opening.worker_id] += 1
+    for slot in slots:
+        counts = counts_by_rack[slot.rack]
+        counts[slot.worker_id] += 1
         if counts.total() >= count:
-            return Reservation(step, dict(counts), now_s + opening.after_s, standing, made_s=now_s)
+            return Reservation(step, dict(counts), now_s + slot.after_s, sort_key, created_s=now_s)
     return None
 
 
-def _kept_by_worker(reservations: Iterable[Reservation]) -> dict[str, Resources]:
-    kept_by_id: dict[str, Resources] = {}
+def _reserved_by_worker(reservations: Iterable[Reservation]) -> dict[str, Resources]:
+    reserved_by_id: dict[str, Resources] = {}
     for reservation in reservations:
         demand = effective_demand(reservation.step)
         for worker_id, count in reservation.count_by_worker.items():
-            kept_by_id[worker_id] = kept_by_id.get(worker_id, NO_RESOURCES).plus(demand.times(count))
-    return kept_by_id
+            reserved_by_id[worker_id] = reserved_by_id.get(worker_id, NO_RESOURCES).plus(demand.times(count))
+    return reserved_by_id
 
 
-def _openings(
+def _future_slots(
     worker: WorkerState,
     free: Resources,
     step: StepState,
     count: int,
-    ends: list[tuple[float, Resources]],
-) -> Iterator[_Opening]:
-    """Yield, as its runs end, when one more task fits on a worker."""
+    expected_releases: list[tuple[float, Resources]],
+) -> Iterator[_FutureSlot]:
+    """Yield a slot for each further task that fits on a worker as its runs end."""
     demand = effective_demand(step)
-    most = min(count, per_worker_limit(worker, step), fitting(worker.profile.capacity, demand))
+    max_count = min(count, per_worker_limit(worker, step), fitting_count(worker.profile.capacity, demand))
     rack = worker.rack if step.spec.same_rack else ''
-    found = 0
-    for after_s, freed in ((0.0, NO_RESOURCES), *ends):
+    yielded = 0
+    for after_s, freed in ((0.0, NO_RESOURCES), *expected_releases):
         free = free.plus(freed)
-        fits = min(most, fitting(free, demand))
-        for _ in range(fits - found):
-            yield _Opening(after_s, worker.worker_id, rack)
-        found = max(found, fits)
-        if found >= most:
+        slot_count = min(max_count, fitting_count(free, demand))
+        for _ in range(slot_count - yielded):
+            yield _FutureSlot(after_s, worker.worker_id, rack)
+        yielded = max(yielded, slot_count)
+        if yielded >= max_count:
             return
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -1,4 +1,4 @@
-"""One pass over all steps that have tasks to start."""
+"""One scheduling pass over all steps that have tasks to start."""
 
 from collections.abc import Iterator
 from operator import attrgetter
@@ -13,99 +13,100 @@
 from .memory import Signature
 from .objectives import begin_s
 from .openings import earliest_reservation
-from .placement import has_near_place, place, Placement, Request, without_failed
-from .preemption import Plan, Preemption
+from .placement import has_near_capacity, place, Placement, PlacementRequest, without_failed
+from .preemption import Preemption, PreemptionPlan
 from .ranks import rank_by_job, RANK_GUARANTEED, RANK_ORDINARY
 from .reservations import Reservation
-from .room import effective_demand, fits, Room
+from .room import effective_demand, fits, FreeCapacity
 from .runs import Run
-from .stall_reports import StallReports
+from .stall_reports import StallReporter
 from .stalls import used_share
-from .standing import DatedStanding, Standing
+from .standing import CachedSortKey, SortKey
 from .state import SchedulerState
 from .variables import job_variables
 
-# A reservation whose room did not come free by then is made anew, in seconds.
-_RESERVATION_SLACK_S = 1.0
+# How long after its expected time a reservation is kept whose capacity has not come free,
+# in seconds. A new one is made then.
+_RESERVATION_GRACE_S = 1.0
 
-# Guaranteed work waits this long for a place near its data or in one rack, in
-# seconds: under half of the shortest bound on its beginning.
-_GUARANTEED_NEAR_S = 1.2
+# How long guaranteed work waits for capacity near its data or in one rack, in seconds:
+# less than half of the shortest limit on the time until it starts.
+_GUARANTEED_LOCALITY_WAIT_S = 1.2
 
-# How often steps that found no room are considered again though nothing has
-# changed for them, in seconds: reservations are made anew and victims looked for.
-_FULL_EVERY_S = 0.25
-# How often it is looked at whether a step has any place near its data, in seconds:
-# workers come and go.
-_NEAR_PLACE_EVERY_S = 1.0
-# How long a gang waits beside idle capacity before overdue work behind it leaves its
-# room alone, in seconds.
-_PRESSING_AFTER_S = 12.0
-# A search for victims that failed is not repeated within this time, in seconds.
-_VICTIMS_AGAIN_S = 0.1
+# Interval of full passes, in seconds. They reconsider also the steps for which nothing has
+# changed since no capacity was found: reservations are renewed and victims searched for.
+_FULL_PASS_INTERVAL_S = 0.25
+# Interval at which a step's possible capacity near its data is checked again, in seconds:
+# workers join and leave.
+_NEAR_CAPACITY_CHECK_INTERVAL_S = 1.0
+# How long a gang waits while the pool has idle capacity before its reservation also blocks
+# overdue work that follows it, in seconds.
+_BLOCK_OVERDUE_AFTER_S = 12.0
+# Minimum time before a failed search for victims is repeated, in seconds.
+_VICTIM_SEARCH_INTERVAL_S = 0.1
 
 
-class Pass:
-    """One pass of decisions at one moment.
+class SchedulingPass:
+    """One scheduling pass at one point in time.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed; starts and stops are recorded there.
+        State of the scheduler, in which starts and stops are recorded.
     now : Moment
-        The present.
+        The current time.
     """
 
     def __init__(self, state: SchedulerState, now: Moment) -> None:
-        """Read the free room."""
+        """Read the free capacity."""
         self._state = state
         self._now = now
         self._reservations = state.reservations
-        takers = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
+        accepting = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
         self._workers = [
             worker
-            for worker in takers
+            for worker in accepting
             if state.knows_room(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
         ]
-        self._room = Room(self._workers, state.reservations)
+        self._free_capacity = FreeCapacity(self._workers, state.reservations)
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
-        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_EVERY_S
+        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_PASS_INTERVAL_S
 
     def run(self) -> None:
-        """Place every step that fits, in order of standing."""
+        """Place every step that fits, in order of sort keys."""
         self._drop_stale_reservations()
-        self._memory.renew(self._room.free_by_id, self._reservations.take_freed())
+        self._memory.renew(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
         if self._is_full:
             self._memory.begin_full(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
-            self._state.stalls.renew(self._state.active_jobs(), share, self._now.steady_s)
-            self._reservations.is_in_order = self._state.stalls.has_idle_capacity
+            self._state.stalls.update(self._state.active_jobs(), share, self._now.steady_s)
+            self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
         for request in self._ordered_requests():
-            self._consider(request)
+            self._schedule(request)
         if self._is_full:
-            self._explain_stalls()
+            self._report_stalls()
 
-    def _ordered_requests(self) -> list[Request]:
-        """Return what asks for room and may find it now, in order of standing."""
+    def _ordered_requests(self) -> list[PlacementRequest]:
+        """Return the requests that may be granted now, in order of sort keys."""
         return sorted(
-            (request for request in self._requests() if self._may_find_room(request)),
-            key=attrgetter('standing'),
+            (request for request in self._requests() if self._may_be_placed(request)),
+            key=attrgetter('sort_key'),
         )
 
-    def _requests(self) -> Iterator[Request]:
-        """Yield what asks for room."""
+    def _requests(self) -> Iterator[PlacementRequest]:
+        """Yield the requests of all ready steps that no gate holds back."""
         for job in self._state.active_jobs():
             if job_gate(job, self._now) is not None:
                 continue
             rank = self._ranks.get(job.spec.job_id, RANK_ORDINARY)
             for step in job.ready_steps():
                 if step_gate(self._state, step, self._now) is None:
-                    yield from self._requests_of(step, rank)
+                    yield from self._requests_for_step(step, rank)
 
-    def _requests_of(self, step: StepState, rank: int) -> Iterator[Request]:
-        """Yield what a step asks for, apart for the tasks that must run alone."""
+    def _requests_for_step(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
+        """Yield the requests of a step, a separate one for tasks that must run in isolation."""
         suspected = suspects(step)
         others = step.pending - suspected
         if others:
@@ -113,41 +114,45 @@
         if suspected:
             yield self._request(step, rank, suspected)._replace(isolation_s=isolation_s(step))
 
-    def _may_find_room(self, request: Request) -> bool:
-        """Tell whether a step is worth considering in this pass."""
+    def _may_be_placed(self, request: PlacementRequest) -> bool:
+        """Return whether a request may succeed in this pass."""
         step = request.step
         if request.isolation_s:
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._memory.is_blocked(self._signature(request), request.wanted_together)
-
-    def _standing(self, step: StepState, rank: int) -> Standing:
-        """Return a step's place in the order, worked out anew from time to time."""
-        known = step.standing
-        if known is not None and known.standing.rank == rank and self._now.steady_s - known.at_s < _FULL_EVERY_S:
-            return known.standing
-        found = self._work_out_standing(step, rank)
-        step.standing = DatedStanding(found, self._now.steady_s)
-        return found
-
-    def _work_out_standing(self, step: StepState, rank: int) -> Standing:
-        order = Standing(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
+        return not self._memory.is_blocked(self._signature(request), request.min_task_count)
+
+    def _sort_key(self, step: StepState, rank: int) -> SortKey:
+        """Return a step's sort key, recomputed periodically."""
+        cached = step.sort_key
+        if (
+            cached is not None
+            and cached.sort_key.rank == rank
+            and self._now.steady_s - cached.computed_s < _FULL_PASS_INTERVAL_S
+        ):
+            return cached.sort_key
+        sort_key = self._compute_sort_key(step, rank)
+        step.sort_key = CachedSortKey(sort_key, self._now.steady_s)
+        return sort_key
+
+    def _compute_sort_key(self, step: StepState, rank: int) -> SortKey:
+        sort_key = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
         policy = self._state.policy
         if not policy.has_priority:
-            return order
-        variables = job_variables(step, order, self._state.times, self._now.wall_s)
-        return order._replace(preference=-policy.priority(variables))
+            return sort_key
+        variables = job_variables(step, sort_key, self._state.times, self._now.wall_s)
+        return sort_key._replace(preference=-policy.priority(variables))
 
-    def _consider(self, request: Request) -> None:
-        """Start what finds room; else stop others for it, or keep room."""
+    def _schedule(self, request: PlacementRequest) -> None:
+        """Start the tasks that fit; for the rest, preempt runs or reserve capacity."""
         step = request.step
         if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
-            self._start_alone(request)
+            self._start_isolated(request)
             return
         step.was_considered = True
         signature = self._signature(request)
-        self._reopen_reservation(step)
+        self._drop_outdated_reservation(step)
         placement = self._place(request, signature)
         if not placement.task_count and step.advice is not None:
             self._ask_advice(request, step.advice)
@@ -155,87 +160,87 @@
             self._start(request, placement)
         missing = request.task_count - placement.task_count
         if not missing:
-            self._forget_reservation(step)
+            self._drop_reservation(step)
             return
         if request.rank < RANK_ORDINARY:
             self._preempt(request, missing)
         elif step.spec.gang:
             self._reserve(request, missing)
 
-    def _start_alone(self, request: Request) -> None:
-        """Start suspects on workers that run nothing; nobody is stopped for them."""
+    def _start_isolated(self, request: PlacementRequest) -> None:
+        """Start suspects on workers without runs, without preempting any for them."""
         empty = [worker for worker in self._workers if not worker.run_by_key]
-        placement = place(request, Room(empty, self._reservations))
+        placement = place(request, FreeCapacity(empty, self._reservations))
         if placement.task_count:
             self._start(request, placement)
 
-    def _request(self, step: StepState, rank: int, tasks: set[int]) -> Request:
+    def _request(self, step: StepState, rank: int, tasks: set[int]) -> PlacementRequest:
         work_s = self._state.times.expect_s(step.job.queue.name, step.spec)
         waited_s = self._now.wall_s - begin_s(step.job.spec, step.occurrence)
         settings = self._state.settings
-        near_s = _GUARANTEED_NEAR_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
-        is_overdue = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s) >= settings.idle_wait_s
-        return Request(
+        locality_wait_s = _GUARANTEED_LOCALITY_WAIT_S if rank == RANK_GUARANTEED else settings.far_after_share * work_s
+        is_overdue = self._state.stalls.waited_with_idle_capacity_s(step, self._now.steady_s) >= settings.idle_wait_s
+        return PlacementRequest(
             step,
             len(tasks),
             work_s,
             self._now.steady_s,
-            self._may_go_far(step, len(tasks), has_waited=is_overdue or waited_s > near_s),
+            self._allows_far_workers(step, len(tasks), has_waited=is_overdue or waited_s > locality_wait_s),
             settings,
             self._state.policy,
-            self._standing(step, rank),
+            self._sort_key(step, rank),
             tuple(sorted(tasks)),
             is_overdue=is_overdue,
         )
 
-    def _may_go_far(self, step: StepState, count: int, *, has_waited: bool) -> bool:
-        """Tell whether a step may start away from its data, or spread over racks."""
+    def _allows_far_workers(self, step: StepState, count: int, *, has_waited: bool) -> bool:
+        """Return whether a step may start away from its data or across racks."""
         if has_waited or not self._state.settings.has(Mechanism.NEAR_FIRST):
             return True
         if not step.spec.data_rack and not (step.spec.gang and step.spec.same_rack):
             return False
         now_s = self._now.steady_s
-        if now_s - step.near_place_seen_s >= _NEAR_PLACE_EVERY_S:
+        if now_s - step.near_capacity_checked_s >= _NEAR_CAPACITY_CHECK_INTERVAL_S:
             workers = self._state.worker_by_id.values()
-            staying = (worker for worker in workers if worker.is_listed and not worker.profile.draining)
-            step.has_near_place = has_near_place(step, count if step.spec.gang else 1, staying)
-            step.near_place_seen_s = now_s
-        return not step.has_near_place
+            not_draining = (worker for worker in workers if worker.is_listed and not worker.profile.draining)
+            step.has_near_capacity = has_near_capacity(step, count if step.spec.gang else 1, not_draining)
+            step.near_capacity_checked_s = now_s
+        return not step.has_near_capacity
 
-    def _ask_advice(self, request: Request, advice: Advice) -> None:
-        """Ask the outside policy: at first about all workers, then again once one it consents to has room."""
+    def _ask_advice(self, request: PlacementRequest, advice: Advice) -> None:
+        """Ask the outside policy: first about all workers, again once a worker with its consent has free capacity."""
         step = request.step
-        free_by_id = self._room.free_by_id
+        free_by_id = self._free_capacity.free_by_id
         demand = effective_demand(step)
-        able = without_failed(step, self._room.admissible(step))
-        known = [worker for worker in able if advice.consents(worker.worker_id)]
-        if known and not any(fits(free_by_id[worker.worker_id], demand) for worker in known):
+        eligible = without_failed(step, self._free_capacity.admissible(step))
+        consenting = [worker for worker in eligible if advice.consents(worker.worker_id)]
+        if consenting and not any(fits(free_by_id[worker.worker_id], demand) for worker in consenting):
             return
-        likeliest = sorted(known or able, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
-        asked = advice.to_ask(likeliest, self._now.steady_s)
+        most_free_first = sorted(consenting or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
+        asked = advice.to_ask(most_free_first, self._now.steady_s)
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
-    def _place(self, request: Request, signature: Signature) -> Placement:
-        """Try a placement unless a like request found no room since some has grown."""
-        wanted = request.wanted_together
+    def _place(self, request: PlacementRequest, signature: Signature) -> Placement:
+        """Return a placement, unless one for an equal signature failed since free capacity last grew."""
+        wanted = request.min_task_count
         if self._memory.is_blocked(signature, wanted):
             return Placement(())
-        placement = place(request, self._room)
-        # Tickets come and go, so that a step that needs them is always tried.
+        placement = place(request, self._free_capacity)
+        # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
             self._memory.block(signature, wanted)
         return placement
 
-    def _signature(self, request: Request) -> Signature:
-        """Return what steps that need the same places have in common.
+    def _signature(self, request: PlacementRequest) -> Signature:
+        """Return a signature that is equal for all steps with the same placement requirements.
 
-        The places of some steps are their own: those that failed somewhere, are
-        limited on each worker, or may use what is reserved for them.
+        It is unique for steps that failed or were refused on a worker, that are overdue,
+        isolated, limited per worker or need advice, or that have a reservation.
         """
         step = request.step
         spec = step.spec
-        own_reasons = (
+        unique_reasons = (
             spec.max_per_worker,
             step.failed_on,
             step.refused_until_by_worker,
@@ -243,7 +248,7 @@
             request.isolation_s,
             request.is_overdue,
         )
-        is_special = any(own_reasons) or self._reservations.has(step)
+        is_unique = any(unique_reasons) or self._reservations.has(step)
         return Signature(
             effective_demand(step),
             request.rank,
@@ -252,37 +257,37 @@
             spec.data_rack,
             is_gang=spec.gang,
             in_one_rack=spec.same_rack,
-            may_go_far=request.may_go_far,
-            owner=step.identity if is_special else None,
+            allows_far_workers=request.allows_far_workers,
+            owner=step.identity if is_unique else None,
         )
 
-    def _start(self, request: Request, placement: Placement) -> None:
+    def _start(self, request: PlacementRequest, placement: Placement) -> None:
         step = request.step
         indices = list(request.indices)
         gang_run = self._state.next_run_number() if step.spec.gang else 0
         demand = effective_demand(step)
         slowdown = placement.slowdown
         if step.spec.gang:
-            slowdown *= max(spot.worker.slowdown for spot in placement.spots)
-        for spot in placement.spots:
-            for _ in range(spot.task_count):
+            slowdown *= max(allocation.worker.slowdown for allocation in placement.allocations)
+        for allocation in placement.allocations:
+            for _ in range(allocation.task_count):
                 number = gang_run or self._state.next_run_number()
                 index = indices.pop(0)
-                run_slowdown = slowdown if step.spec.gang else slowdown * spot.worker.slowdown
+                run_slowdown = slowdown if step.spec.gang else slowdown * allocation.worker.slowdown
                 work_s = request.work_s * run_slowdown
-                run = Run(step.key(index), number, spot.worker.worker_id, demand, self._now.steady_s, work_s)
+                run = Run(step.key(index), number, allocation.worker.worker_id, demand, self._now.steady_s, work_s)
                 run.rank = request.rank
                 run.isolation_s = request.isolation_s
                 run.slowdown = run_slowdown
                 run.assigned_s = self._now.wall_s
                 self._state.start(step, index, run)
-                self._room.take(spot.worker, demand)
+                self._free_capacity.allocate(allocation.worker, demand)
             if request.isolation_s:
-                self._room.close(spot.worker)
+                self._free_capacity.mark_full(allocation.worker)
         step.alone_until_s = None
-        self._forget_reservation(step)
+        self._drop_reservation(step)
 
-    def _preempt(self, request: Request, count: int) -> None:
+    def _preempt(self, request: PlacementRequest, count: int) -> None:
         step = request.step
         if self._reservations.has(step):
             return
@@ -292,76 +297,82 @@
             return
         for victim in plan.victims:
             self._state.stop_unit(victim, f'makes room for {step.job.spec.job_id}')
-        self._reserve_plan(request, plan)
+        self._reserve_for_plan(request, plan)
 
-    def _plan(self, request: Request, wanted: int) -> Plan | None:
-        """Look for victims unless a like search has just found none."""
+    def _plan(self, request: PlacementRequest, wanted: int) -> PreemptionPlan | None:
+        """Search for victims, unless a search for an equal signature has just failed."""
         step = request.step
         rank = request.rank
         signature = self._signature(request)
-        since_s = self._now.steady_s - _VICTIMS_AGAIN_S
+        since_s = self._now.steady_s - _VICTIM_SEARCH_INTERVAL_S
         if self._memory.lacks_victims(signature, rank, wanted, since_s):
             return None
-        plan = self._preemption.plan(step, wanted, self._room, request.standing, may_go_far=request.may_go_far)
+        plan = self._preemption.plan(
+            step, wanted, self._free_capacity, request.sort_key, allows_far_workers=request.allows_far_workers
+        )
         if plan is None:
             self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
-    def _reserve_plan(self, request: Request, plan: Plan) -> None:
-        """Keep the room that comes free once what was stopped is gone."""
+    def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
+        """Reserve the capacity that becomes free when the victims have stopped."""
         now_s = self._now.steady_s
         ready_s = now_s + self._state.settings.stop_timeout_s
         reservation = Reservation(
-            request.step, plan.count_by_worker, ready_s, request.standing, is_firm=True, made_s=now_s
+            request.step, plan.count_by_worker, ready_s, request.sort_key, awaits_preemption=True, created_s=now_s
         )
         self._reservations.add(reservation)
 
-    def _reserve(self, request: Request, count: int) -> None:
-        """Keep the room that is expected to be free first, for a few gangs that wait."""
+    def _reserve(self, request: PlacementRequest, count: int) -> None:
+        """Reserve the capacity expected to be free earliest, for a limited number of waiting gangs."""
         step = request.step
         settings = self._state.settings
         if not settings.has(Mechanism.GANG_RESERVATIONS):
             return
-        if self._reservations.has(step) or self._reservations.open_ones() >= settings.reservations:
+        if self._reservations.has(step) or self._reservations.count_without_preemption() >= settings.reservations:
             return
         if self._now.wall_s - begin_s(step.job.spec, step.occurrence) < settings.reserve_after_s:
             return
-        standing = request.standing
+        sort_key = request.sort_key
         if not settings.has(Mechanism.RESERVATION_RANKS):
-            standing = standing._replace(rank=RANK_GUARANTEED)
-        reservation = earliest_reservation(step, count, standing, self._room, self._reservations, self._now.steady_s)
+            sort_key = sort_key._replace(rank=RANK_GUARANTEED)
+        reservation = earliest_reservation(
+            step, count, sort_key, self._free_capacity, self._reservations, self._now.steady_s
+        )
         if reservation is not None:
-            waited_s = self._state.stalls.waited_beside_idle_s(step, self._now.steady_s)
-            self._reservations.add(reservation._replace(is_pressing=waited_s >= _PRESSING_AFTER_S))
+            waited_s = self._state.stalls.waited_with_idle_capacity_s(step, self._now.steady_s)
+            self._reservations.add(reservation._replace(blocks_overdue=waited_s >= _BLOCK_OVERDUE_AFTER_S))
 
-    def _explain_stalls(self) -> None:
-        """Report why steps wait whose jobs have had nothing running for a while."""
-        reports = StallReports(self._state, self._workers, self._now)
-        for step in self._state.stalls.due(self._now.steady_s):
-            for request in self._requests_of(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
-                reports.add(request)
+    def _report_stalls(self) -> None:
+        """Report why steps wait whose jobs have had no running task for a while."""
+        reporter = StallReporter(self._state, self._workers, self._now)
+        for step in self._state.stalls.due_for_report(self._now.steady_s):
+            for request in self._requests_for_step(step, self._ranks.get(step.job.spec.job_id, RANK_ORDINARY)):
+                reporter.report(request)
 
-    def _forget_reservation(self, step: StepState) -> None:
-        self._reservations.drop_of(step)
+    def _drop_reservation(self, step: StepState) -> None:
+        self._reservations.drop_for_step(step)
 
-    def _reopen_reservation(self, step: StepState) -> None:
-        """Drop a step's reservation that stops nothing and is no longer fresh, to make it anew."""
+    def _drop_outdated_reservation(self, step: StepState) -> None:
+        """Drop a step's reservation if it is due to be recomputed and awaits no preempted runs."""
         if not self._reservations.has(step):
             return
-        oldest_s = self._now.steady_s - _FULL_EVERY_S
+        oldest_s = self._now.steady_s - _FULL_PASS_INTERVAL_S
         self._reservations.drop(
-            lambda reservation: reservation.step is step and not reservation.is_firm and reservation.made_s <= oldest_s
+            lambda reservation: (
+                reservation.step is step and not reservation.awaits_preemption and reservation.created_s <= oldest_s
+            )
         )
 
     def _drop_stale_reservations(self) -> None:
-        """Drop reservations that came to nothing."""
-        known = {worker.worker_id for worker in self._workers}
-        self._reservations.drop(lambda reservation: not self._still_holds(reservation, known))
+        """Drop reservations that are no longer needed or can no longer be used."""
+        worker_ids = {worker.worker_id for worker in self._workers}
+        self._reservations.drop(lambda reservation: not self._is_valid(reservation, worker_ids))
 
-    def _still_holds(self, reservation: Reservation, known: set[str]) -> bool:
+    def _is_valid(self, reservation: Reservation, worker_ids: set[str]) -> bool:
         if reservation.step.job.has_ended or not reservation.step.pending:
             return False
-        if not reservation.is_firm:
+        if not reservation.awaits_preemption:
             return not reservation.step.run_by_index
         late_s = self._now.steady_s - reservation.ready_s
-        return late_s < _RESERVATION_SLACK_S and known.issuperset(reservation.count_by_worker)
+        return late_s < _RESERVATION_GRACE_S and worker_ids.issuperset(reservation.count_by_worker)
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -1,4 +1,4 @@
-"""Which runs are stopped to make room for more urgent work."""
+"""Selection of the runs that are stopped in favor of more urgent work."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,74 +9,76 @@
 from .mechanisms import Mechanism
 from .placement import allowed_workers
 from .ranks import RANK_ORDINARY
-from .room import effective_demand, fitting, is_near, per_worker_limit, Room
+from .room import effective_demand, fitting_count, FreeCapacity, is_near, per_worker_limit
 from .runs import Run, RunPhase
 from .settings import SchedulerSettings
-from .standing import Standing
+from .standing import SortKey
 from .variables import is_slow, victim_variables
 from .workers import by_rack, WorkerState
 
-# Room that others have reserved is taken, however short the work that asks.
-_FOR_GOOD = float('inf')
-# Urgent work that is stopped ends late: it has little slack, and is worth little late.
+# End of the preempting work, for the check against reservations: they are respected
+# however short the work is.
+_UNBOUNDED_S = float('inf')
+# Urgent runs are costlier to stop: they have little slack and are worth little when late.
 _URGENT_WEIGHT = 6.0
-# Cost of any stop, in seconds of the run's work: its restart elsewhere.
-_RESTART_S = 0.5
-# A plan with slow workers counts as this many times as dear, and so many
-# weighted core-seconds more: urgent work that waits for stops and then runs longer
-# ends late.
+# Fixed cost of stopping a run, in seconds of its work: the restart on another worker.
+_RESTART_COST_S = 0.5
+# The cost of a plan that uses slow workers is multiplied by the factor and raised by the
+# second value, in weighted core-seconds: urgent work that waits for runs to stop and then
+# runs longer ends late.
 _SLOW_FACTOR = 3.0
 _SLOW_COST = 100.0
-# A run with less than this left is cheaper to wait for than to stop.
+# Remaining time in seconds below which it is cheaper to wait for a run than to stop it.
+# Its cost counts as 0 in the order of victims.
 _NEARLY_DONE_S = 0.4
 
-StepOf = Callable[[Run], StepState | None]
+StepLookup = Callable[[Run], StepState | None]
 
 
-class Plan(NamedTuple):
-    """Room for a step once some runs are stopped.
+class PreemptionPlan(NamedTuple):
+    """Workers for a step and the runs to stop there first.
 
     Parameters
     ----------
     count_by_worker : dict
-        Tasks of the step for each worker.
+        Number of tasks of the step for each worker.
     victims : tuple of Run
         Runs to stop.
     cost : float
         Work lost, in weighted core-seconds.
-    has_slow : bool
-        Whether a worker on which tasks take longer is among them.
+    uses_slow_workers : bool
+        Whether tasks take longer on one of the workers.
     """
 
     count_by_worker: dict[str, int]
     victims: tuple[Run, ...]
     cost: float
-    has_slow: bool
+    uses_slow_workers: bool
 
 
 class _Search(NamedTuple):
-    """What room is looked for.
+    """Parameters of a search for victims.
 
     Parameters
     ----------
     step : StepState
         The step.
     wanted : int
-        Tasks that must find room.
-    room : Room
-        What is free now.
-    standing : Standing
-        Where it stands: only runs of higher ranks may be stopped.
+        Number of tasks that must fit.
+    free_capacity : FreeCapacity
+        Capacity that is free now.
+    sort_key : SortKey
+        Sort key of the step: only runs of higher ranks may be stopped.
     """
 
     step: StepState
     wanted: int
-    room: Room
-    standing: Standing
+    free_capacity: FreeCapacity
+    sort_key: SortKey
 
 
-class _Offer(NamedTuple):
-    """One more task on a worker, after more runs there are stopped."""
+class _WorkerOption(NamedTuple):
+    """Tasks that fit on a worker once some of its runs are stopped, and the cost of that."""
 
     worker: WorkerState
     victims: tuple[Run, ...]
@@ -85,52 +87,54 @@
 
 
 class Preemption:
-    """Finds the cheapest victims.
+    """Finds the runs that are cheapest to stop.
 
     Parameters
     ----------
-    step_of : callable
+    find_step : callable
         Returns the step of a run.
     now_s : float
-        The present, steady clock.
+        The current time, steady clock.
     policy : Policy
         The operators' programs.
     settings : SchedulerSettings
         Limits and weights.
     """
 
-    def __init__(self, step_of: StepOf, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
-        """Start a search at one moment."""
+    def __init__(self, find_step: StepLookup, now_s: float, policy: Policy, settings: SchedulerSettings) -> None:
+        """Create a search for one scheduling pass."""
         self._settings = settings
         self._policy = policy
-        self._step_of = step_of
+        self._find_step = find_step
         self._now_s = now_s
         self._cost_by_run: dict[Run, float] = {}
 
-    def plan(self, step: StepState, count: int, room: Room, standing: Standing, *, may_go_far: bool) -> Plan | None:
-        """Return the cheapest way to make room, if there is one."""
-        everywhere = allowed_workers(step, room)
-        able = [worker for worker in everywhere if is_near(worker, step)]
-        groups = [able]
+    def plan(
+        self, step: StepState, count: int, free_capacity: FreeCapacity, sort_key: SortKey, *, allows_far_workers: bool
+    ) -> PreemptionPlan | None:
+        """Return the cheapest plan that fits the step, or None."""
+        candidates = allowed_workers(step, free_capacity)
+        near = [worker for worker in candidates if is_near(worker, step)]
+        groups = [near]
         if step.spec.gang and step.spec.same_rack:
-            groups = list(by_rack(able).values())
-        search = _Search(step, count, room, standing)
-        plans = [self._plan_with_fast(search, group) for group in groups]
+            groups = list(by_rack(near).values())
+        search = _Search(step, count, free_capacity, sort_key)
+        plans = [self._plan_preferring_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
-        if not found and may_go_far:
-            return self._plan_among(search, everywhere)
+        if not found and allows_far_workers:
+            return self._plan_among(search, candidates)
         return min(found, key=_weighted_cost, default=None)
 
     def cost(self, run: Run) -> float:
         """Return the work lost by stopping a run, its whole gang included."""
-        known = self._cost_by_run.get(run)
-        if known is None:
-            known = self._unit_cost(run)
-            self._cost_by_run[run] = known
-        return known
+        cached = self._cost_by_run.get(run)
+        if cached is None:
+            cached = self._unit_cost(run)
+            self._cost_by_run[run] = cached
+        return cached
 
     def _unit_cost(self, run: Run) -> float:
-        step = self._step_of(run)
+        step = self._find_step(run)
         if step is None:
             return 0.0
         if not self._settings.has(Mechanism.CHEAP_VICTIMS):
@@ -138,61 +142,61 @@
         members = list(step.run_by_index.values()) if step.spec.gang else [run]
         if self._policy.has_reclaim:
             return self._policy.reclaim_cost(victim_variables(run, step, len(members), self._now_s))
-        return sum(self._own_cost(member, step) for member in members)
+        return sum(self._run_cost(member, step) for member in members)
 
-    def _own_cost(self, run: Run, step: StepState) -> float:
+    def _run_cost(self, run: Run, step: StepState) -> float:
         worked_s = max(0.0, self._now_s - run.started_s)
         unsaved_s = 0.0 if step.spec.checkpoints else worked_s
         weight = _URGENT_WEIGHT if run.rank < RANK_ORDINARY else 1.0
-        return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_S)
+        return weight * weighted_cores(run.demand) * (unsaved_s + _RESTART_COST_S)
 
-    def _plan_with_fast(self, search: _Search, workers: list[WorkerState]) -> Plan | None:
-        """Return the better of the plans with fast workers alone and with all."""
+    def _plan_preferring_fast(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
+        """Return the cheaper of the plans on all workers and on fast workers only."""
         plan = self._plan_among(search, workers)
         fast = [worker for worker in workers if not is_slow(worker)]
-        if plan is None or not plan.has_slow or not fast:
+        if plan is None or not plan.uses_slow_workers or not fast:
             return plan
         other = self._plan_among(search, fast)
         return plan if other is None else min((other, plan), key=_weighted_cost)
 
-    def _plan_among(self, search: _Search, workers: list[WorkerState]) -> Plan | None:
-        offers = [offer for worker in workers for offer in self._offers(search, worker)]
-        offers.sort(key=lambda offer: offer.cost / offer.task_count)
-        chosen: dict[str, _Offer] = {}
-        for offer in offers:
+    def _plan_among(self, search: _Search, workers: list[WorkerState]) -> PreemptionPlan | None:
+        options = [option for worker in workers for option in self._options(search, worker)]
+        options.sort(key=lambda option: option.cost / option.task_count)
+        chosen: dict[str, _WorkerOption] = {}
+        for option in options:
             if sum(each.task_count for each in chosen.values()) >= search.wanted:
                 break
-            known = chosen.get(offer.worker.worker_id)
-            if known is None or offer.task_count > known.task_count:
-                chosen[offer.worker.worker_id] = offer
+            previous = chosen.get(option.worker.worker_id)
+            if previous is None or option.task_count > previous.task_count:
+                chosen[option.worker.worker_id] = option
         if sum(each.task_count for each in chosen.values()) < search.wanted:
             return None
-        return _as_plan(chosen, search.wanted)
+        return _build_plan(chosen, search.wanted)
 
-    def _offers(self, search: _Search, worker: WorkerState) -> list[_Offer]:
-        """Return what a worker offers, with more and more of its runs stopped."""
+    def _options(self, search: _Search, worker: WorkerState) -> list[_WorkerOption]:
+        """Return the options of a worker, with an increasing number of its runs stopped."""
         step = search.step
         demand = effective_demand(step)
         limit = per_worker_limit(worker, step)
-        free = search.room.free_for(worker, step, search.standing, _FOR_GOOD)
+        free = search.free_capacity.free_for(worker, step, search.sort_key, _UNBOUNDED_S)
         for run in worker.run_by_key.values():
             if run.phase is RunPhase.STOPPING:
                 free = free.plus(run.demand)
-        offers = []
-        best = min(fitting(free, demand), limit)
+        options = []
+        best = min(fitting_count(free, demand), limit)
         if best:
-            offers.append(_Offer(worker, (), best, 0.0))
+            options.append(_WorkerOption(worker, (), best, 0.0))
         victims: list[Run] = []
         cost = 0.0
-        for run in self._victims(worker, search.standing.rank):
+        for run in self._victims(worker, search.sort_key.rank):
             free = free.plus(run.demand)
             victims.append(run)
             cost += self.cost(run)
-            count = min(fitting(free, demand), limit)
+            count = min(fitting_count(free, demand), limit)
             if count > best:
                 best = count
-                offers.append(_Offer(worker, tuple(victims), count, cost))
-        return offers
+                options.append(_WorkerOption(worker, tuple(victims), count, cost))
+        return options
 
     def _victims(self, worker: WorkerState, rank: int) -> list[Run]:
         found = [
@@ -200,38 +204,38 @@
             for run in worker.run_by_key.values()
             if run.rank > rank and run.phase is not RunPhase.STOPPING and not self._is_lasting(run)
         ]
-        return sorted(found, key=lambda run: self._price(run, worker.profile.capacity))
+        return sorted(found, key=lambda run: self._relative_cost(run, worker.profile.capacity))
 
-    def _price(self, run: Run, capacity: Resources) -> float:
+    def _relative_cost(self, run: Run, capacity: Resources) -> float:
         share = max(weighted_cores(run.demand), 1.0) / max(weighted_cores(capacity), 1.0)
         if run.left_s(self._now_s) < _NEARLY_DONE_S:
             return 0.0
         return self.cost(run) / share
 
     def _is_lasting(self, run: Run) -> bool:
-        step = self._step_of(run)
+        step = self._find_step(run)
         return step is not None and step.spec.lasting
 
 
-def _as_plan(chosen: dict[str, _Offer], count: int) -> Plan:
-    """Keep what is needed, the dearest offers last to stay."""
-    left = count
+def _build_plan(chosen: dict[str, _WorkerOption], count: int) -> PreemptionPlan:
+    """Return a plan for the tasks needed, using the options that are cheapest per task."""
+    remaining = count
     count_by_worker: dict[str, int] = {}
     victims: list[Run] = []
     cost = 0.0
-    has_slow = False
-    for offer in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
-        if not left:
+    uses_slow_workers = False
+    for option in sorted(chosen.values(), key=lambda each: each.cost / each.task_count):
+        if not remaining:
             break
-        taken = min(left, offer.task_count)
-        left -= taken
-        count_by_worker[offer.worker.worker_id] = taken
-        victims.extend(offer.victims)
-        cost += offer.cost
-        has_slow = has_slow or is_slow(offer.worker)
-    return Plan(count_by_worker, tuple(victims), cost, has_slow)
-
-
-def _weighted_cost(plan: Plan) -> float:
-    """Return a plan's cost, slow workers dearer: work that waited for stops ends late there."""
-    return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.has_slow else plan.cost
+        taken = min(remaining, option.task_count)
+        remaining -= taken
+        count_by_worker[option.worker.worker_id] = taken
+        victims.extend(option.victims)
+        cost += option.cost
+        uses_slow_workers = uses_slow_workers or is_slow(option.worker)
+    return PreemptionPlan(count_by_worker, tuple(victims), cost, uses_slow_workers)
+
+
+def _weighted_cost(plan: PreemptionPlan) -> float:
+    """Return a plan's cost, raised if it uses slow workers: work that waited for stops ends late there."""
+    return plan.cost * _SLOW_FACTOR + _SLOW_COST if plan.uses_slow_workers else plan.cost
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -1,4 +1,4 @@
-"""Reports of why steps wait whose jobs have had nothing running for a while."""
+"""Reports of why ready steps wait whose jobs have had no running task for a while."""
 
 from collections.abc import Sequence
 from functools import cached_property
@@ -7,81 +7,88 @@
 from .events import StepWaiting, WaitReason
 from .gates import job_gate, step_gate
 from .job_state import StepState
-from .placement import place, Request
+from .placement import place, PlacementRequest
 from .reservations import Reservations
-from .room import effective_demand, fitting, per_worker_limit, Room
+from .room import effective_demand, fitting_count, FreeCapacity, per_worker_limit
 from .state import SchedulerState
 from .workers import WorkerState
 
 
-class StallReports:
-    """Tells, once a pass has started what it could, why the rest waits.
+class StallReporter:
+    """Reports, after a pass has started all tasks it could, why the remaining steps wait.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed; reports are noted there.
+        State of the scheduler, to which reports are added.
     workers : sequence of WorkerState
-        Workers that take starts.
+        Workers that accept starts.
     now : Moment
-        The present.
+        The current time.
     """
 
     def __init__(self, state: SchedulerState, workers: Sequence[WorkerState], now: Moment) -> None:
-        """Start without a report."""
+        """Create a reporter for the end of one pass."""
         self._state = state
         self._workers = workers
         self._now = now
 
-    def add(self, request: Request) -> None:
-        """Report why a request was not granted, unless that was reported."""
+    def report(self, request: PlacementRequest) -> None:
+        """Report why a request was not granted, unless the reason is unchanged since the last report."""
         step = request.step
-        reason = job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._lacks(request)
-        if self._state.stalls.note(step, reason, self._now.steady_s):
-            self._state.notes.append(self._report(request, reason))
+        reason = (
+            job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
+        )
+        if self._state.stalls.set_reason(step, reason, self._now.steady_s):
+            self._state.notes.append(self._build_report(request, reason))
 
-    def _lacks(self, request: Request) -> WaitReason:
-        """Return what a step that may start found no place for."""
+    def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
+        """Return why no place was found for a step that no gate holds back."""
         step = request.step
         if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
             return WaitReason.ISOLATION
-        if place(request, self._unreserved_room).task_count:
+        if place(request, self._unreserved_capacity).task_count:
             return WaitReason.RESERVED
-        if place(request._replace(may_go_far=True), self._unreserved_room).task_count:
+        if place(request._replace(allows_far_workers=True), self._unreserved_capacity).task_count:
             return WaitReason.LOCALITY
         if step.advice is not None:
             return WaitReason.ADVICE
-        if place(request._replace(may_go_far=True), self._listed_room).task_count:
+        if place(request._replace(allows_far_workers=True), self._listed_capacity).task_count:
             return WaitReason.UNAVAILABLE
         return WaitReason.NO_CAPACITY
 
     @cached_property
-    def _unreserved_room(self) -> Room:
-        """What is free, reserved or not."""
-        return Room(list(self._workers), Reservations())
+    def _unreserved_capacity(self) -> FreeCapacity:
+        """Free capacity, including what is reserved."""
+        return FreeCapacity(list(self._workers), Reservations())
 
     @cached_property
-    def _listed_room(self) -> Room:
-        """What would be free if every worker took starts that is listed and does not leave."""
+    def _listed_capacity(self) -> FreeCapacity:
+        """Capacity that would be free if all listed workers that are not draining accepted starts."""
         workers = self._state.worker_by_id.values()
-        return Room([worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations())
+        return FreeCapacity(
+            [worker for worker in workers if worker.is_listed and not worker.profile.draining], Reservations()
+        )
 
-    def _report(self, request: Request, reason: WaitReason) -> StepWaiting:
+    def _build_report(self, request: PlacementRequest, reason: WaitReason) -> StepWaiting:
         step = request.step
         stalls = self._state.stalls
-        wanted = request.wanted_together
+        wanted = request.min_task_count
         return StepWaiting(
             step.identity,
             reason,
             stalls.waited_s(step, self._now.steady_s),
             wanted,
             stalls.used_share,
-            has_room_twice=_fitting(step, self._listed_room) >= 2 * wanted,
-            has_takers_twice=_fitting(step, self._unreserved_room) >= 2 * wanted,
+            has_room_twice=_total_fitting_count(step, self._listed_capacity) >= 2 * wanted,
+            has_takers_twice=_total_fitting_count(step, self._unreserved_capacity) >= 2 * wanted,
         )
 
 
-def _fitting(step: StepState, room: Room) -> int:
-    """Return how many tasks of a step fit into some room."""
+def _total_fitting_count(step: StepState, free_capacity: FreeCapacity) -> int:
+    """Return how many tasks of a step fit on all workers together, with reserved capacity included."""
     demand = effective_demand(step)
-    return sum(min(fitting(worker.free, demand), per_worker_limit(worker, step)) for worker in room.admissible(step))
+    return sum(
+        min(fitting_count(worker.free, demand), per_worker_limit(worker, step))
+        for worker in free_capacity.admissible(step)
+    )
--- a/packages/kernel/dahliaarch_kernel/scheduler/standing.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/standing.py
@@ -1,24 +1,24 @@
-"""Where a step stands in the order in which steps are tried."""
+"""Keys that determine the order in which steps are scheduled."""
 
 from typing import NamedTuple
 
 from ..workload import StepKey
 
 
-class Standing(NamedTuple):
-    """Where a step stands in the order; smaller goes first.
+class SortKey(NamedTuple):
+    """Sort key of a step; steps with smaller keys are scheduled first.
 
     Parameters
     ----------
     rank : int
         0 for guaranteed work, 1 for other work of priority 0, 2 for the rest.
     preference : float
-        Negative priority by the operators' program; 0 where there is none.
+        Negated result of the operators' priority program; 0 without one.
     begun_s : float
-        When its occurrence came up, seconds since 1970: what came first goes
-        first.
+        When the step's occurrence became due or, without a due time, its job was
+        accepted, seconds since 1970; earlier ones come first.
     step : StepKey
-        The step: no two have the same standing.
+        The step, which makes each key unique.
     """
 
     rank: int
@@ -27,8 +27,8 @@
     step: StepKey
 
 
-class DatedStanding(NamedTuple):
-    """A standing and when it was worked out, steady clock."""
+class CachedSortKey(NamedTuple):
+    """A sort key and when it was computed, steady clock."""
 
-    standing: Standing
-    at_s: float
+    sort_key: SortKey
+    computed_s: float
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -12,12 +12,12 @@
 from dahliaarch_kernel.scheduler.leaving import expire_leases
 from dahliaarch_kernel.scheduler.objectives import begin_s
 from dahliaarch_kernel.scheduler.openings import earliest_reservation
-from dahliaarch_kernel.scheduler.placement import place, Request
+from dahliaarch_kernel.scheduler.placement import place, PlacementRequest
 from dahliaarch_kernel.scheduler.ranks import RANK_ORDINARY
 from dahliaarch_kernel.scheduler.reservations import Reservations
-from dahliaarch_kernel.scheduler.room import effective_demand, Room
+from dahliaarch_kernel.scheduler.room import effective_demand, FreeCapacity
 from dahliaarch_kernel.scheduler.runs import Run
-from dahliaarch_kernel.scheduler.standing import Standing
+from dahliaarch_kernel.scheduler.standing import SortKey
 
 
 class BestFit(Scheduler):
@@ -40,7 +40,7 @@
         reservations = Reservations()
         expire_leases(state, now)
         workers = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
-        room = Room(workers, reservations)
+        room = FreeCapacity(workers, reservations)
         for job in state.active_jobs():
             job.open_due(now.wall_s)
             for step in job.ready_steps():
@@ -49,9 +49,9 @@
         effects, state.effects = state.effects, []
         return effects
 
-    def _consider(self, step: StepState, room: Room, reservations: Reservations, now: Moment) -> None:
+    def _consider(self, step: StepState, room: FreeCapacity, reservations: Reservations, now: Moment) -> None:
         settings = self._state.settings
-        request = Request(
+        request = PlacementRequest(
             step,
             len(step.pending),
             step.spec.estimate_s,
@@ -59,26 +59,26 @@
             False,
             settings,
             self._policy,
-            Standing(RANK_ORDINARY, 0.0, begin_s(step.job.spec, step.occurrence), step.identity),
+            SortKey(RANK_ORDINARY, 0.0, begin_s(step.job.spec, step.occurrence), step.identity),
         )
         placement = place(request, room)
         if placement.task_count:
             self._start(step, request, now, room)
-        elif not reservations.open_ones():
+        elif not reservations.count_without_preemption():
             reservation = earliest_reservation(
-                step, len(step.pending), request.standing, room, reservations, now.steady_s
+                step, len(step.pending), request.sort_key, room, reservations, now.steady_s
             )
             if reservation is not None:
                 reservations.add(reservation)
 
-    def _start(self, step: StepState, request: Request, now: Moment, room: Room) -> None:
+    def _start(self, step: StepState, request: PlacementRequest, now: Moment, room: FreeCapacity) -> None:
         indices = sorted(step.pending)
         number = self._state.next_run_number()
         demand = effective_demand(step)
-        for spot in place(request, room).spots:
-            for _ in range(spot.task_count):
+        for allocation in place(request, room).allocations:
+            for _ in range(allocation.task_count):
                 index = indices.pop(0)
-                run = Run(step.key(index), number, spot.worker.worker_id, demand, now.steady_s, request.work_s)
+                run = Run(step.key(index), number, allocation.worker.worker_id, demand, now.steady_s, request.work_s)
                 self._state.start(step, index, run)
-                room.take(spot.worker, demand)
+                room.allocate(allocation.worker, demand)
                 number = number if step.spec.gang else self._state.next_run_number()
