--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -40,7 +40,7 @@
 
 # Starts under way at one time, urgent ones and others: over a link of 1 Mbit/s the last of them is answered
 # in 0.2 s, and none is given up before it has been sent.
-_MOST_STARTS = 32
+_MAX_CONCURRENT_STARTS = 32
 # Jobs that are taken in at a takeover between two turns of other tasks: callers are answered meanwhile.
 _JOBS_AT_A_TIME = 64
 # Longest time between two passes, in seconds: leases end and jobs fall due.
@@ -113,7 +113,7 @@
             self.post,
             self.depose,
             steady_s,
-            StartTurns(anyio.Semaphore(_MOST_STARTS), anyio.Semaphore(_MOST_STARTS)),
+            StartTurns(anyio.Semaphore(_MAX_CONCURRENT_STARTS), anyio.Semaphore(_MAX_CONCURRENT_STARTS)),
             self._may_order,
         )
         self._links = Links(context)
