--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -42,7 +42,7 @@
 # in 0.2 s, and none is given up before it has been sent.
 _MAX_CONCURRENT_STARTS = 32
 # Jobs that are taken in at a takeover between two turns of other tasks: callers are answered meanwhile.
-_JOBS_AT_A_TIME = 64
+_LOAD_BATCH_SIZE = 64
 # Longest time between two passes, in seconds: leases end and jobs fall due.
 _PASS_EVERY_S = 0.25
 # Shortest time between two passes, in seconds: updates that come together share one.
@@ -214,7 +214,7 @@
         self._previous.may_last(lease_s, steady_s())
         for number, item in enumerate(sorted(kept.jobs.items, key=lambda each: len(each.key))):
             intake.handle_all(job_messages(item))
-            if number % _JOBS_AT_A_TIME == 0:
+            if number % _LOAD_BATCH_SIZE == 0:
                 await anyio.sleep(0)
         self._drain_inbox(intake)
         intake.progress_by_id = {}
