--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -44,7 +44,7 @@
 # Jobs that are taken in at a takeover between two turns of other tasks: callers are answered meanwhile.
 _LOAD_BATCH_SIZE = 64
 # Longest time between two passes, in seconds: leases end and jobs fall due.
-_PASS_EVERY_S = 0.25
+_MAX_PASS_INTERVAL_S = 0.25
 # Shortest time between two passes, in seconds: updates that come together share one.
 _PASS_GAP_S = 0.008
 # How long a new owner decides nothing while workers have yet to answer, in
@@ -249,7 +249,7 @@
         while True:
             self._decide()
             await anyio.sleep(_PASS_GAP_S)
-            with anyio.move_on_after(_PASS_EVERY_S):
+            with anyio.move_on_after(_MAX_PASS_INTERVAL_S):
                 intake.handle(await self._receive.receive())
             self._drain_inbox(intake)
 
