--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -46,7 +46,7 @@
 # Longest time between two passes, in seconds: leases end and jobs fall due.
 _MAX_PASS_INTERVAL_S = 0.25
 # Shortest time between two passes, in seconds: updates that come together share one.
-_PASS_GAP_S = 0.008
+_MIN_PASS_INTERVAL_S = 0.008
 # How long a new owner decides nothing while workers have yet to answer, in
 # seconds: they answer in milliseconds. While it waited 1.2 s for one that was
 # gone, urgent jobs that had just come ended late.
@@ -248,7 +248,7 @@
     async def _decide_forever(self, intake: Intake) -> None:
         while True:
             self._decide()
-            await anyio.sleep(_PASS_GAP_S)
+            await anyio.sleep(_MIN_PASS_INTERVAL_S)
             with anyio.move_on_after(_MAX_PASS_INTERVAL_S):
                 intake.handle(await self._receive.receive())
             self._drain_inbox(intake)
