--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -50,7 +50,7 @@
 # How long a new owner decides nothing while workers have yet to answer, in
 # seconds: they answer in milliseconds. While it waited 1.2 s for one that was
 # gone, urgent jobs that had just come ended late.
-_TAKEOVER_SURVEY_S = 0.25
+_TAKEOVER_SURVEY_TIMEOUT_S = 0.25
 
 
 class PoolOwner:
@@ -238,7 +238,7 @@
         its lease has ended; later ones can't run there.
         """
         self._previous.expect_workers()
-        deadline_s = steady_s() + _TAKEOVER_SURVEY_S
+        deadline_s = steady_s() + _TAKEOVER_SURVEY_TIMEOUT_S
         while self._previous.has_unreported and steady_s() < deadline_s:
             with anyio.move_on_after(deadline_s - steady_s()):
                 intake.handle(await self._receive.receive())
