--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -200,7 +200,7 @@
         in the inbox, for it means nothing before the jobs are known.
         """
         workers = await read_workers(self._store, self._settings.timing)
-        intake.handle_all(self._workers_known(workers))
+        intake.handle_all(self._known_worker_messages(workers))
         tasks.start_soon(self._workers_feed.run, workers.entries.revision)
         kept = await read_jobs(self._store, self._settings.timing)
         intake.progress_by_id = kept.progress_by_id
@@ -221,7 +221,7 @@
         intake.assignments_by_id = {}
         return kept.jobs.revision
 
-    def _workers_known(self, workers: KnownWorkers) -> Iterable[OwnerMessage]:
+    def _known_worker_messages(self, workers: KnownWorkers) -> Iterable[OwnerMessage]:
         """Yield the workers that the previous owner knew, then those that have an entry."""
         # A write that was carried out late may have left an entry of a worker that is known better by another.
         in_use = {entry.known_incarnation.name for entry in workers.roster if not entry.is_lapsed}
