--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -263,12 +263,12 @@
 
     def _decide(self) -> None:
         if self._may_order():
-            self._order()
+            self._decide_and_order()
         if self.scheduler.has_dirty_jobs or self._links.has_unkept_ends or self._effects.held_starts:
             self._recorder.needed.set()
         self._note_roster()
 
-    def _order(self) -> None:
+    def _decide_and_order(self) -> None:
         """Decide, and give the orders."""
         begun_s = time.perf_counter()
         effects = self.scheduler.decide(_now())
