--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -247,7 +247,7 @@
 
     async def _decide_forever(self, intake: Intake) -> None:
         while True:
-            self._decide()
+            self._run_pass()
             await anyio.sleep(_MIN_PASS_INTERVAL_S)
             with anyio.move_on_after(_MAX_PASS_INTERVAL_S):
                 intake.handle(await self._receive.receive())
@@ -261,7 +261,7 @@
             log_event('authority_regained' if may_order else 'authority_lost', epoch=self.epoch)
         return may_order
 
-    def _decide(self) -> None:
+    def _run_pass(self) -> None:
         if self._may_order():
             self._decide_and_order()
         if self.scheduler.has_dirty_jobs or self._links.has_unkept_ends or self._effects.held_starts:
