--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -190,7 +190,7 @@
                 tasks.start_soon(self._recorder.run)
                 tasks.start_soon(self._adviser.run)
                 tasks.start_soon(self._recorder.clean, self._settings.bounds.status_s, time.time)
-                await self._decide_forever(intake)
+                await self._run_passes(intake)
 
     async def _load(self, intake: Intake, tasks: TaskGroup) -> int:
         """Take in workers and jobs; return the revision to follow jobs from.
@@ -245,7 +245,7 @@
             self._drain_inbox(intake)
         self._previous.go_on()
 
-    async def _decide_forever(self, intake: Intake) -> None:
+    async def _run_passes(self, intake: Intake) -> None:
         while True:
             self._run_pass()
             await anyio.sleep(_MIN_PASS_INTERVAL_S)
