--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -266,7 +266,7 @@
             self._decide_and_order()
         if self.scheduler.has_dirty_jobs or self._links.has_unkept_ends or self._effects.held_starts:
             self._recorder.needed.set()
-        self._note_roster()
+        self._update_roster()
 
     def _decide_and_order(self) -> None:
         """Decide, and give the orders."""
@@ -281,7 +281,7 @@
         self._metrics.held_starts.set(len(self._effects.held_starts))
         self._metrics.decide_s.observe(time.perf_counter() - begun_s)
 
-    def _note_roster(self) -> None:
+    def _update_roster(self) -> None:
         """Have the known workers kept when they have changed."""
         roster = self._links.roster(self.scheduler.worker_by_id)
         if roster != self._recorder.roster:
