--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -92,7 +92,7 @@
         self.scheduler = Scheduler(
             scheduler_settings(settings),
             settings.epoch,
-            Policy(settings.own.policy, _note_policy_failure),
+            Policy(settings.own.policy, _log_policy_failure),
         )
         self._settings = settings
         self._store = store
@@ -301,5 +301,5 @@
     return Moment(steady_s(), time.time())
 
 
-def _note_policy_failure(program: str, error: Exception) -> None:
+def _log_policy_failure(program: str, error: Exception) -> None:
     log_event('policy_failed', program=program, why=str(error))
