--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -270,7 +270,7 @@
 
     def _decide_and_order(self) -> None:
         """Decide, and give the orders."""
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         effects = self.scheduler.decide(_now())
         for note in self.scheduler.take_notes():
             self._effects.tell(note)
@@ -279,7 +279,7 @@
         self._links.close_all_but(self.scheduler.worker_by_id)
         self._load_gauges.update(steady_s())
         self._metrics.held_starts.set(len(self._effects.held_starts))
-        self._metrics.decide_s.observe(time.perf_counter() - begun_s)
+        self._metrics.decide_s.observe(time.perf_counter() - started_s)
 
     def _update_roster(self) -> None:
         """Have the known workers kept when they have changed."""
