--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -39,7 +39,7 @@
 from .unserved import UnservedWorkers
 
 # Workers that one log line names at most.
-_MOST_NAMED = 16
+_MAX_LOGGED_WORKERS = 16
 
 
 class IntakeParts(NamedTuple):
@@ -149,7 +149,7 @@
         if added and assignments:
             runs = [run for each in assignments.values() for run in each.runs]
             workers = sorted({run.worker_id for run in runs})
-            log_event('job_inherited', job=job_id, runs=len(runs), workers=workers[:_MOST_NAMED])
+            log_event('job_inherited', job=job_id, runs=len(runs), workers=workers[:_MAX_LOGGED_WORKERS])
 
     @handle.register
     def _(self, message: JobCancelled) -> None:
