--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -174,7 +174,7 @@
         if not is_known and self._unserved.sets_aside(message):
             log_event('worker_unserved', worker=profile.worker_id, service=profile.service)
             return
-        link = self._keep_in_touch(profile, message.incarnation, message.address)
+        link = self._update_worker(profile, message.incarnation, message.address)
         if not is_known or link.is_draining != profile.draining:
             log_event(
                 'worker_listed', worker=profile.worker_id, draining=profile.draining, leaves_in_s=profile.leaves_in_s
@@ -188,7 +188,7 @@
 
     @handle.register
     def _(self, message: WorkerInherited) -> None:
-        link = self._keep_in_touch(message.profile, message.incarnation, message.address)
+        link = self._update_worker(message.profile, message.incarnation, message.address)
         link.is_draining = message.profile.draining
         if message.is_lapsed:
             self._links.inherit_lapsed(self._scheduler.worker_by_id[message.profile.worker_id])
@@ -272,7 +272,7 @@
     def _(self, message: AdviceFailed) -> None:
         self._scheduler.advice_failed(message.step, self._now())
 
-    def _keep_in_touch(self, profile: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
+    def _update_worker(self, profile: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
         """Take in what a worker publishes; return the link to it."""
         self._scheduler.update_worker(profile, self._now())
         return self._open(incarnation, address)
