--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -254,7 +254,7 @@
             self._scheduler.worker_replaced(message.worker_id, message.successor.worker_id, late_until_s)
         self.handle(WorkerOver(message.worker_id))
         if former is not None and link is not None:
-            self._expect(former.profile, message.successor, link.address)
+            self._add_successor(former.profile, message.successor, link.address)
 
     @handle.register
     def _(self, message: StartAcknowledged) -> None:
@@ -289,7 +289,7 @@
             worker.may_hide_ends = True
         return link
 
-    def _expect(self, former: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
+    def _add_successor(self, former: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
         """Ask an incarnation what runs there whose entry has not been read.
 
         Its room, its kind and whether it leaves may differ from those of the incarnation before.
