--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -275,9 +275,9 @@
     def _update_worker(self, profile: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
         """Take in what a worker publishes; return the link to it."""
         self._scheduler.update_worker(profile, self._now())
-        return self._open(incarnation, address)
+        return self._open_link(incarnation, address)
 
-    def _open(self, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
+    def _open_link(self, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
         """Return the link to an incarnation of a worker that the scheduler knows."""
         worker = self._scheduler.worker_by_id[incarnation.worker_id]
         worker.late_order_s = self._links.longest_late_s if incarnation.born_ms else 0.0
@@ -296,7 +296,7 @@
         """
         profile = former._replace(worker_id=incarnation.worker_id, draining=False, leaves_in_s=None)
         self._scheduler.expect_worker(profile, self._now())
-        self._open(incarnation, address)
+        self._open_link(incarnation, address)
 
     def _worker_id(self, name: str) -> str:
         """Return the incarnation that is known under a worker's name."""
