--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -213,7 +213,7 @@
     def _(self, message: WorkerSurveyed) -> None:
         now = self._now()
         for end in message.ended:
-            self._take_in_end(end, now)
+            self._handle_run_end(end, now)
         link = self._links.get(message.worker_id)
         lists_ends = link is not None and not link.may_hide_ends
         self._scheduler.worker_surveyed(message.worker_id, message.running, message.begun_s, now, lists_ends=lists_ends)
@@ -262,7 +262,7 @@
 
     @handle.register
     def _(self, message: RunNever) -> None:
-        self._take_in_end(RunEnd(message.worker_id, message.key, message.run, message.kind), self._now())
+        self._handle_run_end(RunEnd(message.worker_id, message.key, message.run, message.kind), self._now())
 
     @handle.register
     def _(self, message: AdviceGiven) -> None:
@@ -306,8 +306,8 @@
     def _drop_held_starts(self, worker_id: str) -> None:
         """Let starts never be sent to a worker that takes none any more: it does not crash under them."""
         for start in self._held_starts.take_of_worker(worker_id):
-            self._take_in_end(RunEnd(worker_id, start.key, start.run, EndKind.REFUSED), self._now())
+            self._handle_run_end(RunEnd(worker_id, start.key, start.run, EndKind.REFUSED), self._now())
 
-    def _take_in_end(self, end: RunEnd, now: Moment) -> None:
+    def _handle_run_end(self, end: RunEnd, now: Moment) -> None:
         log_event('run_ended', worker=end.worker_id, task=end.key, run=end.run, how=end.kind)
         self._scheduler.run_ended(end, now)
