--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -199,11 +199,11 @@
     def _(self, message: WorkerUnreadable) -> None:
         self._links.forget_entry(message.name)
         self._unserved.forget(message.name)
-        self._scheduler.suspend_worker(self._worker_id(message.name))
+        self._scheduler.suspend_worker(self._current_worker_id(message.name))
 
     @handle.register
     def _(self, message: WorkerUnlisted) -> None:
-        worker_id = self._worker_id(message.name)
+        worker_id = self._current_worker_id(message.name)
         log_event('worker_unlisted', worker=worker_id)
         self._links.forget_entry(message.name)
         self._unserved.forget(message.name)
@@ -298,7 +298,7 @@
         self._scheduler.expect_worker(profile, self._now())
         self._open_link(incarnation, address)
 
-    def _worker_id(self, name: str) -> str:
+    def _current_worker_id(self, name: str) -> str:
         """Return the incarnation that is known under a worker's name."""
         link = self._links.named(name)
         return name if link is None else link.incarnation.worker_id
