--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -223,9 +223,9 @@
         if link is not None and worker is not None:
             link.is_overfull = worker.is_overfull
         self._previous.reported(message.worker_id)
-        former = self._links.take_predecessor(message.worker_id)
-        if former is not None:
-            self.handle(WorkerOver(former))
+        predecessor = self._links.take_predecessor(message.worker_id)
+        if predecessor is not None:
+            self.handle(WorkerOver(predecessor))
 
     @handle.register
     def _(self, message: WorkerSilent) -> None:
@@ -244,17 +244,17 @@
     def _(self, message: WorkerReplaced) -> None:
         log_event('worker_replaced', worker=message.worker_id, by=message.successor.worker_id)
         self._drop_held_starts(message.worker_id)
-        former = self._scheduler.worker_by_id.get(message.worker_id)
+        predecessor = self._scheduler.worker_by_id.get(message.worker_id)
         link = self._links.get(message.worker_id)
-        if former is not None and link is not None:
+        if predecessor is not None and link is not None:
             self._previous.replaced(message.successor.worker_id)
             # Its tasks whose start is unacknowledged are not started elsewhere before the successor has reported what
             # runs there.
             late_until_s = self._now().steady_s + self._links.longest_late_s
             self._scheduler.worker_replaced(message.worker_id, message.successor.worker_id, late_until_s)
         self.handle(WorkerOver(message.worker_id))
-        if former is not None and link is not None:
-            self._add_successor(former.profile, message.successor, link.address)
+        if predecessor is not None and link is not None:
+            self._add_successor(predecessor.profile, message.successor, link.address)
 
     @handle.register
     def _(self, message: StartAcknowledged) -> None:
@@ -289,12 +289,12 @@
             worker.may_hide_ends = True
         return link
 
-    def _add_successor(self, former: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
+    def _add_successor(self, predecessor: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
         """Ask an incarnation what runs there whose entry has not been read.
 
         Its room, its kind and whether it leaves may differ from those of the incarnation before.
         """
-        profile = former._replace(worker_id=incarnation.worker_id, draining=False, leaves_in_s=None)
+        profile = predecessor._replace(worker_id=incarnation.worker_id, draining=False, leaves_in_s=None)
         self._scheduler.expect_worker(profile, self._now())
         self._open_link(incarnation, address)
 
