--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -27,7 +27,7 @@
 from .end_notifier import EndNotifier
 from .feeds import Feed, follow_jobs, job_messages, WorkersFeed
 from .heap import LongLivedHeap
-from .intake import Intake, IntakeParts
+from .intake import HandlerDependencies, Intake
 from .link_settings import LinkContext, LinkSettings, StartTurns
 from .load_gauges import LoadGauges
 from .messages import OwnerMessage, WorkerInherited, WorkersSynced
@@ -166,7 +166,7 @@
         """Take the pool over and decide until deposed or cancelled."""
         with self._scope, self._load_gauges, self._heap:
             async with anyio.create_task_group() as tasks:
-                parts = IntakeParts(
+                parts = HandlerDependencies(
                     self.scheduler,
                     self._links,
                     self._previous,
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -42,7 +42,7 @@
 _MAX_LOGGED_WORKERS = 16
 
 
-class IntakeParts(NamedTuple):
+class HandlerDependencies(NamedTuple):
     """What messages change.
 
     Parameters
@@ -90,7 +90,7 @@
         What previous owners kept of jobs that are not taken in yet.
     """
 
-    def __init__(self, parts: IntakeParts, epoch: int, tasks: TaskGroup) -> None:
+    def __init__(self, parts: HandlerDependencies, epoch: int, tasks: TaskGroup) -> None:
         """Start with nothing taken in."""
         self.progress_by_id: dict[str, JobProgress] = {}
         self.assignments_by_id: AssignmentsById = {}
