--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -27,7 +27,7 @@
 from .end_notifier import EndNotifier
 from .feeds import Feed, follow_jobs, job_messages, WorkersFeed
 from .heap import LongLivedHeap
-from .intake import HandlerDependencies, Intake
+from .intake import HandlerDependencies, MessageHandler
 from .link_settings import LinkContext, LinkSettings, StartTurns
 from .load_gauges import LoadGauges
 from .messages import OwnerMessage, WorkerInherited, WorkersSynced
@@ -175,7 +175,7 @@
                     self.depose,
                     _now,
                 )
-                intake = Intake(parts, self.epoch, tasks)
+                intake = MessageHandler(parts, self.epoch, tasks)
                 jobs_revision = await self._load(intake, tasks)
                 self._heap.loaded()
                 await self._survey_all(intake)
@@ -192,7 +192,7 @@
                 tasks.start_soon(self._recorder.clean, self._settings.bounds.status_s, time.time)
                 await self._run_passes(intake)
 
-    async def _load(self, intake: Intake, tasks: TaskGroup) -> int:
+    async def _load(self, intake: MessageHandler, tasks: TaskGroup) -> int:
         """Take in workers and jobs; return the revision to follow jobs from.
 
         Workers come first: from then on their leases are renewed, while thousands
@@ -231,7 +231,7 @@
         yield from self._workers_feed.messages(workers.entries, is_whole=True)
         yield WorkersSynced()
 
-    async def _survey_all(self, intake: Intake) -> None:
+    async def _survey_all(self, intake: MessageHandler) -> None:
         """Contact every worker that answers at once.
 
         Jobs accepted before this owner wait for the others, each until it answers or
@@ -245,7 +245,7 @@
             self._drain_inbox(intake)
         self._previous.go_on()
 
-    async def _run_passes(self, intake: Intake) -> None:
+    async def _run_passes(self, intake: MessageHandler) -> None:
         while True:
             self._run_pass()
             await anyio.sleep(_MIN_PASS_INTERVAL_S)
@@ -288,7 +288,7 @@
             self._links.note_offered(roster, self._recorder.offer_roster(roster))
         self._links.readmit(self.scheduler.worker_by_id, self._recorder.kept_roster_number)
 
-    def _drain_inbox(self, intake: Intake) -> None:
+    def _drain_inbox(self, intake: MessageHandler) -> None:
         while True:
             try:
                 message = self._receive.receive_nowait()
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -72,7 +72,7 @@
     now: Callable[[], Moment]
 
 
-class Intake:
+class MessageHandler:
     """Takes in messages, one after the other.
 
     Parameters
