--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -166,7 +166,7 @@
         """Take the pool over and decide until deposed or cancelled."""
         with self._scope, self._load_gauges, self._heap:
             async with anyio.create_task_group() as tasks:
-                parts = HandlerDependencies(
+                dependencies = HandlerDependencies(
                     self.scheduler,
                     self._links,
                     self._previous,
@@ -175,7 +175,7 @@
                     self.depose,
                     _now,
                 )
-                intake = MessageHandler(parts, self.epoch, tasks)
+                intake = MessageHandler(dependencies, self.epoch, tasks)
                 jobs_revision = await self._load(intake, tasks)
                 self._heap.loaded()
                 await self._survey_all(intake)
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -90,17 +90,17 @@
         What previous owners kept of jobs that are not taken in yet.
     """
 
-    def __init__(self, parts: HandlerDependencies, epoch: int, tasks: TaskGroup) -> None:
+    def __init__(self, dependencies: HandlerDependencies, epoch: int, tasks: TaskGroup) -> None:
         """Start with nothing taken in."""
         self.progress_by_id: dict[str, JobProgress] = {}
         self.assignments_by_id: AssignmentsById = {}
-        self._scheduler = parts.scheduler
-        self._links = parts.links
-        self._previous = parts.previous
-        self._unserved = parts.unserved
-        self._held_starts = parts.held_starts
-        self._deposed = parts.deposed
-        self._now = parts.now
+        self._scheduler = dependencies.scheduler
+        self._links = dependencies.links
+        self._previous = dependencies.previous
+        self._unserved = dependencies.unserved
+        self._held_starts = dependencies.held_starts
+        self._deposed = dependencies.deposed
+        self._now = dependencies.now
         self._epoch = epoch
         self._tasks = tasks
 
