--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -159,16 +159,16 @@
     @handle.register
     def _(self, message: WorkerListed) -> None:
         self._links.keep_entry(message)
-        known = self._links.named(message.incarnation.name)
-        if known is not None and not message.incarnation.may_be(known.incarnation):
+        known_link = self._links.named(message.incarnation.name)
+        if known_link is not None and not message.incarnation.may_be(known_link.incarnation):
             log_event(
-                'worker_entry_put_off', worker=known.incarnation.worker_id, entry_of=message.incarnation.worker_id
+                'worker_entry_put_off', worker=known_link.incarnation.worker_id, entry_of=message.incarnation.worker_id
             )
-            self._scheduler.unlist_worker(known.incarnation.worker_id)
-            known.look_again()
+            self._scheduler.unlist_worker(known_link.incarnation.worker_id)
+            known_link.look_again()
             return
-        if known is not None:
-            message = message.of(known.incarnation)
+        if known_link is not None:
+            message = message.of(known_link.incarnation)
         profile = message.profile
         is_known = profile.worker_id in self._scheduler.worker_by_id
         if not is_known and self._unserved.sets_aside(message):
