--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -99,7 +99,7 @@
         self._previous = dependencies.previous
         self._unserved = dependencies.unserved
         self._held_starts = dependencies.held_starts
-        self._deposed = dependencies.deposed
+        self._on_deposed = dependencies.deposed
         self._now = dependencies.now
         self._epoch = epoch
         self._tasks = tasks
@@ -119,7 +119,7 @@
         if message.owner_epoch > self._epoch:
             # Its acceptor knew a newer owner, which may have started it.
             log_event('owner_outdated', job=message.spec.job_id, epoch=self._epoch, newer=message.owner_epoch)
-            self._deposed()
+            self._on_deposed()
             return
         job_id = message.spec.job_id
         assignments = self.assignments_by_id.get(job_id)
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -158,7 +158,7 @@
         self._mark = mark
         self._kept = kept
         self._shown = shown
-        self._deposed = deposed
+        self._on_deposed = deposed
 
     def offer_roster(self, roster: list[RosterEntry]) -> int:
         """Have a roster kept in place of the one before; return its number."""
@@ -269,7 +269,7 @@
                 self._note_revision(change.key, present.get(change.key, 0))
             raise ProgressMovedError(f'{len(batch)} keys')
         log_event('progress_refused', status=outcome.status, epoch=self._epoch)
-        self._deposed()
+        self._on_deposed()
         return False
 
     def _revision(self, key: str) -> int:
