--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -211,7 +211,7 @@
         # A silent worker may run jobs of previous owners until its lease ends, which the
         # previous owner may have given while its authority lasted.
         lease_s = self._settings.own.ownership.lease_s + self._settings.bounds.max_hold_s
-        self._previous.may_last(lease_s, steady_s())
+        self._previous.set_lease_bound(lease_s, steady_s())
         for number, item in enumerate(sorted(kept.jobs.items, key=lambda each: len(each.key))):
             intake.handle_all(job_messages(item))
             if number % _LOAD_BATCH_SIZE == 0:
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -37,7 +37,7 @@
         """Whether some worker has yet to say what runs there."""
         return bool(self._unreported)
 
-    def may_last(self, hold_s: float, now_s: float) -> None:
+    def set_lease_bound(self, hold_s: float, now_s: float) -> None:
         """Note that a silent worker may run jobs of previous owners until a lease from now has ended."""
         self._until_s = now_s + hold_s * _SLOWEST_CLOCK
 
