--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -243,7 +243,7 @@
             with anyio.move_on_after(deadline_s - steady_s()):
                 intake.handle(await self._receive.receive())
             self._drain_inbox(intake)
-        self._previous.go_on()
+        self._previous.finish_survey()
 
     async def _run_passes(self, intake: MessageHandler) -> None:
         while True:
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -57,7 +57,7 @@
         workers = self._scheduler.worker_by_id.values()
         self._unreported = {worker.worker_id for worker in workers if not worker.is_surveyed and not worker.is_lapsed}
 
-    def go_on(self) -> None:
+    def finish_survey(self) -> None:
         """Let jobs of previous owners start, or have them wait for the workers that are silent."""
         if not self._unreported:
             self._go_on_with_all()
