--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -237,7 +237,7 @@
         Jobs accepted before this owner wait for the others, each until it answers or
         its lease has ended; later ones can't run there.
         """
-        self._previous.expect_workers()
+        self._previous.start_survey()
         deadline_s = steady_s() + _TAKEOVER_SURVEY_TIMEOUT_S
         while self._previous.has_unreported and steady_s() < deadline_s:
             with anyio.move_on_after(deadline_s - steady_s()):
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -52,7 +52,7 @@
             return 0.0
         return self._until_s
 
-    def expect_workers(self) -> None:
+    def start_survey(self) -> None:
         """Wait for every worker that has not reported yet and may run something."""
         workers = self._scheduler.worker_by_id.values()
         self._unreported = {worker.worker_id for worker in workers if not worker.is_surveyed and not worker.is_lapsed}
