--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -60,7 +60,7 @@
     def finish_survey(self) -> None:
         """Let jobs of previous owners start, or have them wait for the workers that are silent."""
         if not self._unreported:
-            self._go_on_with_all()
+            self._release_jobs()
             return
         silent = [self._scheduler.worker_by_id[worker_id] for worker_id in sorted(self._unreported)]
         log_event(
@@ -87,8 +87,8 @@
         self._unreported.discard(worker_id)
         if not self._unreported:
             log_event('takeover_complete', epoch=self._epoch)
-            self._go_on_with_all()
+            self._release_jobs()
 
-    def _go_on_with_all(self) -> None:
+    def _release_jobs(self) -> None:
         self._have_all_reported = True
         self._scheduler.all_workers_reported()
