--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -247,7 +247,7 @@
         predecessor = self._scheduler.worker_by_id.get(message.worker_id)
         link = self._links.get(message.worker_id)
         if predecessor is not None and link is not None:
-            self._previous.replaced(message.successor.worker_id)
+            self._previous.on_worker_replaced(message.successor.worker_id)
             # Its tasks whose start is unacknowledged are not started elsewhere before the successor has reported what
             # runs there.
             late_until_s = self._now().steady_s + self._links.longest_late_s
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -72,7 +72,7 @@
         for worker in silent:
             worker.lease.assume(self._until_s)
 
-    def replaced(self, worker_id: str) -> None:
+    def on_worker_replaced(self, worker_id: str) -> None:
         """Take in that another incarnation of a worker has begun: it has yet to say what runs there.
 
         It knows no owner before it has answered this one, and may have taken orders of the previous owner.
