--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -222,7 +222,7 @@
         worker = self._scheduler.worker_by_id.get(message.worker_id)
         if link is not None and worker is not None:
             link.is_overfull = worker.is_overfull
-        self._previous.reported(message.worker_id)
+        self._previous.on_worker_reported(message.worker_id)
         predecessor = self._links.take_predecessor(message.worker_id)
         if predecessor is not None:
             self.handle(WorkerOver(predecessor))
@@ -238,7 +238,7 @@
         self._drop_held_starts(message.worker_id)
         self._scheduler.worker_over(message.worker_id, self._now())
         self._links.close(message.worker_id)
-        self._previous.reported(message.worker_id)
+        self._previous.on_worker_reported(message.worker_id)
 
     @handle.register
     def _(self, message: WorkerReplaced) -> None:
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -80,7 +80,7 @@
         if not self._have_all_reported:
             self._unreported.add(worker_id)
 
-    def reported(self, worker_id: str) -> None:
+    def on_worker_reported(self, worker_id: str) -> None:
         """Take in that a worker has said what runs there, or is over."""
         if worker_id not in self._unreported:
             return
