--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -184,7 +184,7 @@
                     'owner_ready',
                     epoch=self.epoch,
                     jobs=len(self.scheduler.job_by_id),
-                    knows_assignments=self._previous.is_recorded,
+                    knows_assignments=self._previous.knows_all_assignments,
                 )
                 tasks.start_soon(follow_jobs, self._feed, jobs_revision)
                 tasks.start_soon(self._recorder.run)
@@ -204,8 +204,8 @@
         tasks.start_soon(self._workers_feed.run, workers.entries.revision)
         kept = await read_jobs(self._store, self._settings.timing)
         intake.progress_by_id = kept.progress_by_id
-        self._previous.is_recorded = keeps_assignments(workers, kept)
-        if self._previous.is_recorded:
+        self._previous.knows_all_assignments = keeps_assignments(workers, kept)
+        if self._previous.knows_all_assignments:
             intake.assignments_by_id = kept.assignments_by_id
         self._recorder.revision_by_key = workers.revision_by_key | kept.revision_by_key
         # A silent worker may run jobs of previous owners until its lease ends, which the
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -28,7 +28,7 @@
         self._until_s = 0.0
         self._unreported: set[str] = set()
         # Whether previous owners sent no start whose assignment the store does not hold.
-        self.is_recorded = False
+        self.knows_all_assignments = False
         # Workers take no orders of previous owners once they have answered this one.
         self._have_all_reported = False
 
@@ -48,7 +48,7 @@
         owner's claim does not tell: for some time instances know the previous owner, tell
         it of jobs, and it starts them.
         """
-        if self.is_recorded or owner_epoch == self._epoch or self._have_all_reported:
+        if self.knows_all_assignments or owner_epoch == self._epoch or self._have_all_reported:
             return 0.0
         return self._until_s
 
