--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -5,7 +5,7 @@
 from ..logs import log_event
 
 # Share by which the slowest worker's clock prolongs a lease, and rounding.
-_SLOWEST_CLOCK = 1.03
+_MAX_CLOCK_DRIFT_FACTOR = 1.03
 
 
 class PreviousWork:
@@ -39,7 +39,7 @@
 
     def set_lease_bound(self, hold_s: float, now_s: float) -> None:
         """Note that a silent worker may run jobs of previous owners until a lease from now has ended."""
-        self._until_s = now_s + hold_s * _SLOWEST_CLOCK
+        self._until_s = now_s + hold_s * _MAX_CLOCK_DRIFT_FACTOR
 
     def not_before_s(self, owner_epoch: int) -> float:
         """Return from when a job may start, steady clock: at once if it is known where previous owners assigned it.
