--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -30,7 +30,7 @@
         # Whether previous owners sent no start whose assignment the store does not hold.
         self.knows_all_assignments = False
         # Workers take no orders of previous owners once they have answered this one.
-        self._have_all_reported = False
+        self._all_workers_reported = False
 
     @property
     def has_unreported(self) -> bool:
@@ -48,7 +48,7 @@
         owner's claim does not tell: for some time instances know the previous owner, tell
         it of jobs, and it starts them.
         """
-        if self.knows_all_assignments or owner_epoch == self._epoch or self._have_all_reported:
+        if self.knows_all_assignments or owner_epoch == self._epoch or self._all_workers_reported:
             return 0.0
         return self._until_s
 
@@ -77,7 +77,7 @@
 
         It knows no owner before it has answered this one, and may have taken orders of the previous owner.
         """
-        if not self._have_all_reported:
+        if not self._all_workers_reported:
             self._unreported.add(worker_id)
 
     def on_worker_reported(self, worker_id: str) -> None:
@@ -90,5 +90,5 @@
             self._release_jobs()
 
     def _release_jobs(self) -> None:
-        self._have_all_reported = True
+        self._all_workers_reported = True
         self._scheduler.all_workers_reported()
