--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -25,7 +25,7 @@
         self._scheduler = scheduler
         self._epoch = epoch
         # When leases that previous owners gave have ended at the latest, steady clock.
-        self._until_s = 0.0
+        self._leases_end_s = 0.0
         self._unreported: set[str] = set()
         # Whether previous owners sent no start whose assignment the store does not hold.
         self.knows_all_assignments = False
@@ -39,7 +39,7 @@
 
     def set_lease_bound(self, hold_s: float, now_s: float) -> None:
         """Note that a silent worker may run jobs of previous owners until a lease from now has ended."""
-        self._until_s = now_s + hold_s * _MAX_CLOCK_DRIFT_FACTOR
+        self._leases_end_s = now_s + hold_s * _MAX_CLOCK_DRIFT_FACTOR
 
     def not_before_s(self, owner_epoch: int) -> float:
         """Return from when a job may start, steady clock: at once if it is known where previous owners assigned it.
@@ -50,7 +50,7 @@
         """
         if self.knows_all_assignments or owner_epoch == self._epoch or self._all_workers_reported:
             return 0.0
-        return self._until_s
+        return self._leases_end_s
 
     def start_survey(self) -> None:
         """Wait for every worker that has not reported yet and may run something."""
@@ -67,10 +67,10 @@
             'takeover_incomplete',
             silent=[worker.worker_id for worker in silent],
             assigned_runs=sum(len(worker.run_by_key) for worker in silent),
-            until_s=self._until_s,
+            until_s=self._leases_end_s,
         )
         for worker in silent:
-            worker.lease.assume(self._until_s)
+            worker.lease.assume(self._leases_end_s)
 
     def on_worker_replaced(self, worker_id: str) -> None:
         """Take in that another incarnation of a worker has begun: it has yet to say what runs there.
