--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -39,7 +39,7 @@
 # Ends of tasks that come within this time share a transaction, in seconds; they
 # are owed their acknowledgement 0.1 s after they were listed. The end of a job is
 # waited for by its owner and kept at once.
-_GATHER_S = 0.03
+_BATCH_DELAY_S = 0.03
 # Changes of one transaction: each brings a condition on its own key, beside the
 # one on the owner's key.
 _MOST_CHANGES = (MAX_TRANSACTION_ENTRIES - 1) // 2
@@ -174,7 +174,7 @@
                 await self.needed.wait()
             self.needed = anyio.Event()
             if not (self._starts or self._scheduler.has_ends_to_keep):
-                await anyio.sleep(_GATHER_S)
+                await anyio.sleep(_BATCH_DELAY_S)
             await self._keep_once()
 
     async def clean(self, status_s: float, wall_s: Callable[[], float]) -> None:
