--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -42,7 +42,7 @@
 _BATCH_DELAY_S = 0.03
 # Changes of one transaction: each brings a condition on its own key, beside the
 # one on the owner's key.
-_MOST_CHANGES = (MAX_TRANSACTION_ENTRIES - 1) // 2
+_MAX_CHANGES_PER_TRANSACTION = (MAX_TRANSACTION_ENTRIES - 1) // 2
 # Longest time that an assignment whose run has ended stays in the store, in seconds: a next
 # owner would wait for its worker if that is silent.
 _TAKE_BACK_S = 0.5
@@ -201,8 +201,8 @@
         # Jobs come first: a worker is taken off the roster only once nothing says that a task runs there.
         changes = [*self._job_changes(unkept), *roster]
         try:
-            for first in range(0, len(changes), _MOST_CHANGES):
-                batch = changes[first : first + _MOST_CHANGES]
+            for first in range(0, len(changes), _MAX_CHANGES_PER_TRANSACTION):
+                batch = changes[first : first + _MAX_CHANGES_PER_TRANSACTION]
                 if not await self._commit(batch):
                     return
                 self._note_kept(batch, unkept)
