--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -45,7 +45,7 @@
 _MAX_CHANGES_PER_TRANSACTION = (MAX_TRANSACTION_ENTRIES - 1) // 2
 # Longest time that an assignment whose run has ended stays in the store, in seconds: a next
 # owner would wait for its worker if that is silent.
-_TAKE_BACK_S = 0.5
+_MAX_FLUSH_INTERVAL_S = 0.5
 # Keys that the list of workers is spread over: a worker that changes costs what 44
 # of 1,400 take, 6 KB, and not 196.
 _ROSTER_PARTS = 32
@@ -170,7 +170,7 @@
     async def run(self) -> None:
         """Keep what has changed, again and again, until cancelled."""
         while True:
-            with anyio.move_on_after(_TAKE_BACK_S):
+            with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
                 await self.needed.wait()
             self.needed = anyio.Event()
             if not (self._starts or self._scheduler.has_ends_to_keep):
