--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -50,7 +50,7 @@
 # of 1,400 take, 6 KB, and not 196.
 _ROSTER_PARTS = 32
 # Jobs removed in one transaction: each has a record, a cancellation and progress.
-_MOST_REMOVED = (MAX_TRANSACTION_ENTRIES - 1) // 3
+_MAX_JOBS_PER_REMOVAL = (MAX_TRANSACTION_ENTRIES - 1) // 3
 # How often jobs that ended long ago are removed, in seconds.
 _CLEAN_EVERY_S = 30.0
 # Kept longer than promised, since clocks differ.
@@ -186,8 +186,8 @@
     async def remove_ended(self, before_wall_s: float) -> None:
         """Remove the jobs that ended before a time, many in one transaction."""
         old = self._scheduler.ended_before(before_wall_s)
-        for first in range(0, len(old), _MOST_REMOVED):
-            await self._remove(old[first : first + _MOST_REMOVED])
+        for first in range(0, len(old), _MAX_JOBS_PER_REMOVAL):
+            await self._remove(old[first : first + _MAX_JOBS_PER_REMOVAL])
 
     async def _keep_once(self) -> None:
         mark = self._mark()
