--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -52,7 +52,7 @@
 # Jobs removed in one transaction: each has a record, a cancellation and progress.
 _MAX_JOBS_PER_REMOVAL = (MAX_TRANSACTION_ENTRIES - 1) // 3
 # How often jobs that ended long ago are removed, in seconds.
-_CLEAN_EVERY_S = 30.0
+_CLEANUP_INTERVAL_S = 30.0
 # Kept longer than promised, since clocks differ.
 _STATUS_SLACK_S = 30.0
 
@@ -180,7 +180,7 @@
     async def clean(self, status_s: float, wall_s: Callable[[], float]) -> None:
         """Remove jobs that ended long ago, again and again, until cancelled."""
         while True:
-            await anyio.sleep(_CLEAN_EVERY_S)
+            await anyio.sleep(_CLEANUP_INTERVAL_S)
             await self.remove_ended(wall_s() - status_s - _STATUS_SLACK_S)
 
     async def remove_ended(self, before_wall_s: float) -> None:
