--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -54,7 +54,7 @@
 # How often jobs that ended long ago are removed, in seconds.
 _CLEANUP_INTERVAL_S = 30.0
 # Kept longer than promised, since clocks differ.
-_STATUS_SLACK_S = 30.0
+_RETENTION_MARGIN_S = 30.0
 
 
 class ProgressMovedError(DahliaarchError):
@@ -181,7 +181,7 @@
         """Remove jobs that ended long ago, again and again, until cancelled."""
         while True:
             await anyio.sleep(_CLEANUP_INTERVAL_S)
-            await self.remove_ended(wall_s() - status_s - _STATUS_SLACK_S)
+            await self.remove_ended(wall_s() - status_s - _RETENTION_MARGIN_S)
 
     async def remove_ended(self, before_wall_s: float) -> None:
         """Remove the jobs that ended before a time, many in one transaction."""
