--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -57,7 +57,7 @@
 _RETENTION_MARGIN_S = 30.0
 
 
-class ProgressMovedError(DahliaarchError):
+class RevisionConflictError(DahliaarchError):
     """Keys stand at other revisions than was known: a write was carried out late."""
 
 
@@ -208,7 +208,7 @@
                 self._note_kept(batch, unkept)
                 if not roster:
                     self._release(unkept, [change.part for change in batch if change.part])
-        except ProgressMovedError as error:
+        except RevisionConflictError as error:
             log_event('progress_moved', why=str(error), jobs=len(unkept.job_ids))
             self._keep_again(unkept, changes)
             return
@@ -267,7 +267,7 @@
             # An earlier write without an answer has been carried out meanwhile.
             for change in batch:
                 self._note_revision(change.key, present.get(change.key, 0))
-            raise ProgressMovedError(f'{len(batch)} keys')
+            raise RevisionConflictError(f'{len(batch)} keys')
         log_event('progress_refused', status=outcome.status, epoch=self._epoch)
         self._on_deposed()
         return False
