--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -69,7 +69,7 @@
     part: AssignmentsPart | None = None
 
 
-class _Unkept(NamedTuple):
+class _PendingChanges(NamedTuple):
     """What is to be kept of jobs.
 
     Parameters
@@ -191,7 +191,7 @@
 
     async def _keep_once(self) -> None:
         mark = self._mark()
-        unkept = _Unkept(
+        unkept = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
             self._scheduler.assignments.take_unkept(),
             self._starts.runs_by_part(),
@@ -221,12 +221,12 @@
         self._release(unkept, tuple(unkept.runs_by_part))
         self._kept(mark)
 
-    def _release(self, unkept: _Unkept, parts: Iterable[AssignmentsPart]) -> None:
+    def _release(self, unkept: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
         """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
         for part in parts:
             self._starts.release(unkept.runs_by_part.pop(part, ()))
 
-    def _keep_again(self, unkept: _Unkept, changes: Iterable[_Change]) -> None:
+    def _keep_again(self, unkept: _PendingChanges, changes: Iterable[_Change]) -> None:
         """Have what was not kept written again: a write without an answer may yet be carried out."""
         for change in changes:
             self._kept_part_by_key.pop(change.key, None)
@@ -234,7 +234,7 @@
         self._scheduler.assignments.mark_unkept(unkept.parts)
         self.needed.set()
 
-    def _note_kept(self, batch: Iterable[_Change], unkept: _Unkept) -> None:
+    def _note_kept(self, batch: Iterable[_Change], unkept: _PendingChanges) -> None:
         """Note what is kept now: it is not written again when a later transaction fails, and ends may be shown."""
         for change in batch:
             if change.part is not None:
@@ -244,7 +244,7 @@
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
                 self._kept_part_by_key[change.key] = change.value
 
-    def _note_progress(self, job_id: str, unkept: _Unkept) -> None:
+    def _note_progress(self, job_id: str, unkept: _PendingChanges) -> None:
         unkept.job_ids.discard(job_id)
         if self._scheduler.mark_kept(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
@@ -282,7 +282,7 @@
         else:
             self.revision_by_key.pop(key, None)
 
-    def _job_changes(self, unkept: _Unkept) -> Iterator[_Change]:
+    def _job_changes(self, unkept: _PendingChanges) -> Iterator[_Change]:
         """Yield what is to be kept of jobs: of each its progress, then where its tasks are assigned."""
         parts_by_job = unkept.parts_by_job()
         for job_id in unkept.ordered_ids():
