--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -191,7 +191,7 @@
 
     async def _keep_once(self) -> None:
         mark = self._mark()
-        unkept = _PendingChanges(
+        pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
             self._scheduler.assignments.take_unkept(),
             self._starts.runs_by_part(),
@@ -199,53 +199,53 @@
         roster_number = self._roster_number
         roster = self._roster_changes()
         # Jobs come first: a worker is taken off the roster only once nothing says that a task runs there.
-        changes = [*self._job_changes(unkept), *roster]
+        changes = [*self._job_changes(pending), *roster]
         try:
             for first in range(0, len(changes), _MAX_CHANGES_PER_TRANSACTION):
                 batch = changes[first : first + _MAX_CHANGES_PER_TRANSACTION]
                 if not await self._commit(batch):
                     return
-                self._note_kept(batch, unkept)
+                self._note_kept(batch, pending)
                 if not roster:
-                    self._release(unkept, [change.part for change in batch if change.part])
+                    self._release(pending, [change.part for change in batch if change.part])
         except RevisionConflictError as error:
-            log_event('progress_moved', why=str(error), jobs=len(unkept.job_ids))
-            self._keep_again(unkept, changes)
+            log_event('progress_moved', why=str(error), jobs=len(pending.job_ids))
+            self._keep_again(pending, changes)
             return
         except STORE_FAILURES as error:
-            log_event('progress_not_kept', why=str(error), jobs=len(unkept.job_ids), starts=len(self._starts))
-            self._keep_again(unkept, changes)
+            log_event('progress_not_kept', why=str(error), jobs=len(pending.job_ids), starts=len(self._starts))
+            self._keep_again(pending, changes)
             await anyio.sleep(self._timing.retry_pause_s())
             return
         self.kept_roster_number = roster_number
-        self._release(unkept, tuple(unkept.runs_by_part))
+        self._release(pending, tuple(pending.runs_by_part))
         self._kept(mark)
 
-    def _release(self, unkept: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
+    def _release(self, pending: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
         """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
         for part in parts:
-            self._starts.release(unkept.runs_by_part.pop(part, ()))
+            self._starts.release(pending.runs_by_part.pop(part, ()))
 
-    def _keep_again(self, unkept: _PendingChanges, changes: Iterable[_Change]) -> None:
+    def _keep_again(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
         """Have what was not kept written again: a write without an answer may yet be carried out."""
         for change in changes:
             self._kept_part_by_key.pop(change.key, None)
-        self._scheduler.mark_dirty(unkept.job_ids)
-        self._scheduler.assignments.mark_unkept(unkept.parts)
+        self._scheduler.mark_dirty(pending.job_ids)
+        self._scheduler.assignments.mark_unkept(pending.parts)
         self.needed.set()
 
-    def _note_kept(self, batch: Iterable[_Change], unkept: _PendingChanges) -> None:
+    def _note_kept(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
         """Note what is kept now: it is not written again when a later transaction fails, and ends may be shown."""
         for change in batch:
             if change.part is not None:
-                unkept.parts.discard(change.part)
+                pending.parts.discard(change.part)
             elif change.key.startswith(PROGRESS_PREFIX):
-                self._note_progress(job_id_of(change.key), unkept)
+                self._note_progress(job_id_of(change.key), pending)
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
                 self._kept_part_by_key[change.key] = change.value
 
-    def _note_progress(self, job_id: str, unkept: _PendingChanges) -> None:
-        unkept.job_ids.discard(job_id)
+    def _note_progress(self, job_id: str, pending: _PendingChanges) -> None:
+        pending.job_ids.discard(job_id)
         if self._scheduler.mark_kept(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
             self._shown(job_id)
@@ -282,14 +282,14 @@
         else:
             self.revision_by_key.pop(key, None)
 
-    def _job_changes(self, unkept: _PendingChanges) -> Iterator[_Change]:
+    def _job_changes(self, pending: _PendingChanges) -> Iterator[_Change]:
         """Yield what is to be kept of jobs: of each its progress, then where its tasks are assigned."""
-        parts_by_job = unkept.parts_by_job()
-        for job_id in unkept.ordered_ids():
+        parts_by_job = pending.parts_by_job()
+        for job_id in pending.ordered_ids():
             job = self._scheduler.job_by_id.get(job_id)
             if job is None:
                 continue
-            if job_id in unkept.job_ids:
+            if job_id in pending.job_ids:
                 yield _Change(progress_key(job_id), encode(job.progress()))
             parts = parts_by_job.get(job_id, [])
             yield from self._part_changes(self._kept_parts(job) if job.has_ended else parts)
