--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -175,7 +175,7 @@
             self.needed = anyio.Event()
             if not (self._starts or self._scheduler.has_ends_to_keep):
                 await anyio.sleep(_BATCH_DELAY_S)
-            await self._keep_once()
+            await self._flush()
 
     async def clean(self, status_s: float, wall_s: Callable[[], float]) -> None:
         """Remove jobs that ended long ago, again and again, until cancelled."""
@@ -189,7 +189,7 @@
         for first in range(0, len(old), _MAX_JOBS_PER_REMOVAL):
             await self._remove(old[first : first + _MAX_JOBS_PER_REMOVAL])
 
-    async def _keep_once(self) -> None:
+    async def _flush(self) -> None:
         mark = self._mark()
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
