--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -210,11 +210,11 @@
                     self._release(pending, [change.part for change in batch if change.part])
         except RevisionConflictError as error:
             log_event('progress_moved', why=str(error), jobs=len(pending.job_ids))
-            self._keep_again(pending, changes)
+            self._requeue(pending, changes)
             return
         except STORE_FAILURES as error:
             log_event('progress_not_kept', why=str(error), jobs=len(pending.job_ids), starts=len(self._starts))
-            self._keep_again(pending, changes)
+            self._requeue(pending, changes)
             await anyio.sleep(self._timing.retry_pause_s())
             return
         self.kept_roster_number = roster_number
@@ -226,7 +226,7 @@
         for part in parts:
             self._starts.release(pending.runs_by_part.pop(part, ()))
 
-    def _keep_again(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
+    def _requeue(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
         """Have what was not kept written again: a write without an answer may yet be carried out."""
         for change in changes:
             self._kept_part_by_key.pop(change.key, None)
