--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -205,7 +205,7 @@
                 batch = changes[first : first + _MAX_CHANGES_PER_TRANSACTION]
                 if not await self._commit(batch):
                     return
-                self._note_kept(batch, pending)
+                self._mark_persisted(batch, pending)
                 if not roster:
                     self._release(pending, [change.part for change in batch if change.part])
         except RevisionConflictError as error:
@@ -234,7 +234,7 @@
         self._scheduler.assignments.mark_unkept(pending.parts)
         self.needed.set()
 
-    def _note_kept(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
+    def _mark_persisted(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
         """Note what is kept now: it is not written again when a later transaction fails, and ends may be shown."""
         for change in batch:
             if change.part is not None:
