--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -240,11 +240,11 @@
             if change.part is not None:
                 pending.parts.discard(change.part)
             elif change.key.startswith(PROGRESS_PREFIX):
-                self._note_progress(job_id_of(change.key), pending)
+                self._mark_progress_persisted(job_id_of(change.key), pending)
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
                 self._kept_part_by_key[change.key] = change.value
 
-    def _note_progress(self, job_id: str, pending: _PendingChanges) -> None:
+    def _mark_progress_persisted(self, job_id: str, pending: _PendingChanges) -> None:
         pending.job_ids.discard(job_id)
         if self._scheduler.mark_kept(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
