--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -260,13 +260,13 @@
         )
         if outcome.status is CommitStatus.DONE:
             for change in batch:
-                self._note_revision(change.key, 0 if change.value is None else outcome.revision)
+                self._record_revision(change.key, 0 if change.value is None else outcome.revision)
             return True
         present = {item.key: item.revision for item in outcome.current}
         if present.get(OWNER_KEY) == self._epoch:
             # An earlier write without an answer has been carried out meanwhile.
             for change in batch:
-                self._note_revision(change.key, present.get(change.key, 0))
+                self._record_revision(change.key, present.get(change.key, 0))
             raise RevisionConflictError(f'{len(batch)} keys')
         log_event('progress_refused', status=outcome.status, epoch=self._epoch)
         self._on_deposed()
@@ -275,7 +275,7 @@
     def _revision(self, key: str) -> int:
         return self.revision_by_key.get(key, 0)
 
-    def _note_revision(self, key: str, revision: int) -> None:
+    def _record_revision(self, key: str, revision: int) -> None:
         """Note at which revision a key stands; 0 for one that is gone."""
         if revision:
             self.revision_by_key[key] = revision
