--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -196,7 +196,7 @@
             self._scheduler.assignments.take_unkept(),
             self._starts.runs_by_part(),
         )
-        roster_number = self._roster_number
+        roster_version = self._roster_number
         roster = self._roster_changes()
         # Jobs come first: a worker is taken off the roster only once nothing says that a task runs there.
         changes = [*self._job_changes(pending), *roster]
@@ -217,7 +217,7 @@
             self._requeue(pending, changes)
             await anyio.sleep(self._timing.retry_pause_s())
             return
-        self.kept_roster_number = roster_number
+        self.kept_roster_number = roster_version
         self._release(pending, tuple(pending.runs_by_part))
         self._kept(mark)
 
