--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -145,7 +145,7 @@
         # a newer one of the same owner, fails on them.
         self.revision_by_key: dict[str, int] = {}
         self._encoded_roster: list[RosterEntry] = []
-        self._roster_number = 0
+        self._roster_version = 0
         # Number of the latest roster that the store surely holds.
         self.kept_roster_number = 0
         self._part_by_key: dict[str, bytes] = {}
@@ -163,9 +163,9 @@
     def offer_roster(self, roster: list[RosterEntry]) -> int:
         """Have a roster kept in place of the one before; return its number."""
         self.roster = roster
-        self._roster_number += 1
+        self._roster_version += 1
         self.needed.set()
-        return self._roster_number
+        return self._roster_version
 
     async def run(self) -> None:
         """Keep what has changed, again and again, until cancelled."""
@@ -196,7 +196,7 @@
             self._scheduler.assignments.take_unkept(),
             self._starts.runs_by_part(),
         )
-        roster_version = self._roster_number
+        roster_version = self._roster_version
         roster = self._roster_changes()
         # Jobs come first: a worker is taken off the roster only once nothing says that a task runs there.
         changes = [*self._job_changes(pending), *roster]
