--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -286,7 +286,7 @@
         roster = self._links.roster(self.scheduler.worker_by_id)
         if roster != self._recorder.roster:
             self._links.note_offered(roster, self._recorder.offer_roster(roster))
-        self._links.readmit(self.scheduler.worker_by_id, self._recorder.kept_roster_number)
+        self._links.readmit(self.scheduler.worker_by_id, self._recorder.persisted_roster_version)
 
     def _drain_inbox(self, intake: MessageHandler) -> None:
         while True:
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -147,7 +147,7 @@
         self._encoded_roster: list[RosterEntry] = []
         self._roster_version = 0
         # Number of the latest roster that the store surely holds.
-        self.kept_roster_number = 0
+        self.persisted_roster_version = 0
         self._part_by_key: dict[str, bytes] = {}
         self._kept_part_by_key: dict[str, bytes] = {}
         self._store = store
@@ -217,7 +217,7 @@
             self._requeue(pending, changes)
             await anyio.sleep(self._timing.retry_pause_s())
             return
-        self.kept_roster_number = roster_version
+        self.persisted_roster_version = roster_version
         self._release(pending, tuple(pending.runs_by_part))
         self._kept(mark)
 
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -211,7 +211,7 @@
                 number = recorder.offer_roster(roster)
                 store.commits = 0 if roster is second else 1
                 await anyio.sleep(0.05 if roster is second else 0.5)
-            assert recorder.kept_roster_number == number
+            assert recorder.persisted_roster_version == number
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
