--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -160,7 +160,7 @@
         self._shown = shown
         self._on_deposed = deposed
 
-    def offer_roster(self, roster: list[RosterEntry]) -> int:
+    def set_roster(self, roster: list[RosterEntry]) -> int:
         """Have a roster kept in place of the one before; return its number."""
         self.roster = roster
         self._roster_version += 1
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -208,7 +208,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(recorder.run)
             for roster in (first, second, list(first)):
-                number = recorder.offer_roster(roster)
+                number = recorder.set_roster(roster)
                 store.commits = 0 if roster is second else 1
                 await anyio.sleep(0.05 if roster is second else 0.5)
             assert recorder.persisted_roster_version == number
