--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -149,7 +149,7 @@
         # Number of the latest roster that the store surely holds.
         self.persisted_roster_version = 0
         self._part_by_key: dict[str, bytes] = {}
-        self._kept_part_by_key: dict[str, bytes] = {}
+        self._persisted_part_by_key: dict[str, bytes] = {}
         self._store = store
         self._timing = timing
         self._scheduler = scheduler
@@ -229,7 +229,7 @@
     def _requeue(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
         """Have what was not kept written again: a write without an answer may yet be carried out."""
         for change in changes:
-            self._kept_part_by_key.pop(change.key, None)
+            self._persisted_part_by_key.pop(change.key, None)
         self._scheduler.mark_dirty(pending.job_ids)
         self._scheduler.assignments.mark_unkept(pending.parts)
         self.needed.set()
@@ -242,7 +242,7 @@
             elif change.key.startswith(PROGRESS_PREFIX):
                 self._mark_progress_persisted(job_id_of(change.key), pending)
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
-                self._kept_part_by_key[change.key] = change.value
+                self._persisted_part_by_key[change.key] = change.value
 
     def _mark_progress_persisted(self, job_id: str, pending: _PendingChanges) -> None:
         pending.job_ids.discard(job_id)
@@ -315,7 +315,7 @@
             self._part_by_key = self._roster_parts()
             self._encoded_roster = self.roster
         parts = sorted(self._part_by_key.items())
-        changes = [_Change(key, part) for key, part in parts if part != self._kept_part_by_key.get(key)]
+        changes = [_Change(key, part) for key, part in parts if part != self._persisted_part_by_key.get(key)]
         if changes:
             changes.append(_Change(ASSIGNER_KEY, encode(self._epoch)))
         return changes
