--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -292,7 +292,7 @@
             if job_id in pending.job_ids:
                 yield _Change(progress_key(job_id), encode(job.progress()))
             parts = parts_by_job.get(job_id, [])
-            yield from self._part_changes(self._kept_parts(job) if job.has_ended else parts)
+            yield from self._part_changes(self._stored_parts(job) if job.has_ended else parts)
 
     def _part_changes(self, parts: Iterable[AssignmentsPart]) -> Iterator[_Change]:
         """Yield changes of assignments; where nothing is assigned any more, nothing is kept."""
@@ -304,7 +304,7 @@
             elif self._revision(key):
                 yield _Change(key, None, part)
 
-    def _kept_parts(self, job: JobState) -> list[AssignmentsPart]:
+    def _stored_parts(self, job: JobState) -> list[AssignmentsPart]:
         """Return the parts of a job that the store holds, as far as is known."""
         parts = (part for step in job.step_by_key.values() for part in parts_of(step))
         return [part for part in parts if self._revision(assignments_key(part))]
