--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -292,9 +292,9 @@
             if job_id in pending.job_ids:
                 yield _Change(progress_key(job_id), encode(job.progress()))
             parts = parts_by_job.get(job_id, [])
-            yield from self._part_changes(self._stored_parts(job) if job.has_ended else parts)
+            yield from self._assignment_changes(self._stored_parts(job) if job.has_ended else parts)
 
-    def _part_changes(self, parts: Iterable[AssignmentsPart]) -> Iterator[_Change]:
+    def _assignment_changes(self, parts: Iterable[AssignmentsPart]) -> Iterator[_Change]:
         """Yield changes of assignments; where nothing is assigned any more, nothing is kept."""
         for part in parts:
             key = assignments_key(part)
