--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -265,7 +265,7 @@
         if self._may_order():
             self._decide_and_order()
         if self.scheduler.has_dirty_jobs or self._links.has_unkept_ends or self._effects.held_starts:
-            self._recorder.needed.set()
+            self._recorder.flush_requested.set()
         self._update_roster()
 
     def _decide_and_order(self) -> None:
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -139,7 +139,7 @@
         deposed: Callable[[], None],
     ) -> None:
         """Start with nothing to keep."""
-        self.needed = anyio.Event()
+        self.flush_requested = anyio.Event()
         self.roster: list[RosterEntry] = []
         # Revisions at which the keys stand: a write that is carried out late, after
         # a newer one of the same owner, fails on them.
@@ -164,15 +164,15 @@
         """Have a roster kept in place of the one before; return its number."""
         self.roster = roster
         self._roster_version += 1
-        self.needed.set()
+        self.flush_requested.set()
         return self._roster_version
 
     async def run(self) -> None:
         """Keep what has changed, again and again, until cancelled."""
         while True:
             with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
-                await self.needed.wait()
-            self.needed = anyio.Event()
+                await self.flush_requested.wait()
+            self.flush_requested = anyio.Event()
             if not (self._starts or self._scheduler.has_ends_to_keep):
                 await anyio.sleep(_BATCH_DELAY_S)
             await self._flush()
@@ -232,7 +232,7 @@
             self._persisted_part_by_key.pop(change.key, None)
         self._scheduler.mark_dirty(pending.job_ids)
         self._scheduler.assignments.mark_unkept(pending.parts)
-        self.needed.set()
+        self.flush_requested.set()
 
     def _mark_persisted(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
         """Note what is kept now: it is not written again when a later transaction fails, and ends may be shown."""
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -90,7 +90,7 @@
 async def keep(recorder, until):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
-        recorder.needed.set()
+        recorder.flush_requested.set()
         with anyio.fail_after(5):
             while not until():
                 await anyio.sleep(0.01)
@@ -182,7 +182,7 @@
         await anyio.sleep(0.01)
         begun_s = time.monotonic()
         end(scheduler, index)
-        recorder.needed.set()
+        recorder.flush_requested.set()
         while progress_key(JOB) not in store.items:
             await anyio.sleep(0.001)
         tasks.cancel_scope.cancel()
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -77,7 +77,7 @@
 
     async def keep(self):
         before = self.rounds
-        self.recorder.needed.set()
+        self.recorder.flush_requested.set()
         with anyio.fail_after(KEPT_S):
             while self.rounds == before:
                 await anyio.sleep(0.02)
