--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -189,7 +189,7 @@
                 tasks.start_soon(follow_jobs, self._feed, jobs_revision)
                 tasks.start_soon(self._recorder.run)
                 tasks.start_soon(self._adviser.run)
-                tasks.start_soon(self._recorder.clean, self._settings.bounds.status_s, time.time)
+                tasks.start_soon(self._recorder.run_cleanup, self._settings.bounds.status_s, time.time)
                 await self._run_passes(intake)
 
     async def _load(self, intake: MessageHandler, tasks: TaskGroup) -> int:
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -177,7 +177,7 @@
                 await anyio.sleep(_BATCH_DELAY_S)
             await self._flush()
 
-    async def clean(self, status_s: float, wall_s: Callable[[], float]) -> None:
+    async def run_cleanup(self, status_s: float, wall_s: Callable[[], float]) -> None:
         """Remove jobs that ended long ago, again and again, until cancelled."""
         while True:
             await anyio.sleep(_CLEANUP_INTERVAL_S)
