--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -187,7 +187,7 @@
         """Remove the jobs that ended before a time, many in one transaction."""
         old = self._scheduler.ended_before(before_wall_s)
         for first in range(0, len(old), _MAX_JOBS_PER_REMOVAL):
-            await self._remove(old[first : first + _MAX_JOBS_PER_REMOVAL])
+            await self._remove_jobs(old[first : first + _MAX_JOBS_PER_REMOVAL])
 
     async def _flush(self) -> None:
         mark = self._mark()
@@ -331,7 +331,7 @@
             entries_by_key[roster_key(number)].append(entry)
         return {key: encode(entries) for key, entries in entries_by_key.items()}
 
-    async def _remove(self, job_ids: list[str]) -> None:
+    async def _remove_jobs(self, job_ids: list[str]) -> None:
         keys = [key(job_id) for job_id in job_ids for key in (job_key, cancel_key, progress_key)]
         try:
             outcome = await self._store.commit(
