--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -155,7 +155,7 @@
         self._scheduler = scheduler
         self._epoch = epoch
         self._starts = starts
-        self._mark = mark
+        self._processed_ends = mark
         self._kept = kept
         self._shown = shown
         self._on_deposed = deposed
@@ -190,7 +190,7 @@
             await self._remove_jobs(old[first : first + _MAX_JOBS_PER_REMOVAL])
 
     async def _flush(self) -> None:
-        mark = self._mark()
+        mark = self._processed_ends()
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
             self._scheduler.assignments.take_unkept(),
