--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -156,7 +156,7 @@
         self._epoch = epoch
         self._starts = starts
         self._processed_ends = mark
-        self._kept = kept
+        self._on_persisted = kept
         self._shown = shown
         self._on_deposed = deposed
 
@@ -219,7 +219,7 @@
             return
         self.persisted_roster_version = roster_version
         self._release(pending, tuple(pending.runs_by_part))
-        self._kept(mark)
+        self._on_persisted(mark)
 
     def _release(self, pending: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
         """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
