--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -157,7 +157,7 @@
         self._starts = starts
         self._processed_ends = mark
         self._on_persisted = kept
-        self._shown = shown
+        self._on_end_persisted = shown
         self._on_deposed = deposed
 
     def set_roster(self, roster: list[RosterEntry]) -> int:
@@ -248,7 +248,7 @@
         pending.job_ids.discard(job_id)
         if self._scheduler.mark_kept(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
-            self._shown(job_id)
+            self._on_end_persisted(job_id)
 
     async def _commit(self, batch: Sequence[_Change]) -> bool:
         conditions = [Condition(change.key, self._revision(change.key)) for change in batch]
