--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -154,7 +154,7 @@
         self._timing = timing
         self._scheduler = scheduler
         self._epoch = epoch
-        self._starts = starts
+        self._held_starts = starts
         self._processed_ends = mark
         self._on_persisted = kept
         self._on_end_persisted = shown
@@ -173,7 +173,7 @@
             with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
                 await self.flush_requested.wait()
             self.flush_requested = anyio.Event()
-            if not (self._starts or self._scheduler.has_ends_to_keep):
+            if not (self._held_starts or self._scheduler.has_ends_to_keep):
                 await anyio.sleep(_BATCH_DELAY_S)
             await self._flush()
 
@@ -194,7 +194,7 @@
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
             self._scheduler.assignments.take_unkept(),
-            self._starts.runs_by_part(),
+            self._held_starts.runs_by_part(),
         )
         roster_version = self._roster_version
         roster = self._roster_changes()
@@ -213,7 +213,7 @@
             self._requeue(pending, changes)
             return
         except STORE_FAILURES as error:
-            log_event('progress_not_kept', why=str(error), jobs=len(pending.job_ids), starts=len(self._starts))
+            log_event('progress_not_kept', why=str(error), jobs=len(pending.job_ids), starts=len(self._held_starts))
             self._requeue(pending, changes)
             await anyio.sleep(self._timing.retry_pause_s())
             return
@@ -224,7 +224,7 @@
     def _release(self, pending: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
         """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
         for part in parts:
-            self._starts.release(pending.runs_by_part.pop(part, ()))
+            self._held_starts.release(pending.runs_by_part.pop(part, ()))
 
     def _requeue(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
         """Have what was not kept written again: a write without an answer may yet be carried out."""
