--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -45,7 +45,7 @@
     revision_by_key: dict[str, int]
 
 
-class KeptJobs(NamedTuple):
+class StoredJobs(NamedTuple):
     """Jobs and what is known of them.
 
     Parameters
@@ -69,7 +69,7 @@
     is_readable: bool
 
 
-def keeps_assignments(workers: KnownWorkers, kept: KeptJobs) -> bool:
+def keeps_assignments(workers: KnownWorkers, kept: StoredJobs) -> bool:
     """Tell whether previous owners kept each assignment before they sent its start.
 
     An earlier version does not, and writes the roster alone; a later one may write what can't be read here.
@@ -84,7 +84,7 @@
     return KnownWorkers(entries, _roster(roster), _revision_by_key(roster))
 
 
-async def read_jobs(store: StoreClient, timing: StoreTiming) -> KeptJobs:
+async def read_jobs(store: StoreClient, timing: StoreTiming) -> StoredJobs:
     """Read all jobs, however long the store needs.
 
     Only owners write progress and assignments, and no earlier one can any more: they
@@ -93,7 +93,7 @@
     progress, assignments, jobs = await _read_each(store, timing, PROGRESS_PREFIX, ASSIGNMENTS_PREFIX, JOBS_PREFIX)
     assignments_by_id, is_readable = _assignments_by_id(assignments)
     revision_by_key = _revision_by_key(progress) | _revision_by_key(assignments)
-    return KeptJobs(jobs, _progress_by_id(progress), assignments_by_id, revision_by_key, is_readable)
+    return StoredJobs(jobs, _progress_by_id(progress), assignments_by_id, revision_by_key, is_readable)
 
 
 async def _read_each(store: StoreClient, timing: StoreTiming, *prefixes: str) -> list[Page]:
