--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -35,7 +35,7 @@
 from .recorder import Recorder
 from .registry import Links
 from .settings import OwnerSettings, scheduler_settings
-from .takeover import keeps_assignments, KnownWorkers, read_jobs, read_workers
+from .takeover import are_assignments_complete, KnownWorkers, read_jobs, read_workers
 from .unserved import UnservedWorkers
 
 # Starts under way at one time, urgent ones and others: over a link of 1 Mbit/s the last of them is answered
@@ -204,7 +204,7 @@
         tasks.start_soon(self._workers_feed.run, workers.entries.revision)
         kept = await read_jobs(self._store, self._settings.timing)
         intake.progress_by_id = kept.progress_by_id
-        self._previous.knows_all_assignments = keeps_assignments(workers, kept)
+        self._previous.knows_all_assignments = are_assignments_complete(workers, kept)
         if self._previous.knows_all_assignments:
             intake.assignments_by_id = kept.assignments_by_id
         self._recorder.revision_by_key = workers.revision_by_key | kept.revision_by_key
--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -69,7 +69,7 @@
     is_readable: bool
 
 
-def keeps_assignments(workers: KnownWorkers, kept: StoredJobs) -> bool:
+def are_assignments_complete(workers: KnownWorkers, kept: StoredJobs) -> bool:
     """Tell whether previous owners kept each assignment before they sent its start.
 
     An earlier version does not, and writes the roster alone; a later one may write what can't be read here.
