--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -80,7 +80,7 @@
 
 async def read_workers(store: StoreClient, timing: StoreTiming) -> KnownWorkers:
     """Read which workers there are, however long the store needs."""
-    entries, roster = await _read_each(store, timing, WORKERS_PREFIX, ROSTER_PREFIX)
+    entries, roster = await _read_prefixes(store, timing, WORKERS_PREFIX, ROSTER_PREFIX)
     return KnownWorkers(entries, _roster(roster), _revision_by_key(roster))
 
 
@@ -90,13 +90,13 @@
     Only owners write progress and assignments, and no earlier one can any more: they
     belong to jobs that were there before.
     """
-    progress, assignments, jobs = await _read_each(store, timing, PROGRESS_PREFIX, ASSIGNMENTS_PREFIX, JOBS_PREFIX)
+    progress, assignments, jobs = await _read_prefixes(store, timing, PROGRESS_PREFIX, ASSIGNMENTS_PREFIX, JOBS_PREFIX)
     assignments_by_id, is_readable = _assignments_by_id(assignments)
     revision_by_key = _revision_by_key(progress) | _revision_by_key(assignments)
     return StoredJobs(jobs, _progress_by_id(progress), assignments_by_id, revision_by_key, is_readable)
 
 
-async def _read_each(store: StoreClient, timing: StoreTiming, *prefixes: str) -> list[Page]:
+async def _read_prefixes(store: StoreClient, timing: StoreTiming, *prefixes: str) -> list[Page]:
     """Read prefixes at once: from a store that takes 0.27 s for an answer a takeover took 1.07 s."""
     page_by_prefix: dict[str, Page] = {}
 
