--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -33,7 +33,7 @@
 from .messages import OwnerMessage, WorkerInherited, WorkersSynced
 from .previous_work import PreviousWork
 from .recorder import Recorder
-from .registry import Links
+from .registry import LinkRegistry
 from .settings import OwnerSettings, scheduler_settings
 from .takeover import are_assignments_complete, KnownWorkers, read_jobs, read_workers
 from .unserved import UnservedWorkers
@@ -116,7 +116,7 @@
             StartTurns(anyio.Semaphore(_MAX_CONCURRENT_STARTS), anyio.Semaphore(_MAX_CONCURRENT_STARTS)),
             self._may_order,
         )
-        self._links = Links(context)
+        self._links = LinkRegistry(context)
         self._adviser = Adviser(askers, self.post, self._links.name_of, steady_s)
         self._effects = Effects(self.scheduler, self._links, self._adviser, self.post, metrics, _now)
         self._recorder = Recorder(
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -11,7 +11,7 @@
 from .advising import Adviser
 from .held_starts import HeldStart, HeldStarts
 from .messages import OwnerMessage, RunNever
-from .registry import Links
+from .registry import LinkRegistry
 
 
 class Effects:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         scheduler: Scheduler,
-        links: Links,
+        links: LinkRegistry,
         adviser: Adviser,
         post: Callable[[OwnerMessage], None],
         metrics: Metrics,
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -34,7 +34,7 @@
     WorkerUnreadable,
 )
 from .previous_work import PreviousWork
-from .registry import Links
+from .registry import LinkRegistry
 from .takeover import AssignmentsById
 from .unserved import UnservedWorkers
 
@@ -64,7 +64,7 @@
     """
 
     scheduler: Scheduler
-    links: Links
+    links: LinkRegistry
     previous: PreviousWork
     unserved: UnservedWorkers
     held_starts: HeldStarts
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -37,7 +37,7 @@
     return fence // _INCARNATIONS_PER_EPOCH
 
 
-class Links:
+class LinkRegistry:
     """Links by incarnation of a worker; one at a time under each name.
 
     A worker that starts again may keep its name. Which incarnation answers is known from
