--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -18,7 +18,7 @@
 from .messages import WorkerListed
 
 # How late an order that got no answer may be carried out, in seconds.
-_LATEST_S = 12.0
+_MAX_ORDER_DELAY_S = 12.0
 # Incarnations of one worker that an owner may meet, for the numbers that its orders carry.
 _INCARNATIONS_PER_EPOCH = 1 << 10
 
@@ -111,7 +111,7 @@
     @property
     def longest_late_s(self) -> float:
         """How long a late start may run after it was sent: it comes late and has the longest lease."""
-        return _LATEST_S + self._context.settings.hold_s
+        return _MAX_ORDER_DELAY_S + self._context.settings.hold_s
 
     def keep_entry(self, entry: WorkerListed) -> None:
         """Keep the entry that was read last under a worker's name."""
@@ -200,8 +200,8 @@
         name = link.incarnation.name
         earlier = self._unanswered_by_name.pop(name, None)
         sent = [
-            _Unanswered(link.unanswered_at_s + _LATEST_S, is_known=True, incarnation=link.incarnation),
-            _Unanswered(link.inherited_at_s + _LATEST_S, is_known=False, incarnation=link.incarnation),
+            _Unanswered(link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_known=True, incarnation=link.incarnation),
+            _Unanswered(link.inherited_at_s + _MAX_ORDER_DELAY_S, is_known=False, incarnation=link.incarnation),
         ]
         if earlier is not None:
             sent.append(earlier._replace(incarnation=link.incarnation))
