--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -159,7 +159,7 @@
     @handle.register
     def _(self, message: WorkerListed) -> None:
         self._links.keep_entry(message)
-        known_link = self._links.named(message.incarnation.name)
+        known_link = self._links.find_by_name(message.incarnation.name)
         if known_link is not None and not message.incarnation.may_be(known_link.incarnation):
             log_event(
                 'worker_entry_put_off', worker=known_link.incarnation.worker_id, entry_of=message.incarnation.worker_id
@@ -300,7 +300,7 @@
 
     def _current_worker_id(self, name: str) -> str:
         """Return the incarnation that is known under a worker's name."""
-        link = self._links.named(name)
+        link = self._links.find_by_name(name)
         return name if link is None else link.incarnation.worker_id
 
     def _drop_held_starts(self, worker_id: str) -> None:
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -68,7 +68,7 @@
         """Return the link to an incarnation of a worker, if there is one."""
         return self._link_by_id.get(worker_id)
 
-    def named(self, name: str) -> WorkerLink | None:
+    def find_by_name(self, name: str) -> WorkerLink | None:
         """Return the link to the worker of a name, if there is one."""
         return self._link_by_name.get(name)
 
