--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -223,7 +223,7 @@
         if link is not None and worker is not None:
             link.is_overfull = worker.is_overfull
         self._previous.on_worker_reported(message.worker_id)
-        predecessor = self._links.take_predecessor(message.worker_id)
+        predecessor = self._links.pop_predecessor(message.worker_id)
         if predecessor is not None:
             self.handle(WorkerOver(predecessor))
 
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -128,7 +128,7 @@
             self._given_up_by_address[self._link_by_id[worker_id].address] = worker_id
             self.close(worker_id)
 
-    def take_predecessor(self, worker_id: str) -> str | None:
+    def pop_predecessor(self, worker_id: str) -> str | None:
         """Return, once, the incarnation that was given up at the address where a worker has answered: it is over."""
         link = self._link_by_id.get(worker_id)
         former = None if link is None else self._given_up_by_address.pop(link.address, None)
