--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -285,7 +285,7 @@
         """Have the known workers kept when they have changed."""
         roster = self._links.roster(self.scheduler.worker_by_id)
         if roster != self._recorder.roster:
-            self._links.note_offered(roster, self._recorder.set_roster(roster))
+            self._links.record_lapsed(roster, self._recorder.set_roster(roster))
         self._links.readmit(self.scheduler.worker_by_id, self._recorder.persisted_roster_version)
 
     def _drain_inbox(self, intake: MessageHandler) -> None:
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -147,7 +147,7 @@
         worker.is_lapsed = True
         self._lapsed_number_by_name[self.name_of(worker.worker_id)] = 0
 
-    def note_offered(self, roster: Iterable[RosterEntry], number: int) -> None:
+    def record_lapsed(self, roster: Iterable[RosterEntry], number: int) -> None:
         """Record the number of a roster that may reach the store from now on."""
         lapsed = (entry.known_incarnation.name for entry in roster if entry.is_lapsed)
         self._lapsed_number_by_name.update(dict.fromkeys(lapsed, number))
