--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -178,7 +178,7 @@
         """Whether ends were taken in that are not acknowledged yet."""
         return any(link.processed > link.acknowledged for link in self._link_by_id.values())
 
-    def ends_taken_in(self) -> dict[str, int]:
+    def last_processed_ends(self) -> dict[str, int]:
         """Return, by worker, the number of the last end taken in."""
         return {worker_id: link.processed for worker_id, link in self._link_by_id.items()}
 
