--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -264,7 +264,7 @@
     def _run_pass(self) -> None:
         if self._may_order():
             self._decide_and_order()
-        if self.scheduler.has_dirty_jobs or self._links.has_unkept_ends or self._effects.held_starts:
+        if self.scheduler.has_dirty_jobs or self._links.has_unacknowledged_ends or self._effects.held_starts:
             self._recorder.flush_requested.set()
         self._update_roster()
 
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -174,7 +174,7 @@
         return earlier.incarnation if earlier is not None and link.may_hide_ends else link.incarnation
 
     @property
-    def has_unkept_ends(self) -> bool:
+    def has_unacknowledged_ends(self) -> bool:
         """Whether ends were taken in that are not acknowledged yet."""
         return any(link.processed > link.acknowledged for link in self._link_by_id.values())
 
