--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -250,7 +250,7 @@
             self._previous.on_worker_replaced(message.successor.worker_id)
             # Its tasks whose start is unacknowledged are not started elsewhere before the successor has reported what
             # runs there.
-            late_until_s = self._now().steady_s + self._links.longest_late_s
+            late_until_s = self._now().steady_s + self._links.max_late_run_s
             self._scheduler.worker_replaced(message.worker_id, message.successor.worker_id, late_until_s)
         self.handle(WorkerOver(message.worker_id))
         if predecessor is not None and link is not None:
@@ -280,7 +280,7 @@
     def _open_link(self, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
         """Return the link to an incarnation of a worker that the scheduler knows."""
         worker = self._scheduler.worker_by_id[incarnation.worker_id]
-        worker.late_order_s = self._links.longest_late_s if incarnation.born_ms else 0.0
+        worker.late_order_s = self._links.max_late_run_s if incarnation.born_ms else 0.0
         is_new = self._links.get(incarnation.worker_id) is None
         link = self._links.open(worker, incarnation, address, self._tasks)
         worker.unanswered_starts = link.unanswered_starts
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -109,7 +109,7 @@
             self._context.post(entry)
 
     @property
-    def longest_late_s(self) -> float:
+    def max_late_run_s(self) -> float:
         """How long a late start may run after it was sent: it comes late and has the longest lease."""
         return _MAX_ORDER_DELAY_S + self._context.settings.hold_s
 
