--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -158,7 +158,7 @@
 
     @handle.register
     def _(self, message: WorkerListed) -> None:
-        self._links.keep_entry(message)
+        self._links.save_entry(message)
         known_link = self._links.find_by_name(message.incarnation.name)
         if known_link is not None and not message.incarnation.may_be(known_link.incarnation):
             log_event(
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -113,7 +113,7 @@
         """How long a late start may run after it was sent: it comes late and has the longest lease."""
         return _MAX_ORDER_DELAY_S + self._context.settings.hold_s
 
-    def keep_entry(self, entry: WorkerListed) -> None:
+    def save_entry(self, entry: WorkerListed) -> None:
         """Keep the entry that was read last under a worker's name."""
         self._entry_by_name[entry.incarnation.name] = entry
 
