--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -142,7 +142,7 @@
             if worker_id in known
         ]
 
-    def inherit_lapsed(self, worker: WorkerState) -> None:
+    def mark_inherited_lapsed(self, worker: WorkerState) -> None:
         """Take in that the store holds that nothing runs on a worker."""
         worker.is_lapsed = True
         self._lapsed_number_by_name[self.name_of(worker.worker_id)] = 0
