--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -59,7 +59,7 @@
         self._incarnations_by_name: Counter[str] = Counter()
         self._entry_by_name: dict[str, WorkerListed] = {}
         # Earlier incarnations to which an acknowledgement was sent that their next ones may have carried out.
-        self._unanswered_by_name: dict[str, _Unanswered] = {}
+        self._unanswered_by_name: dict[str, _UnansweredAcknowledgement] = {}
         self._given_up_by_address: dict[Address, str] = {}
         # Workers of which the store may hold that nothing runs there, whichever incarnation of them it names.
         self._lapsed_number_by_name: dict[str, int] = {}
@@ -200,8 +200,12 @@
         name = link.incarnation.name
         earlier = self._unanswered_by_name.pop(name, None)
         sent = [
-            _Unanswered(link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_known=True, incarnation=link.incarnation),
-            _Unanswered(link.inherited_at_s + _MAX_ORDER_DELAY_S, is_known=False, incarnation=link.incarnation),
+            _UnansweredAcknowledgement(
+                link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_known=True, incarnation=link.incarnation
+            ),
+            _UnansweredAcknowledgement(
+                link.inherited_at_s + _MAX_ORDER_DELAY_S, is_known=False, incarnation=link.incarnation
+            ),
         ]
         if earlier is not None:
             sent.append(earlier._replace(incarnation=link.incarnation))
@@ -210,7 +214,7 @@
             self._unanswered_by_name[name] = max(late, key=attrgetter('is_known', 'until_s'))
 
 
-class _Unanswered(NamedTuple):
+class _UnansweredAcknowledgement(NamedTuple):
     """Until when an acknowledgement to an incarnation of a worker may be carried out, after its end too.
 
     Parameters
