--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -62,7 +62,7 @@
         self._unanswered_by_name: dict[str, _UnansweredAcknowledgement] = {}
         self._given_up_by_address: dict[Address, str] = {}
         # Workers of which the store may hold that nothing runs there, whichever incarnation of them it names.
-        self._lapsed_number_by_name: dict[str, int] = {}
+        self._lapsed_roster_version_by_name: dict[str, int] = {}
 
     def get(self, worker_id: str) -> WorkerLink | None:
         """Return the link to an incarnation of a worker, if there is one."""
@@ -89,7 +89,7 @@
             earlier = self._unanswered_by_name.get(incarnation.name)
             link.may_hide_ends = earlier is not None
             link.is_trusted_at_work = earlier is not None and not earlier.is_known
-            worker.is_lapsed = worker.is_lapsed or incarnation.name in self._lapsed_number_by_name
+            worker.is_lapsed = worker.is_lapsed or incarnation.name in self._lapsed_roster_version_by_name
             self._link_by_id[worker.worker_id] = link
             self._link_by_name[incarnation.name] = link
             tasks.start_soon(link.run)
@@ -145,12 +145,12 @@
     def mark_inherited_lapsed(self, worker: WorkerState) -> None:
         """Take in that the store holds that nothing runs on a worker."""
         worker.is_lapsed = True
-        self._lapsed_number_by_name[self.name_of(worker.worker_id)] = 0
+        self._lapsed_roster_version_by_name[self.name_of(worker.worker_id)] = 0
 
     def record_lapsed(self, roster: Iterable[RosterEntry], number: int) -> None:
         """Record the number of a roster that may reach the store from now on."""
         lapsed = (entry.known_incarnation.name for entry in roster if entry.is_lapsed)
-        self._lapsed_number_by_name.update(dict.fromkeys(lapsed, number))
+        self._lapsed_roster_version_by_name.update(dict.fromkeys(lapsed, number))
 
     def readmit(self, known: Mapping[str, WorkerState], kept_number: int) -> None:
         """Let workers that have answered get starts again, once the store holds a roster without their marks.
@@ -162,11 +162,11 @@
         kept_number : int
             Number of the latest roster that the store surely holds.
         """
-        numbers = self._lapsed_number_by_name
-        self._lapsed_number_by_name = {name: numbers[name] for name in numbers if numbers[name] >= kept_number}
+        numbers = self._lapsed_roster_version_by_name
+        self._lapsed_roster_version_by_name = {name: numbers[name] for name in numbers if numbers[name] >= kept_number}
         for worker in known.values():
             if worker.is_lapsed and worker.is_in_touch:
-                worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_number_by_name
+                worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_roster_version_by_name
 
     def _listed_incarnation(self, link: WorkerLink) -> WorkerIncarnation:
         """Return the incarnation that the next owner reads: it probes the same successors as this one does."""
