--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -152,7 +152,7 @@
         lapsed = (entry.known_incarnation.name for entry in roster if entry.is_lapsed)
         self._lapsed_roster_version_by_name.update(dict.fromkeys(lapsed, number))
 
-    def readmit(self, known: Mapping[str, WorkerState], kept_number: int) -> None:
+    def readmit(self, known: Mapping[str, WorkerState], persisted_version: int) -> None:
         """Let workers that have answered get starts again, once the store holds a roster without their marks.
 
         Parameters
@@ -163,7 +163,9 @@
             Number of the latest roster that the store surely holds.
         """
         numbers = self._lapsed_roster_version_by_name
-        self._lapsed_roster_version_by_name = {name: numbers[name] for name in numbers if numbers[name] >= kept_number}
+        self._lapsed_roster_version_by_name = {
+            name: numbers[name] for name in numbers if numbers[name] >= persisted_version
+        }
         for worker in known.values():
             if worker.is_lapsed and worker.is_in_touch:
                 worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_roster_version_by_name
