--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -170,7 +170,7 @@
             if worker.is_lapsed and worker.is_in_touch:
                 worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_roster_version_by_name
 
-    def _listed_incarnation(self, link: WorkerLink) -> WorkerIncarnation:
+    def _roster_incarnation(self, link: WorkerLink) -> WorkerIncarnation:
         """Return the incarnation that the next owner reads: it probes the same successors as this one does."""
         earlier = self._unanswered_by_name.get(link.incarnation.name)
         return earlier.incarnation if earlier is not None and link.may_hide_ends else link.incarnation
@@ -193,7 +193,7 @@
 
     def _roster_entry(self, worker: WorkerState, link: WorkerLink) -> RosterEntry:
         is_lapsed = worker.is_lapsed and not worker.is_in_touch and not worker.run_by_key
-        incarnation = self._listed_incarnation(link)
+        incarnation = self._roster_incarnation(link)
         profile = worker.profile._replace(worker_id=incarnation.worker_id, leaves_in_s=None)
         return RosterEntry(profile, link.address, incarnation, is_lapsed)
 
