--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -101,7 +101,7 @@
         if link is None:
             return
         link.close()
-        self._note_unanswered(link)
+        self._record_unanswered(link)
         if self._link_by_name.get(link.incarnation.name) is link:
             del self._link_by_name[link.incarnation.name]
         entry = self._entry_by_name.get(link.incarnation.name)
@@ -197,7 +197,7 @@
         profile = worker.profile._replace(worker_id=incarnation.worker_id, leaves_in_s=None)
         return RosterEntry(profile, link.address, incarnation, is_lapsed)
 
-    def _note_unanswered(self, link: WorkerLink) -> None:
+    def _record_unanswered(self, link: WorkerLink) -> None:
         """Note an incarnation whose next one may carry out an acknowledgement meant for it, or an earlier one."""
         name = link.incarnation.name
         earlier = self._unanswered_by_name.pop(name, None)
