--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -25,7 +25,7 @@
 from .committing import Commit, Committer
 from .effects import Effects
 from .end_notifier import EndNotifier
-from .feeds import Feed, follow_jobs, job_messages, WorkersFeed
+from .feeds import FeedContext, follow_jobs, job_messages, WorkersFeed
 from .heap import LongLivedHeap
 from .intake import HandlerDependencies, MessageHandler
 from .link_settings import LinkContext, LinkSettings, StartTurns
@@ -100,7 +100,7 @@
         self._load_gauges = LoadGauges(self.scheduler, metrics)
         self._heap = LongLivedHeap(metrics)
         self._send, self._receive = anyio.create_memory_object_stream[OwnerMessage](math.inf)
-        self._feed = Feed(store, settings.timing, self.post)
+        self._feed = FeedContext(store, settings.timing, self.post)
         self._workers_feed = WorkersFeed(self._feed)
         self._unserved = UnservedWorkers()
         self._previous = PreviousWork(self.scheduler, settings.epoch)
--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -40,7 +40,7 @@
 _BUSY_PAGE = 200
 
 
-class Feed(NamedTuple):
+class FeedContext(NamedTuple):
     """What a feed needs.
 
     Parameters
@@ -58,7 +58,7 @@
     post: Post
 
 
-async def follow_jobs(feed: Feed, revision: int) -> None:
+async def follow_jobs(feed: FeedContext, revision: int) -> None:
     """Post jobs and cancellations from a revision on, until cancelled."""
     while True:
         try:
@@ -68,7 +68,7 @@
             await anyio.sleep(feed.timing.retry_pause_s())
 
 
-async def _watch_jobs(feed: Feed, revision: int) -> int:
+async def _watch_jobs(feed: FeedContext, revision: int) -> int:
     page = (await next_updates(feed.store, feed.timing, JOBS_PREFIX, revision)).page
     for item in page.items:
         for message in job_messages(item):
@@ -107,7 +107,7 @@
         What it needs.
     """
 
-    def __init__(self, feed: Feed) -> None:
+    def __init__(self, feed: FeedContext) -> None:
         """Start without entries."""
         self._feed = feed
         self._known: set[str] = set()
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -13,7 +13,7 @@
 import anyio
 import msgspec
 
-from dahliaarch_node.owner.feeds import Feed, WorkersFeed
+from dahliaarch_node.owner.feeds import FeedContext, WorkersFeed
 from dahliaarch_node.owner.messages import WorkerListed
 from dahliaarch_node.timing import StoreTiming
 from dahliaarch_platform.http import HttpClient
@@ -70,7 +70,7 @@
         store = StoreStandIn()
         address = await store.listen()
         client = StoreClient(StoreSettings(address), HttpClient(), lambda *_: None)
-        feed = WorkersFeed(Feed(client, StoreTiming(), post))
+        feed = WorkersFeed(FeedContext(client, StoreTiming(), post))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run, 0)
             tasks.start_soon(keep_writing, store)
