--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -37,7 +37,7 @@
 # Updates in one answer after which no pause is made: more may wait. The store puts
 # some 500 into an answer, and with a pause after each of them 1,500 workers were
 # noticed 5 s late.
-_BUSY_PAGE = 200
+_BUSY_PAGE_SIZE = 200
 
 
 class FeedContext(NamedTuple):
@@ -79,7 +79,7 @@
 
 async def _pause_after(page: Page, pause_s: float) -> None:
     """Let updates gather, unless there may be more already: then what is known would grow older with each answer."""
-    if 0 < len(page.items) < _BUSY_PAGE:
+    if 0 < len(page.items) < _BUSY_PAGE_SIZE:
         await anyio.sleep(pause_s)
 
 
