--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -122,7 +122,7 @@
             if item.removed:
                 yield self._unlisted(item.key)
             else:
-                yield from self._listed(item)
+                yield from self._entry_messages(item)
 
     async def run(self, revision: int) -> None:
         """Post updates from a revision on, until cancelled."""
@@ -143,7 +143,7 @@
         await _pause_after(updates.page, _WORKERS_WATCH_PAUSE_S)
         return max(revision, updates.page.revision)
 
-    def _listed(self, item: Item) -> Iterator[OwnerMessage]:
+    def _entry_messages(self, item: Item) -> Iterator[OwnerMessage]:
         name = item.key.removeprefix(WORKERS_PREFIX)
         try:
             entry = decode_worker(name, item.value)
