--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -117,10 +117,10 @@
         if is_whole:
             listed = {item.key for item in page.items}
             for key in self._known - listed:
-                yield self._unlisted(key)
+                yield self._removal_message(key)
         for item in page.items:
             if item.removed:
-                yield self._unlisted(item.key)
+                yield self._removal_message(item.key)
             else:
                 yield from self._entry_messages(item)
 
@@ -154,6 +154,6 @@
         self._known.add(item.key)
         yield WorkerListed(entry.profile, entry.address, entry.incarnation)
 
-    def _unlisted(self, key: str) -> WorkerUnlisted:
+    def _removal_message(self, key: str) -> WorkerUnlisted:
         self._known.discard(key)
         return WorkerUnlisted(key.removeprefix(WORKERS_PREFIX))
