--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -26,7 +26,7 @@
 from .effects import Effects
 from .end_notifier import EndNotifier
 from .feeds import FeedContext, follow_jobs, job_messages, WorkersFeed
-from .heap import LongLivedHeap
+from .heap import GarbageCollectionTuner
 from .intake import HandlerDependencies, MessageHandler
 from .link_settings import LinkContext, LinkSettings, StartTurns
 from .load_gauges import LoadGauges
@@ -98,7 +98,7 @@
         self._store = store
         self._metrics = metrics
         self._load_gauges = LoadGauges(self.scheduler, metrics)
-        self._heap = LongLivedHeap(metrics)
+        self._heap = GarbageCollectionTuner(metrics)
         self._send, self._receive = anyio.create_memory_object_stream[OwnerMessage](math.inf)
         self._feed = FeedContext(store, settings.timing, self.post)
         self._workers_feed = WorkersFeed(self._feed)
--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -16,7 +16,7 @@
 _GROWTH = 2
 
 
-class LongLivedHeap:
+class GarbageCollectionTuner:
     """Keeps full garbage collections short while an owner holds many jobs.
 
     A full collection walks every container object, and stops heartbeats, renewals of
--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ...metrics import Metrics
-from ..heap import LongLivedHeap
+from ..heap import GarbageCollectionTuner
 from .test_takeover import KeptStore, MANY, many_jobs, take_over, Workers
 
 OLDEST = 2
@@ -49,7 +49,7 @@
 
 
 def test_cycles_among_frozen_objects_are_found_once_twice_as_many_are_frozen():
-    with LongLivedHeap(Metrics()) as heap:
+    with GarbageCollectionTuner(Metrics()) as heap:
         heap.loaded()
         in_use = gc.get_freeze_count()
         cycles = [cycle() for _ in range(in_use + 1)]
@@ -61,7 +61,7 @@
 
 def test_collections_are_the_interpreters_again_once_an_owner_is_replaced():
     thresholds = gc.get_threshold()
-    with LongLivedHeap(Metrics()) as heap:
+    with GarbageCollectionTuner(Metrics()) as heap:
         heap.loaded()
         assert gc.get_threshold() != thresholds
     assert gc.get_threshold() == thresholds
