--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -98,7 +98,7 @@
         self._store = store
         self._metrics = metrics
         self._load_gauges = LoadGauges(self.scheduler, metrics)
-        self._heap = GarbageCollectionTuner(metrics)
+        self._gc_tuner = GarbageCollectionTuner(metrics)
         self._send, self._receive = anyio.create_memory_object_stream[OwnerMessage](math.inf)
         self._feed = FeedContext(store, settings.timing, self.post)
         self._workers_feed = WorkersFeed(self._feed)
@@ -164,7 +164,7 @@
 
     async def run(self) -> None:
         """Take the pool over and decide until deposed or cancelled."""
-        with self._scope, self._load_gauges, self._heap:
+        with self._scope, self._load_gauges, self._gc_tuner:
             async with anyio.create_task_group() as tasks:
                 dependencies = HandlerDependencies(
                     self.scheduler,
@@ -177,7 +177,7 @@
                 )
                 intake = MessageHandler(dependencies, self.epoch, tasks)
                 jobs_revision = await self._load(intake, tasks)
-                self._heap.loaded()
+                self._gc_tuner.loaded()
                 await self._survey_all(intake)
                 self.is_ready = True
                 log_event(
