--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -177,7 +177,7 @@
                 )
                 intake = MessageHandler(dependencies, self.epoch, tasks)
                 jobs_revision = await self._load(intake, tasks)
-                self._gc_tuner.loaded()
+                self._gc_tuner.finish_loading()
                 await self._survey_all(intake)
                 self.is_ready = True
                 log_event(
--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -52,7 +52,7 @@
         gc.set_threshold(*self._thresholds)
         gc.unfreeze()
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         """Freeze what was read."""
         gc.freeze()
         self._most_frozen = gc.get_freeze_count() * _GROWTH
--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -50,7 +50,7 @@
 
 def test_cycles_among_frozen_objects_are_found_once_twice_as_many_are_frozen():
     with GarbageCollectionTuner(Metrics()) as heap:
-        heap.loaded()
+        heap.finish_loading()
         in_use = gc.get_freeze_count()
         cycles = [cycle() for _ in range(in_use + 1)]
         gc.collect()
@@ -62,7 +62,7 @@
 def test_collections_are_the_interpreters_again_once_an_owner_is_replaced():
     thresholds = gc.get_threshold()
     with GarbageCollectionTuner(Metrics()) as heap:
-        heap.loaded()
+        heap.finish_loading()
         assert gc.get_threshold() != thresholds
     assert gc.get_threshold() == thresholds
     assert not gc.get_freeze_count()
