--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -10,7 +10,7 @@
 # collections of one generation after which the next one is.
 _THRESHOLDS = (700, 10, 5)
 # The same while the oldest generation is not to be collected.
-_YOUNG_ONLY = (700, 10, 1 << 30)
+_YOUNG_ONLY_THRESHOLDS = (700, 10, 1 << 30)
 _OLDEST = 2
 # So many times as many objects may be frozen as were in use when all were walked last.
 _GROWTH = 2
@@ -42,7 +42,7 @@
     def __enter__(self) -> Self:
         """Put full collections off until `loaded`."""
         self._thresholds = gc.get_threshold()
-        gc.set_threshold(*_YOUNG_ONLY)
+        gc.set_threshold(*_YOUNG_ONLY_THRESHOLDS)
         gc.callbacks.append(self._observe)
         return self
 
