--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -11,7 +11,7 @@
 _THRESHOLDS = (700, 10, 5)
 # The same while the oldest generation is not to be collected.
 _YOUNG_ONLY_THRESHOLDS = (700, 10, 1 << 30)
-_OLDEST = 2
+_OLDEST_GENERATION = 2
 # So many times as many objects may be frozen as were in use when all were walked last.
 _GROWTH = 2
 
@@ -59,7 +59,7 @@
         gc.set_threshold(*_THRESHOLDS)
 
     def _observe(self, phase: Literal['start', 'stop'], info: dict[str, int]) -> None:
-        if info['generation'] < _OLDEST:
+        if info['generation'] < _OLDEST_GENERATION:
             return
         if phase == 'start':
             self._begun_s = time.perf_counter()
