--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -13,7 +13,7 @@
 _YOUNG_ONLY_THRESHOLDS = (700, 10, 1 << 30)
 _OLDEST_GENERATION = 2
 # So many times as many objects may be frozen as were in use when all were walked last.
-_GROWTH = 2
+_FREEZE_GROWTH_FACTOR = 2
 
 
 class GarbageCollectionTuner:
@@ -55,7 +55,7 @@
     def finish_loading(self) -> None:
         """Freeze what was read."""
         gc.freeze()
-        self._most_frozen = gc.get_freeze_count() * _GROWTH
+        self._most_frozen = gc.get_freeze_count() * _FREEZE_GROWTH_FACTOR
         gc.set_threshold(*_THRESHOLDS)
 
     def _observe(self, phase: Literal['start', 'stop'], info: dict[str, int]) -> None:
@@ -69,7 +69,7 @@
         frozen = gc.get_freeze_count()
         if self._walks_all:
             self._walks_all = False
-            self._most_frozen = frozen * _GROWTH
+            self._most_frozen = frozen * _FREEZE_GROWTH_FACTOR
         elif frozen > self._most_frozen:
             self._walks_all = True
             gc.unfreeze()
