--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -36,7 +36,7 @@
         self._metrics = metrics
         self._thresholds = gc.get_threshold()
         self._begun_s = 0.0
-        self._most_frozen = 0
+        self._max_frozen = 0
         self._walks_all = False
 
     def __enter__(self) -> Self:
@@ -55,7 +55,7 @@
     def finish_loading(self) -> None:
         """Freeze what was read."""
         gc.freeze()
-        self._most_frozen = gc.get_freeze_count() * _FREEZE_GROWTH_FACTOR
+        self._max_frozen = gc.get_freeze_count() * _FREEZE_GROWTH_FACTOR
         gc.set_threshold(*_THRESHOLDS)
 
     def _observe(self, phase: Literal['start', 'stop'], info: dict[str, int]) -> None:
@@ -69,7 +69,7 @@
         frozen = gc.get_freeze_count()
         if self._walks_all:
             self._walks_all = False
-            self._most_frozen = frozen * _FREEZE_GROWTH_FACTOR
-        elif frozen > self._most_frozen:
+            self._max_frozen = frozen * _FREEZE_GROWTH_FACTOR
+        elif frozen > self._max_frozen:
             self._walks_all = True
             gc.unfreeze()
