--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -37,7 +37,7 @@
         self._thresholds = gc.get_threshold()
         self._begun_s = 0.0
         self._max_frozen = 0
-        self._walks_all = False
+        self._is_full_scan = False
 
     def __enter__(self) -> Self:
         """Put full collections off until `loaded`."""
@@ -67,9 +67,9 @@
         self._metrics.full_collection_s.observe(time.perf_counter() - self._begun_s)
         gc.freeze()
         frozen = gc.get_freeze_count()
-        if self._walks_all:
-            self._walks_all = False
+        if self._is_full_scan:
+            self._is_full_scan = False
             self._max_frozen = frozen * _FREEZE_GROWTH_FACTOR
         elif frozen > self._max_frozen:
-            self._walks_all = True
+            self._is_full_scan = True
             gc.unfreeze()
