--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -35,7 +35,7 @@
         """Change nothing yet."""
         self._metrics = metrics
         self._thresholds = gc.get_threshold()
-        self._begun_s = 0.0
+        self._started_s = 0.0
         self._max_frozen = 0
         self._is_full_scan = False
 
@@ -62,9 +62,9 @@
         if info['generation'] < _OLDEST_GENERATION:
             return
         if phase == 'start':
-            self._begun_s = time.perf_counter()
+            self._started_s = time.perf_counter()
             return
-        self._metrics.full_collection_s.observe(time.perf_counter() - self._begun_s)
+        self._metrics.full_collection_s.observe(time.perf_counter() - self._started_s)
         gc.freeze()
         frozen = gc.get_freeze_count()
         if self._is_full_scan:
