--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -43,12 +43,12 @@
         """Put full collections off until `loaded`."""
         self._thresholds = gc.get_threshold()
         gc.set_threshold(*_YOUNG_ONLY_THRESHOLDS)
-        gc.callbacks.append(self._observe)
+        gc.callbacks.append(self._on_collection)
         return self
 
     def __exit__(self, *error: object) -> None:
         """Leave all to the interpreter's own settings."""
-        gc.callbacks.remove(self._observe)
+        gc.callbacks.remove(self._on_collection)
         gc.set_threshold(*self._thresholds)
         gc.unfreeze()
 
@@ -58,7 +58,7 @@
         self._max_frozen = gc.get_freeze_count() * _FREEZE_GROWTH_FACTOR
         gc.set_threshold(*_THRESHOLDS)
 
-    def _observe(self, phase: Literal['start', 'stop'], info: dict[str, int]) -> None:
+    def _on_collection(self, phase: Literal['start', 'stop'], info: dict[str, int]) -> None:
         if info['generation'] < _OLDEST_GENERATION:
             return
         if phase == 'start':
