--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -10,7 +10,7 @@
 from ..metrics import Metrics
 from .advising import Adviser
 from .held_starts import HeldStart, HeldStarts
-from .messages import OwnerMessage, RunNever
+from .messages import OwnerMessage, RunRuledOut
 from .registry import LinkRegistry
 
 
@@ -69,7 +69,7 @@
     def _(self, effect: StopRun) -> None:
         log_event('stop_ordered', worker=effect.worker_id, task=effect.key, run=effect.run, why=effect.reason)
         if self.held_starts.withdraw(effect.key, effect.run):
-            self._post(RunNever(effect.worker_id, effect.key, effect.run, EndKind.STOPPED))
+            self._post(RunRuledOut(effect.worker_id, effect.key, effect.run, EndKind.STOPPED))
             return
         link = self._links.get(effect.worker_id)
         if link is not None:
@@ -86,7 +86,7 @@
         self._metrics.start_hold_s.observe(now.steady_s - held.since_s)
         link = self._links.get(start.worker_id)
         if link is None:
-            self._post(RunNever(start.worker_id, start.key, start.run))
+            self._post(RunRuledOut(start.worker_id, start.key, start.run))
             return
         if not self._scheduler.assignments.sent(start.worker_id, start.key, start.run, now):
             log_event('start_dropped', worker=start.worker_id, task=start.key, run=start.run)
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -21,7 +21,7 @@
     JobCancelled,
     JobListed,
     OwnerMessage,
-    RunNever,
+    RunRuledOut,
     StartAcknowledged,
     WorkerInherited,
     WorkerListed,
@@ -261,7 +261,7 @@
         self._scheduler.run_started(message.worker_id, message.key, message.run, self._now())
 
     @handle.register
-    def _(self, message: RunNever) -> None:
+    def _(self, message: RunRuledOut) -> None:
         self._handle_run_end(RunEnd(message.worker_id, message.key, message.run, message.kind), self._now())
 
     @handle.register
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -23,7 +23,7 @@
 from ..logs import log_event
 from .contact import Contact, FAILURES_UNTIL_SILENT
 from .link_settings import LinkContext
-from .messages import RunNever, WorkerSilent, WorkerSurveyed
+from .messages import RunRuledOut, WorkerSilent, WorkerSurveyed
 from .orders import Asked, WorkerOrders
 
 
@@ -141,7 +141,7 @@
     def start(self, effect: StartRun, payload: str) -> None:
         """Order a start; one that comes after the incarnation has ended never runs."""
         if self._tasks is None or self._contact.scope.cancel_called:
-            self._context.post(RunNever(self._worker_id, effect.key, effect.run))
+            self._context.post(RunRuledOut(self._worker_id, effect.key, effect.run))
             return
         self._is_idle = False
         self._tasks.start_soon(self._orders.start, effect, payload)
--- a/packages/node/dahliaarch_node/owner/messages.py
+++ b/packages/node/dahliaarch_node/owner/messages.py
@@ -134,7 +134,7 @@
     run: int
 
 
-class RunNever(NamedTuple):
+class RunRuledOut(NamedTuple):
     """A run is certainly not on its worker and never will be."""
 
     worker_id: str
@@ -183,7 +183,7 @@
     | WorkerOver
     | WorkerReplaced
     | StartAcknowledged
-    | RunNever
+    | RunRuledOut
     | AdviceGiven
     | AdviceFailed
 )
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -19,7 +19,7 @@
 
 from ..logs import log_event
 from .contact import Contact
-from .messages import RunNever, StartAcknowledged
+from .messages import RunRuledOut, StartAcknowledged
 from .start_turns import TurnQueue
 from .unanswered import RunId, UnansweredStarts
 
@@ -108,7 +108,7 @@
         under_way = self._stops_under_way.get(run)
         if under_way is not None:
             under_way.cancel()
-        self._contact.context.post(RunNever(self._contact.worker_id, *run, kind))
+        self._contact.context.post(RunRuledOut(self._contact.worker_id, *run, kind))
 
     async def start(self, effect: StartRun, payload: str) -> None:
         """Order a start until it is answered; take it back when it stays unacknowledged."""
@@ -152,7 +152,7 @@
             return False
         if not context.may_order():
             # Another instance may own the pool.
-            context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
+            context.post(RunRuledOut(self._contact.worker_id, effect.key, effect.run))
             return False
         return True
 
@@ -164,7 +164,7 @@
         if not takes_none and (effect.key, effect.run) not in self._stops_under_way:
             return False
         kind = EndKind.REFUSED if takes_none else EndKind.STOPPED
-        self._contact.context.post(RunNever(self._contact.worker_id, effect.key, effect.run, kind))
+        self._contact.context.post(RunRuledOut(self._contact.worker_id, effect.key, effect.run, kind))
         return True
 
     async def _note_try(self, order: StartOrder, timeout_s: float) -> OrderStatus | None:
@@ -208,7 +208,7 @@
             context.fenced()
         if is_retry:
             return _Outcome.OUTCOME_UNKNOWN
-        context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
+        context.post(RunRuledOut(self._contact.worker_id, effect.key, effect.run))
         return _Outcome.NEVER
 
     async def _start_once(self, order: StartOrder, timeout_s: float) -> OrderStatus:
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -25,7 +25,7 @@
 
 from ..link_settings import LinkContext, LinkSettings, StartTurns
 from ..links import WorkerLink
-from ..messages import RunNever
+from ..messages import RunRuledOut
 from .sessions import Sessions
 
 PLAYED_S = 4.0
@@ -138,7 +138,7 @@
 
     anyio.run(run)
     assert not worker.starts
-    assert RunNever('w', KEY, 1) in posted
+    assert RunRuledOut('w', KEY, 1) in posted
 
 
 def test_a_start_after_the_end_of_its_worker_does_not_end_the_process():
@@ -159,5 +159,5 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
-    assert posted[-1] == RunNever('w', KEY, 1)
+    assert posted[-1] == RunRuledOut('w', KEY, 1)
     assert not worker.starts
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -14,7 +14,7 @@
 
 from ..link_settings import LinkContext, LinkSettings, StartTurns
 from ..links import WorkerLink
-from ..messages import RunNever, StartAcknowledged, WorkerSurveyed
+from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
 from .sessions import Sessions
 
 TURNS = 32
@@ -112,7 +112,7 @@
     def _post(self, message):
         if isinstance(message, WorkerSurveyed):
             self.links[int(message.worker_id[1:])].acknowledge(message.last_end)
-        if isinstance(message, RunNever | StartAcknowledged):
+        if isinstance(message, RunRuledOut | StartAcknowledged):
             self.told_at_s.setdefault(message, anyio.current_time())
 
     def _link(self, number, worker):
@@ -159,7 +159,7 @@
         for start in starts:
             pool.links[0].start(start, '')
         for start in starts:
-            never = RunNever('w0', start.key, start.run)
+            never = RunRuledOut('w0', start.key, start.run)
             told_s = await pool.wait_told(never, LONGEST_STALL_S)
             assert told_s is not None
             assert told_s - begun_s < LONGEST_STALL_S - SECOND_START_S
@@ -174,7 +174,7 @@
     async def scenario(pool):
         begun_s, start = anyio.current_time(), start_of('w0', 0)
         pool.links[0].start(start, '')
-        told_s = await pool.wait_told(RunNever('w0', start.key, start.run, EndKind.REFUSED), 2 * LONGEST_STALL_S)
+        told_s = await pool.wait_told(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * LONGEST_STALL_S)
         assert told_s is not None
         assert told_s - begun_s < LONGEST_STALL_S - SECOND_START_S
 
@@ -191,7 +191,7 @@
         pool.links[0].start(start, '')
         await anyio.sleep(4.0)
         has_started = start.key in worker.running
-        is_given_up = any(isinstance(message, RunNever) for message in pool.told_at_s)
+        is_given_up = any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
         assert has_started is not is_given_up
 
     play([worker], scenario)
@@ -207,6 +207,6 @@
         pool.links[0].start(start_of('w0', 0), '')
         await anyio.sleep(4.0)
         assert not worker.stopped
-        assert not any(isinstance(message, RunNever) for message in pool.told_at_s)
+        assert not any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
 
     play([worker], scenario)
