--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -168,7 +168,7 @@
             known_link.look_again()
             return
         if known_link is not None:
-            message = message.of(known_link.incarnation)
+            message = message.for_incarnation(known_link.incarnation)
         profile = message.profile
         is_known = profile.worker_id in self._scheduler.worker_by_id
         if not is_known and self._unserved.sets_aside(message):
--- a/packages/node/dahliaarch_node/owner/messages.py
+++ b/packages/node/dahliaarch_node/owner/messages.py
@@ -45,7 +45,7 @@
     address: Address
     incarnation: WorkerIncarnation
 
-    def of(self, incarnation: WorkerIncarnation) -> 'WorkerListed':
+    def for_incarnation(self, incarnation: WorkerIncarnation) -> 'WorkerListed':
         """Return it as the entry of the incarnation that is known under its name."""
         return self._replace(incarnation=incarnation, profile=self.profile._replace(worker_id=incarnation.worker_id))
 
