--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -171,7 +171,7 @@
             message = message.for_incarnation(known_link.incarnation)
         profile = message.profile
         is_known = profile.worker_id in self._scheduler.worker_by_id
-        if not is_known and self._unserved.sets_aside(message):
+        if not is_known and self._unserved.set_aside(message):
             log_event('worker_unserved', worker=profile.worker_id, service=profile.service)
             return
         link = self._update_worker(profile, message.incarnation, message.address)
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -144,9 +144,9 @@
 def test_a_service_that_is_configured_later_brings_its_workers():
     unserved = UnservedWorkers()
     assert not unserved.set_services({'a'})
-    assert not unserved.sets_aside(listed('w', 'a'))
-    assert unserved.sets_aside(listed('v', 'b'))
-    assert unserved.sets_aside(listed('u', 'c'))
+    assert not unserved.set_aside(listed('w', 'a'))
+    assert unserved.set_aside(listed('v', 'b'))
+    assert unserved.set_aside(listed('u', 'c'))
     unserved.forget('u')
     assert [message.profile.worker_id for message in unserved.set_services({'b', 'c'})] == ['v']
     assert not unserved.set_services({'b', 'c'})
--- a/packages/node/dahliaarch_node/owner/unserved.py
+++ b/packages/node/dahliaarch_node/owner/unserved.py
@@ -17,7 +17,7 @@
         self._services: Collection[str] | None = None
         self._listed_by_name: dict[str, WorkerListed] = {}
 
-    def sets_aside(self, message: WorkerListed) -> bool:
+    def set_aside(self, message: WorkerListed) -> bool:
         """Set an entry aside, or tell that it is to be taken in."""
         name = message.incarnation.name
         if self._services is None or message.profile.service in self._services:
