--- a/packages/node/dahliaarch_node/owner/unserved.py
+++ b/packages/node/dahliaarch_node/owner/unserved.py
@@ -33,7 +33,7 @@
     def set_services(self, services: Collection[str]) -> list[WorkerListed]:
         """Take in the services of a new configuration; return the entries to be taken in now."""
         self._services = services
-        named = [message for message in self._listed_by_name.values() if message.profile.service in services]
-        for message in named:
+        served = [message for message in self._listed_by_name.values() if message.profile.service in services]
+        for message in served:
             self.forget(message.incarnation.name)
-        return named
+        return served
