--- a/packages/node/dahliaarch_node/owner/load_gauges.py
+++ b/packages/node/dahliaarch_node/owner/load_gauges.py
@@ -10,7 +10,7 @@
 from ..metrics import Metrics
 
 # Shortest time between two updates, in seconds.
-_UPDATE_EVERY_S = 0.25
+_UPDATE_INTERVAL_S = 0.25
 
 
 class LoadGauges:
@@ -32,7 +32,7 @@
 
     def update(self, now_s: float) -> None:
         """Show the present load, unless it was shown a moment ago."""
-        if now_s - self._updated_s < _UPDATE_EVERY_S:
+        if now_s - self._updated_s < _UPDATE_INTERVAL_S:
             return
         self._updated_s = now_s
         load = self._scheduler.load
