--- a/packages/node/dahliaarch_node/owner/load_gauges.py
+++ b/packages/node/dahliaarch_node/owner/load_gauges.py
@@ -39,7 +39,7 @@
         self._metrics.active_jobs.set(load.active_jobs)
         for reason in WaitReason:
             self._metrics.waiting_steps.labels(reason.value).set(load.waiting_by_reason.get(reason, 0))
-        ages_s = [now_s - run.started_s for run in self._unconfirmed()]
+        ages_s = [now_s - run.started_s for run in self._unconfirmed_runs()]
         self._metrics.unconfirmed_runs.set(len(ages_s))
         self._metrics.unconfirmed_run_s.set(max(ages_s, default=0.0))
 
@@ -56,7 +56,7 @@
         self._metrics.unconfirmed_runs.set(0)
         self._metrics.unconfirmed_run_s.set(0)
 
-    def _unconfirmed(self) -> Iterator[Run]:
+    def _unconfirmed_runs(self) -> Iterator[Run]:
         """Yield the runs whose start no worker has acknowledged or listed."""
         for worker in self._scheduler.worker_by_id.values():
             yield from (run for run in worker.run_by_key.values() if not run.is_confirmed)
