--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -125,7 +125,7 @@
             self.scheduler,
             settings.epoch,
             starts=self._effects.held_starts,
-            mark=self._links.last_processed_ends,
+            processed_ends=self._links.last_processed_ends,
             kept=self._links.acknowledge,
             shown=self.end_notifier.notify,
             deposed=self.depose,
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -133,7 +133,7 @@
         epoch: int,
         *,
         starts: HeldStarts,
-        mark: Callable[[], dict[str, int]],
+        processed_ends: Callable[[], dict[str, int]],
         kept: Callable[[dict[str, int]], None],
         shown: Callable[[str], None],
         deposed: Callable[[], None],
@@ -155,7 +155,7 @@
         self._scheduler = scheduler
         self._epoch = epoch
         self._held_starts = starts
-        self._processed_ends = mark
+        self._processed_ends = processed_ends
         self._on_persisted = kept
         self._on_end_persisted = shown
         self._on_deposed = deposed
@@ -190,7 +190,7 @@
             await self._remove_jobs(old[first : first + _MAX_JOBS_PER_REMOVAL])
 
     async def _flush(self) -> None:
-        mark = self._processed_ends()
+        processed_ends = self._processed_ends()
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
             self._scheduler.assignments.take_unkept(),
@@ -219,7 +219,7 @@
             return
         self.persisted_roster_version = roster_version
         self._release(pending, tuple(pending.runs_by_part))
-        self._on_persisted(mark)
+        self._on_persisted(processed_ends)
 
     def _release(self, pending: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
         """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -184,9 +184,9 @@
         """Return, by worker, the number of the last end taken in."""
         return {worker_id: link.processed for worker_id, link in self._link_by_id.items()}
 
-    def acknowledge(self, mark: dict[str, int]) -> None:
+    def acknowledge(self, processed_ends: dict[str, int]) -> None:
         """Let ends up to a mark be acknowledged: they are kept."""
-        for worker_id, number in mark.items():
+        for worker_id, number in processed_ends.items():
             link = self._link_by_id.get(worker_id)
             if link is not None:
                 link.acknowledge(number)
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -72,7 +72,7 @@
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
 
-def recorder_of(store, scheduler, deposed, kept=lambda mark: None):
+def recorder_of(store, scheduler, deposed, kept=lambda processed_ends: None):
     timing = StoreTiming(retry_s=0.01)
     return Recorder(
         store,
@@ -80,7 +80,7 @@
         scheduler,
         EPOCH,
         starts=HeldStarts(lambda start: None),
-        mark=dict,
+        processed_ends=dict,
         kept=kept,
         shown=lambda job_id: None,
         deposed=lambda: deposed.append(True),
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -68,7 +68,7 @@
             self.scheduler,
             self._epoch,
             starts=HeldStarts(lambda held: None),
-            mark=dict,
+            processed_ends=dict,
             kept=self._note,
             shown=lambda job_id: None,
             deposed=lambda: None,
@@ -85,7 +85,7 @@
     async def kept_workers(self):
         return (await read_workers(self.client, TIMING)).roster
 
-    def _note(self, mark):
+    def _note(self, processed_ends):
         self.rounds += 1
 
 
