--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -126,7 +126,7 @@
             settings.epoch,
             starts=self._effects.held_starts,
             processed_ends=self._links.last_processed_ends,
-            kept=self._links.acknowledge,
+            on_persisted=self._links.acknowledge,
             shown=self.end_notifier.notify,
             deposed=self.depose,
         )
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -134,7 +134,7 @@
         *,
         starts: HeldStarts,
         processed_ends: Callable[[], dict[str, int]],
-        kept: Callable[[dict[str, int]], None],
+        on_persisted: Callable[[dict[str, int]], None],
         shown: Callable[[str], None],
         deposed: Callable[[], None],
     ) -> None:
@@ -156,7 +156,7 @@
         self._epoch = epoch
         self._held_starts = starts
         self._processed_ends = processed_ends
-        self._on_persisted = kept
+        self._on_persisted = on_persisted
         self._on_end_persisted = shown
         self._on_deposed = deposed
 
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -72,7 +72,7 @@
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
 
-def recorder_of(store, scheduler, deposed, kept=lambda processed_ends: None):
+def recorder_of(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
     timing = StoreTiming(retry_s=0.01)
     return Recorder(
         store,
@@ -81,7 +81,7 @@
         EPOCH,
         starts=HeldStarts(lambda start: None),
         processed_ends=dict,
-        kept=kept,
+        on_persisted=on_persisted,
         shown=lambda job_id: None,
         deposed=lambda: deposed.append(True),
     )
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -69,7 +69,7 @@
             self._epoch,
             starts=HeldStarts(lambda held: None),
             processed_ends=dict,
-            kept=self._note,
+            on_persisted=self._note,
             shown=lambda job_id: None,
             deposed=lambda: None,
         )
