--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -127,7 +127,7 @@
             starts=self._effects.held_starts,
             processed_ends=self._links.last_processed_ends,
             on_persisted=self._links.acknowledge,
-            shown=self.end_notifier.notify,
+            on_end_persisted=self.end_notifier.notify,
             deposed=self.depose,
         )
         self.is_deposed = False
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -135,7 +135,7 @@
         starts: HeldStarts,
         processed_ends: Callable[[], dict[str, int]],
         on_persisted: Callable[[dict[str, int]], None],
-        shown: Callable[[str], None],
+        on_end_persisted: Callable[[str], None],
         deposed: Callable[[], None],
     ) -> None:
         """Start with nothing to keep."""
@@ -157,7 +157,7 @@
         self._held_starts = starts
         self._processed_ends = processed_ends
         self._on_persisted = on_persisted
-        self._on_end_persisted = shown
+        self._on_end_persisted = on_end_persisted
         self._on_deposed = deposed
 
     def set_roster(self, roster: list[RosterEntry]) -> int:
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -82,7 +82,7 @@
         starts=HeldStarts(lambda start: None),
         processed_ends=dict,
         on_persisted=on_persisted,
-        shown=lambda job_id: None,
+        on_end_persisted=lambda job_id: None,
         deposed=lambda: deposed.append(True),
     )
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -70,7 +70,7 @@
             starts=HeldStarts(lambda held: None),
             processed_ends=dict,
             on_persisted=self._note,
-            shown=lambda job_id: None,
+            on_end_persisted=lambda job_id: None,
             deposed=lambda: None,
         )
         tasks.start_soon(self.recorder.run)
