--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -128,7 +128,7 @@
             processed_ends=self._links.last_processed_ends,
             on_persisted=self._links.acknowledge,
             on_end_persisted=self.end_notifier.notify,
-            deposed=self.depose,
+            on_deposed=self.depose,
         )
         self.is_deposed = False
 
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -68,7 +68,7 @@
     previous: PreviousWork
     unserved: UnservedWorkers
     held_starts: HeldStarts
-    deposed: Callable[[], None]
+    on_deposed: Callable[[], None]
     now: Callable[[], Moment]
 
 
@@ -99,7 +99,7 @@
         self._previous = dependencies.previous
         self._unserved = dependencies.unserved
         self._held_starts = dependencies.held_starts
-        self._on_deposed = dependencies.deposed
+        self._on_deposed = dependencies.on_deposed
         self._now = dependencies.now
         self._epoch = epoch
         self._tasks = tasks
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -136,7 +136,7 @@
         processed_ends: Callable[[], dict[str, int]],
         on_persisted: Callable[[dict[str, int]], None],
         on_end_persisted: Callable[[str], None],
-        deposed: Callable[[], None],
+        on_deposed: Callable[[], None],
     ) -> None:
         """Start with nothing to keep."""
         self.flush_requested = anyio.Event()
@@ -158,7 +158,7 @@
         self._processed_ends = processed_ends
         self._on_persisted = on_persisted
         self._on_end_persisted = on_end_persisted
-        self._on_deposed = deposed
+        self._on_deposed = on_deposed
 
     def set_roster(self, roster: list[RosterEntry]) -> int:
         """Have a roster kept in place of the one before; return its number."""
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -83,7 +83,7 @@
         processed_ends=dict,
         on_persisted=on_persisted,
         on_end_persisted=lambda job_id: None,
-        deposed=lambda: deposed.append(True),
+        on_deposed=lambda: deposed.append(True),
     )
 
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -71,7 +71,7 @@
             processed_ends=dict,
             on_persisted=self._note,
             on_end_persisted=lambda job_id: None,
-            deposed=lambda: None,
+            on_deposed=lambda: None,
         )
         tasks.start_soon(self.recorder.run)
 
