--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -202,24 +202,24 @@
         workers = await read_workers(self._store, self._settings.timing)
         intake.handle_all(self._known_worker_messages(workers))
         tasks.start_soon(self._workers_feed.run, workers.entries.revision)
-        kept = await read_jobs(self._store, self._settings.timing)
-        intake.progress_by_id = kept.progress_by_id
-        self._previous.knows_all_assignments = are_assignments_complete(workers, kept)
+        stored = await read_jobs(self._store, self._settings.timing)
+        intake.progress_by_id = stored.progress_by_id
+        self._previous.knows_all_assignments = are_assignments_complete(workers, stored)
         if self._previous.knows_all_assignments:
-            intake.assignments_by_id = kept.assignments_by_id
-        self._recorder.revision_by_key = workers.revision_by_key | kept.revision_by_key
+            intake.assignments_by_id = stored.assignments_by_id
+        self._recorder.revision_by_key = workers.revision_by_key | stored.revision_by_key
         # A silent worker may run jobs of previous owners until its lease ends, which the
         # previous owner may have given while its authority lasted.
         lease_s = self._settings.own.ownership.lease_s + self._settings.bounds.max_hold_s
         self._previous.set_lease_bound(lease_s, steady_s())
-        for number, item in enumerate(sorted(kept.jobs.items, key=lambda each: len(each.key))):
+        for number, item in enumerate(sorted(stored.jobs.items, key=lambda each: len(each.key))):
             intake.handle_all(job_messages(item))
             if number % _LOAD_BATCH_SIZE == 0:
                 await anyio.sleep(0)
         self._drain_inbox(intake)
         intake.progress_by_id = {}
         intake.assignments_by_id = {}
-        return kept.jobs.revision
+        return stored.jobs.revision
 
     def _known_worker_messages(self, workers: KnownWorkers) -> Iterable[OwnerMessage]:
         """Yield the workers that the previous owner knew, then those that have an entry."""
--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -69,13 +69,13 @@
     is_readable: bool
 
 
-def are_assignments_complete(workers: KnownWorkers, kept: StoredJobs) -> bool:
+def are_assignments_complete(workers: KnownWorkers, stored: StoredJobs) -> bool:
     """Tell whether previous owners kept each assignment before they sent its start.
 
     An earlier version does not, and writes the roster alone; a later one may write what can't be read here.
     """
     roster_revision = max(workers.revision_by_key.values(), default=0)
-    return kept.is_readable and kept.revision_by_key.get(ASSIGNER_KEY, 0) >= roster_revision
+    return stored.is_readable and stored.revision_by_key.get(ASSIGNER_KEY, 0) >= roster_revision
 
 
 async def read_workers(store: StoreClient, timing: StoreTiming) -> KnownWorkers:
