--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -175,10 +175,10 @@
                     self.depose,
                     _now,
                 )
-                intake = MessageHandler(dependencies, self.epoch, tasks)
-                jobs_revision = await self._load(intake, tasks)
+                handler = MessageHandler(dependencies, self.epoch, tasks)
+                jobs_revision = await self._load(handler, tasks)
                 self._gc_tuner.finish_loading()
-                await self._survey_all(intake)
+                await self._survey_all(handler)
                 self.is_ready = True
                 log_event(
                     'owner_ready',
@@ -190,9 +190,9 @@
                 tasks.start_soon(self._recorder.run)
                 tasks.start_soon(self._adviser.run)
                 tasks.start_soon(self._recorder.run_cleanup, self._settings.bounds.status_s, time.time)
-                await self._run_passes(intake)
+                await self._run_passes(handler)
 
-    async def _load(self, intake: MessageHandler, tasks: TaskGroup) -> int:
+    async def _load(self, handler: MessageHandler, tasks: TaskGroup) -> int:
         """Take in workers and jobs; return the revision to follow jobs from.
 
         Workers come first: from then on their leases are renewed, while thousands
@@ -200,25 +200,25 @@
         in the inbox, for it means nothing before the jobs are known.
         """
         workers = await read_workers(self._store, self._settings.timing)
-        intake.handle_all(self._known_worker_messages(workers))
+        handler.handle_all(self._known_worker_messages(workers))
         tasks.start_soon(self._workers_feed.run, workers.entries.revision)
         stored = await read_jobs(self._store, self._settings.timing)
-        intake.progress_by_id = stored.progress_by_id
+        handler.progress_by_id = stored.progress_by_id
         self._previous.knows_all_assignments = are_assignments_complete(workers, stored)
         if self._previous.knows_all_assignments:
-            intake.assignments_by_id = stored.assignments_by_id
+            handler.assignments_by_id = stored.assignments_by_id
         self._recorder.revision_by_key = workers.revision_by_key | stored.revision_by_key
         # A silent worker may run jobs of previous owners until its lease ends, which the
         # previous owner may have given while its authority lasted.
         lease_s = self._settings.own.ownership.lease_s + self._settings.bounds.max_hold_s
         self._previous.set_lease_bound(lease_s, steady_s())
         for number, item in enumerate(sorted(stored.jobs.items, key=lambda each: len(each.key))):
-            intake.handle_all(job_messages(item))
+            handler.handle_all(job_messages(item))
             if number % _LOAD_BATCH_SIZE == 0:
                 await anyio.sleep(0)
-        self._drain_inbox(intake)
-        intake.progress_by_id = {}
-        intake.assignments_by_id = {}
+        self._drain_inbox(handler)
+        handler.progress_by_id = {}
+        handler.assignments_by_id = {}
         return stored.jobs.revision
 
     def _known_worker_messages(self, workers: KnownWorkers) -> Iterable[OwnerMessage]:
@@ -231,7 +231,7 @@
         yield from self._workers_feed.messages(workers.entries, is_whole=True)
         yield WorkersSynced()
 
-    async def _survey_all(self, intake: MessageHandler) -> None:
+    async def _survey_all(self, handler: MessageHandler) -> None:
         """Contact every worker that answers at once.
 
         Jobs accepted before this owner wait for the others, each until it answers or
@@ -241,17 +241,17 @@
         deadline_s = steady_s() + _TAKEOVER_SURVEY_TIMEOUT_S
         while self._previous.has_unreported and steady_s() < deadline_s:
             with anyio.move_on_after(deadline_s - steady_s()):
-                intake.handle(await self._receive.receive())
-            self._drain_inbox(intake)
+                handler.handle(await self._receive.receive())
+            self._drain_inbox(handler)
         self._previous.finish_survey()
 
-    async def _run_passes(self, intake: MessageHandler) -> None:
+    async def _run_passes(self, handler: MessageHandler) -> None:
         while True:
             self._run_pass()
             await anyio.sleep(_MIN_PASS_INTERVAL_S)
             with anyio.move_on_after(_MAX_PASS_INTERVAL_S):
-                intake.handle(await self._receive.receive())
-            self._drain_inbox(intake)
+                handler.handle(await self._receive.receive())
+            self._drain_inbox(handler)
 
     def _may_order(self) -> bool:
         """Tell whether this instance surely owns the pool now; looked at before each order."""
@@ -288,13 +288,13 @@
             self._links.record_lapsed(roster, self._recorder.set_roster(roster))
         self._links.readmit(self.scheduler.worker_by_id, self._recorder.persisted_roster_version)
 
-    def _drain_inbox(self, intake: MessageHandler) -> None:
+    def _drain_inbox(self, handler: MessageHandler) -> None:
         while True:
             try:
                 message = self._receive.receive_nowait()
             except anyio.WouldBlock:
                 return
-            intake.handle(message)
+            handler.handle(message)
 
 
 def _now() -> Moment:
