--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -88,7 +88,7 @@
             link = WorkerLink(incarnation, address, worker.lease, self._context, fence)
             earlier = self._unanswered_by_name.get(incarnation.name)
             link.may_hide_ends = earlier is not None
-            link.is_trusted_at_work = earlier is not None and not earlier.is_known
+            link.is_trusted_at_work = earlier is not None and not earlier.is_own
             worker.is_lapsed = worker.is_lapsed or incarnation.name in self._lapsed_roster_version_by_name
             self._link_by_id[worker.worker_id] = link
             self._link_by_name[incarnation.name] = link
@@ -203,17 +203,17 @@
         earlier = self._unanswered_by_name.pop(name, None)
         sent = [
             _UnansweredAcknowledgement(
-                link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_known=True, incarnation=link.incarnation
+                link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
             ),
             _UnansweredAcknowledgement(
-                link.inherited_at_s + _MAX_ORDER_DELAY_S, is_known=False, incarnation=link.incarnation
+                link.inherited_at_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
             ),
         ]
         if earlier is not None:
             sent.append(earlier._replace(incarnation=link.incarnation))
         late = [each for each in sent if link.last_contact_s < each.until_s]
         if late:
-            self._unanswered_by_name[name] = max(late, key=attrgetter('is_known', 'until_s'))
+            self._unanswered_by_name[name] = max(late, key=attrgetter('is_own', 'until_s'))
 
 
 class _UnansweredAcknowledgement(NamedTuple):
@@ -223,12 +223,12 @@
     ----------
     until_s : float
         Until when, steady clock.
-    is_known : bool
+    is_own : bool
         Whether this owner sent it; else the one before may have.
     incarnation : WorkerIncarnation
         The last incarnation that has ended.
     """
 
     until_s: float
-    is_known: bool
+    is_own: bool
     incarnation: WorkerIncarnation
