--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -21,7 +21,7 @@
     ----------
     scheduler : Scheduler
         Knows the jobs.
-    links : Links
+    links : LinkRegistry
         Links to workers.
     adviser : Adviser
         Asks the outside policy.
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -293,7 +293,7 @@
 def test_an_incarnation_is_not_tried_where_the_one_before_was_contacted_until_no_acknowledgement_may_come(
     late_s, is_unacknowledged, monkeypatch
 ):
-    monkeypatch.setattr(registry, '_LATEST_S', late_s)
+    monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', late_s)
     worker = RestartingWorker()
     worker.acknowledging_fails = WorkerUnansweredError('silence')
     play(
@@ -359,7 +359,7 @@
     Waiting until no such acknowledgement can come any more did not help: its ends were hidden all the same, and tasks
     that had ended well ran again.
     """
-    monkeypatch.setattr(registry, '_LATEST_S', 0.5)
+    monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', 0.5)
     worker = RestartingWorker()
     worker.acknowledging_fails = WorkerUnansweredError('silence')
     play(
