--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -124,7 +124,7 @@
             settings.timing,
             self.scheduler,
             settings.epoch,
-            starts=self._effects.held_starts,
+            held_starts=self._effects.held_starts,
             processed_ends=self._links.last_processed_ends,
             on_persisted=self._links.acknowledge,
             on_end_persisted=self.end_notifier.notify,
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -132,7 +132,7 @@
         scheduler: Scheduler,
         epoch: int,
         *,
-        starts: HeldStarts,
+        held_starts: HeldStarts,
         processed_ends: Callable[[], dict[str, int]],
         on_persisted: Callable[[dict[str, int]], None],
         on_end_persisted: Callable[[str], None],
@@ -154,7 +154,7 @@
         self._timing = timing
         self._scheduler = scheduler
         self._epoch = epoch
-        self._held_starts = starts
+        self._held_starts = held_starts
         self._processed_ends = processed_ends
         self._on_persisted = on_persisted
         self._on_end_persisted = on_end_persisted
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -79,7 +79,7 @@
         timing,
         scheduler,
         EPOCH,
-        starts=HeldStarts(lambda start: None),
+        held_starts=HeldStarts(lambda start: None),
         processed_ends=dict,
         on_persisted=on_persisted,
         on_end_persisted=lambda job_id: None,
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -67,7 +67,7 @@
             TIMING,
             self.scheduler,
             self._epoch,
-            starts=HeldStarts(lambda held: None),
+            held_starts=HeldStarts(lambda held: None),
             processed_ends=dict,
             on_persisted=self._note,
             on_end_persisted=lambda job_id: None,
