--- a/packages/node/dahliaarch_node/owner/__init__.py
+++ b/packages/node/dahliaarch_node/owner/__init__.py
@@ -1,4 +1,4 @@
-"""The owner of the pool: feeds, links to workers, decisions and their records."""
+"""The pool owner: store feeds, worker links, scheduling decisions and their persistence."""
 
 from .core import PoolOwner
 
