--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -1,7 +1,7 @@
-"""The owner of the pool: the one task that decides, and what it is fed by.
+"""The pool owner: the task that runs the scheduler, and the sources of its messages.
 
-Takeover: every worker is asked what runs there, the records are read meanwhile,
-and only what cannot be running anywhere is started.
+On takeover the owner asks every worker what is running there while it reads the
+records in the store. It starts only tasks that cannot be running on any worker.
 """
 
 import math
@@ -38,40 +38,40 @@
 from .takeover import are_assignments_complete, KnownWorkers, read_jobs, read_workers
 from .unserved import UnservedWorkers
 
-# Starts under way at one time, urgent ones and others: over a link of 1 Mbit/s the last of them is answered
-# in 0.2 s, and none is given up before it has been sent.
+# Limit on concurrent start orders, applied to urgent ones and to all others separately. Over a 1 Mbit/s link
+# the last of them is answered within 0.2 s, and none times out before it has been sent.
 _MAX_CONCURRENT_STARTS = 32
-# Jobs that are taken in at a takeover between two turns of other tasks: callers are answered meanwhile.
+# Jobs loaded at a takeover before control is yielded to other tasks, so that callers are still answered.
 _LOAD_BATCH_SIZE = 64
-# Longest time between two passes, in seconds: leases end and jobs fall due.
+# Maximum time between two scheduling passes, in seconds: leases expire and jobs become due without a message.
 _MAX_PASS_INTERVAL_S = 0.25
-# Shortest time between two passes, in seconds: updates that come together share one.
+# Minimum time between two scheduling passes, in seconds: updates that arrive together share one pass.
 _MIN_PASS_INTERVAL_S = 0.008
-# How long a new owner decides nothing while workers have yet to answer, in
-# seconds: they answer in milliseconds. While it waited 1.2 s for one that was
-# gone, urgent jobs that had just come ended late.
+# How long a new owner waits for all workers to answer before its first pass, in
+# seconds. Workers answer within milliseconds. With a timeout of 1.2 s, one dead
+# worker made newly submitted urgent jobs miss their target.
 _TAKEOVER_SURVEY_TIMEOUT_S = 0.25
 
 
 class PoolOwner:
-    """Decides over the pool while this instance owns it.
+    """Schedules the jobs of the pool while this instance owns it.
 
     Parameters
     ----------
     settings : OwnerSettings
-        Everything it is built with.
+        Epoch, time bounds and operator settings.
     store : StoreClient
-        The store.
+        Client of the store.
     workers : WorkerClient
-        Calls of workers.
+        Opens sessions with workers.
     askers : callable
-        Returns the ways to ask the outside policy now.
-    relays : callable
-        Returns the ways to have a transaction made by other instances now.
+        Returns the functions through which the external policy can currently be queried.
     metrics : Metrics
-        Counters.
+        Metrics of this instance.
     authority : Authority or None
-        Whether orders may be given; one that never ends by default.
+        Tells whether orders may be sent; by default an authority that never expires.
+    relays : callable
+        Returns the functions that can currently commit a transaction through another instance.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         authority: Authority | None = None,
         relays: Callable[[], Sequence[Commit]] = tuple,
     ) -> None:
-        """Prepare; `run` takes the pool over."""
+        """Build the components; `run` takes over the pool."""
         self._authority = authority or lasting_authority()
         self._has_authority = True
         self.is_ready = False
@@ -134,26 +134,26 @@
 
     @property
     def epoch(self) -> int:
-        """Its epoch."""
+        """Epoch of this owner."""
         return self._settings.epoch
 
     def post(self, message: OwnerMessage) -> None:
-        """Hand a message to the task that decides.
+        """Queue a message for the scheduling task.
 
-        However many wait, none is dropped: a cancellation, a refused start or
-        the end of a worker is reported once. One pass takes them all.
+        The queue is unbounded and drops no message, because a cancellation, a refused
+        start or the end of a worker is reported only once. One pass handles all of them.
         """
         self._send.send_nowait(message)
 
     def depose(self) -> None:
-        """Stop at once: another instance owns the pool."""
+        """Stop immediately because another instance owns the pool."""
         if not self.is_deposed:
             self.is_deposed = True
             log_event('owner_deposed', epoch=self.epoch)
             self._scope.cancel()
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take in the accounts' guarantees and the services."""
+        """Apply the accounts' guarantees and the services of a configuration."""
         accounts = configuration.account_by_name.values()
         self.scheduler.set_guarantees({account.name: account.guaranteed_accelerators for account in accounts})
         services = configuration.service_by_name.values()
@@ -163,7 +163,7 @@
             self.post(message)
 
     async def run(self) -> None:
-        """Take the pool over and decide until deposed or cancelled."""
+        """Take over the pool and schedule its jobs until deposed or cancelled."""
         with self._scope, self._load_gauges, self._gc_tuner:
             async with anyio.create_task_group() as tasks:
                 dependencies = HandlerDependencies(
@@ -193,11 +193,11 @@
                 await self._run_passes(handler)
 
     async def _load(self, handler: MessageHandler, tasks: TaskGroup) -> int:
-        """Take in workers and jobs; return the revision to follow jobs from.
+        """Load workers and jobs; return the revision to follow jobs from.
 
-        Workers come first: from then on their leases are renewed, while thousands
-        of jobs may take longer than these over a slow link. What workers say waits
-        in the inbox, for it means nothing before the jobs are known.
+        Workers are loaded first so that their leases are renewed from then on: over a
+        slow link, loading thousands of jobs may take longer than a lease lasts. Reports
+        from workers stay queued until the jobs they refer to are loaded.
         """
         workers = await read_workers(self._store, self._settings.timing)
         handler.handle_all(self._known_worker_messages(workers))
@@ -208,8 +208,8 @@
         if self._previous.knows_all_assignments:
             handler.assignments_by_id = stored.assignments_by_id
         self._recorder.revision_by_key = workers.revision_by_key | stored.revision_by_key
-        # A silent worker may run jobs of previous owners until its lease ends, which the
-        # previous owner may have given while its authority lasted.
+        # A silent worker may run jobs of previous owners until its lease expires, and the
+        # previous owner may have granted that lease at any time until its authority ended.
         lease_s = self._settings.own.ownership.lease_s + self._settings.bounds.max_hold_s
         self._previous.set_lease_bound(lease_s, steady_s())
         for number, item in enumerate(sorted(stored.jobs.items, key=lambda each: len(each.key))):
@@ -222,8 +222,8 @@
         return stored.jobs.revision
 
     def _known_worker_messages(self, workers: KnownWorkers) -> Iterable[OwnerMessage]:
-        """Yield the workers that the previous owner knew, then those that have an entry."""
-        # A write that was carried out late may have left an entry of a worker that is known better by another.
+        """Yield messages for the workers on the previous owner's roster, then for those with an entry."""
+        # A delayed write may have left a lapsed roster entry of a worker that another entry lists as in use.
         in_use = {entry.known_incarnation.name for entry in workers.roster if not entry.is_lapsed}
         for entry in workers.roster:
             is_lapsed = entry.is_lapsed and entry.known_incarnation.name not in in_use
@@ -232,10 +232,10 @@
         yield WorkersSynced()
 
     async def _survey_all(self, handler: MessageHandler) -> None:
-        """Contact every worker that answers at once.
+        """Wait for reports from all workers until the survey timeout.
 
-        Jobs accepted before this owner wait for the others, each until it answers or
-        its lease has ended; later ones can't run there.
+        Jobs accepted under previous owners wait for each remaining worker until it answers or
+        its lease has expired. Jobs accepted later cannot be running there.
         """
         self._previous.start_survey()
         deadline_s = steady_s() + _TAKEOVER_SURVEY_TIMEOUT_S
@@ -254,7 +254,7 @@
             self._drain_inbox(handler)
 
     def _may_order(self) -> bool:
-        """Tell whether this instance surely owns the pool now; looked at before each order."""
+        """Return whether this instance certainly owns the pool now; checked before each order."""
         may_order = self._authority.holds(steady_s())
         if may_order is not self._has_authority:
             self._has_authority = may_order
@@ -269,7 +269,7 @@
         self._update_roster()
 
     def _decide_and_order(self) -> None:
-        """Decide, and give the orders."""
+        """Run the scheduler and carry out its decisions."""
         started_s = time.perf_counter()
         effects = self.scheduler.decide(_now())
         for note in self.scheduler.take_notes():
@@ -282,7 +282,7 @@
         self._metrics.decide_s.observe(time.perf_counter() - started_s)
 
     def _update_roster(self) -> None:
-        """Have the known workers kept when they have changed."""
+        """Have the roster of known workers persisted if it has changed."""
         roster = self._links.roster(self.scheduler.worker_by_id)
         if roster != self._recorder.roster:
             self._links.record_lapsed(roster, self._recorder.set_roster(roster))
