--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -1,4 +1,4 @@
-"""What each message changes in what the owner believes."""
+"""Applies messages to the scheduler and the worker links of an owner."""
 
 from collections.abc import Callable, Iterable
 from functools import singledispatchmethod
@@ -38,29 +38,29 @@
 from .takeover import AssignmentsById
 from .unserved import UnservedWorkers
 
-# Workers that one log line names at most.
+# Maximum number of workers listed in one log line.
 _MAX_LOGGED_WORKERS = 16
 
 
 class HandlerDependencies(NamedTuple):
-    """What messages change.
+    """Components that messages are applied to.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Jobs and workers.
-    links : Links
+        Holds the state of jobs and workers.
+    links : LinkRegistry
         Links to workers.
     previous : PreviousWork
-        What previous owners started.
+        Delays jobs that previous owners may have started.
     unserved : UnservedWorkers
-        Workers of services that nobody configured.
+        Holds back workers whose service is not configured.
     held_starts : HeldStarts
-        Starts that are not sent yet.
-    deposed : callable
-        Called when a message tells of a newer owner.
+        Starts that have not been sent yet.
+    on_deposed : callable
+        Called when a message shows that there is a newer owner.
     now : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     scheduler: Scheduler
@@ -73,25 +73,25 @@
 
 
 class MessageHandler:
-    """Takes in messages, one after the other.
+    """Applies messages one at a time.
 
     Parameters
     ----------
-    parts : IntakeParts
-        What they change.
+    dependencies : HandlerDependencies
+        Components that messages are applied to.
     epoch : int
         Epoch of this owner.
     tasks : TaskGroup
-        Where links to workers run.
+        Task group in which links to workers run.
 
     Attributes
     ----------
     progress_by_id, assignments_by_id : dict
-        What previous owners kept of jobs that are not taken in yet.
+        Progress and assignments that previous owners stored, for jobs that are not loaded yet.
     """
 
     def __init__(self, dependencies: HandlerDependencies, epoch: int, tasks: TaskGroup) -> None:
-        """Start with nothing taken in."""
+        """Start without stored progress or assignments."""
         self.progress_by_id: dict[str, JobProgress] = {}
         self.assignments_by_id: AssignmentsById = {}
         self._scheduler = dependencies.scheduler
@@ -105,19 +105,19 @@
         self._tasks = tasks
 
     def handle_all(self, messages: Iterable[OwnerMessage]) -> None:
-        """Take in messages, the first first."""
+        """Apply messages in order."""
         for message in messages:
             self.handle(message)
 
     @singledispatchmethod
     def handle(self, message: object) -> None:
-        """Take in one message."""
+        """Apply one message."""
         raise NotImplementedError(type(message).__name__)
 
     @handle.register
     def _(self, message: JobListed) -> None:
         if message.owner_epoch > self._epoch:
-            # Its acceptor knew a newer owner, which may have started it.
+            # The instance that accepted the job knew a newer owner, which may have started the job.
             log_event('owner_outdated', job=message.spec.job_id, epoch=self._epoch, newer=message.owner_epoch)
             self._on_deposed()
             return
@@ -248,8 +248,8 @@
         link = self._links.get(message.worker_id)
         if predecessor is not None and link is not None:
             self._previous.on_worker_replaced(message.successor.worker_id)
-            # Its tasks whose start is unacknowledged are not started elsewhere before the successor has reported what
-            # runs there.
+            # Tasks with an unacknowledged start on the predecessor are not started on another worker before the
+            # successor has reported what is running there.
             late_until_s = self._now().steady_s + self._links.max_late_run_s
             self._scheduler.worker_replaced(message.worker_id, message.successor.worker_id, late_until_s)
         self.handle(WorkerOver(message.worker_id))
@@ -273,12 +273,12 @@
         self._scheduler.advice_failed(message.step, self._now())
 
     def _update_worker(self, profile: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
-        """Take in what a worker publishes; return the link to it."""
+        """Pass a worker's profile to the scheduler; return the link to the worker."""
         self._scheduler.update_worker(profile, self._now())
         return self._open_link(incarnation, address)
 
     def _open_link(self, incarnation: WorkerIncarnation, address: Address) -> WorkerLink:
-        """Return the link to an incarnation of a worker that the scheduler knows."""
+        """Return the link to an incarnation that the scheduler knows, opening it if necessary."""
         worker = self._scheduler.worker_by_id[incarnation.worker_id]
         worker.late_order_s = self._links.max_late_run_s if incarnation.born_ms else 0.0
         is_new = self._links.get(incarnation.worker_id) is None
@@ -290,21 +290,21 @@
         return link
 
     def _add_successor(self, predecessor: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
-        """Ask an incarnation what runs there whose entry has not been read.
+        """Open a link to the successor of an incarnation before the successor's entry has been read.
 
-        Its room, its kind and whether it leaves may differ from those of the incarnation before.
+        Its capacity, its labels and whether it is draining may differ from those of its predecessor.
         """
         profile = predecessor._replace(worker_id=incarnation.worker_id, draining=False, leaves_in_s=None)
         self._scheduler.expect_worker(profile, self._now())
         self._open_link(incarnation, address)
 
     def _current_worker_id(self, name: str) -> str:
-        """Return the incarnation that is known under a worker's name."""
+        """Return the identifier of the incarnation currently known under a worker's name."""
         link = self._links.find_by_name(name)
         return name if link is None else link.incarnation.worker_id
 
     def _drop_held_starts(self, worker_id: str) -> None:
-        """Let starts never be sent to a worker that takes none any more: it does not crash under them."""
+        """Discard held starts for a worker that takes no more; they are not counted as crashes of that worker."""
         for start in self._held_starts.take_of_worker(worker_id):
             self._handle_run_end(RunEnd(worker_id, start.key, start.run, EndKind.REFUSED), self._now())
 
