--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -1,64 +1,64 @@
-"""What previous owners started, as far as a new one does not know of it yet."""
+"""Delays jobs that previous owners may have started on workers that have not reported yet."""
 
 from dahliaarch_kernel.scheduler import Scheduler
 
 from ..logs import log_event
 
-# Share by which the slowest worker's clock prolongs a lease, and rounding.
+# Factor by which the slowest worker clock prolongs a lease, including rounding.
 _MAX_CLOCK_DRIFT_FACTOR = 1.03
 
 
 class PreviousWork:
-    """Holds jobs of previous owners back until no worker may run one that this owner does not know of.
+    """Delays jobs of previous owners until no worker can be running one of them without this owner knowing.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Knows workers and jobs.
+        Holds the state of workers and jobs.
     epoch : int
-        Epoch of this owner: jobs that others were sent may run anywhere, unless
-        these kept where they were assigned.
+        Epoch of this owner. Jobs sent to other owners may be running on any worker,
+        unless those owners stored the assignments.
     """
 
     def __init__(self, scheduler: Scheduler, epoch: int) -> None:
-        """Start before the takeover."""
+        """Start with the state before a takeover."""
         self._scheduler = scheduler
         self._epoch = epoch
-        # When leases that previous owners gave have ended at the latest, steady clock.
+        # Steady-clock time by which all leases granted by previous owners have expired.
         self._leases_end_s = 0.0
         self._unreported: set[str] = set()
-        # Whether previous owners sent no start whose assignment the store does not hold.
+        # Whether the store holds the assignment of every start that previous owners sent.
         self.knows_all_assignments = False
-        # Workers take no orders of previous owners once they have answered this one.
+        # Once a worker has answered this owner, it accepts no orders from previous owners.
         self._all_workers_reported = False
 
     @property
     def has_unreported(self) -> bool:
-        """Whether some worker has yet to say what runs there."""
+        """Whether any worker has not yet reported what is running there."""
         return bool(self._unreported)
 
     def set_lease_bound(self, hold_s: float, now_s: float) -> None:
-        """Note that a silent worker may run jobs of previous owners until a lease from now has ended."""
+        """Set how long silent workers may run jobs of previous owners: until a lease granted now has expired."""
         self._leases_end_s = now_s + hold_s * _MAX_CLOCK_DRIFT_FACTOR
 
     def not_before_s(self, owner_epoch: int) -> float:
-        """Return from when a job may start, steady clock: at once if it is known where previous owners assigned it.
+        """Return the earliest start time of a job on the steady clock, or 0 if it may start immediately.
 
-        So may one that was sent to this owner alone. That it was accepted after this
-        owner's claim does not tell: for some time instances know the previous owner, tell
-        it of jobs, and it starts them.
+        A job may start immediately if the assignments of previous owners are known, or if it was sent
+        to this owner only. Acceptance after this owner's claim is not sufficient: for some time instances
+        still know the previous owner and send it jobs, which it starts.
         """
         if self.knows_all_assignments or owner_epoch == self._epoch or self._all_workers_reported:
             return 0.0
         return self._leases_end_s
 
     def start_survey(self) -> None:
-        """Wait for every worker that has not reported yet and may run something."""
+        """Wait for reports from all workers that may be running tasks and have not reported yet."""
         workers = self._scheduler.worker_by_id.values()
         self._unreported = {worker.worker_id for worker in workers if not worker.is_surveyed and not worker.is_lapsed}
 
     def finish_survey(self) -> None:
-        """Let jobs of previous owners start, or have them wait for the workers that are silent."""
+        """Release jobs of previous owners, or make them wait for the leases of silent workers."""
         if not self._unreported:
             self._release_jobs()
             return
@@ -73,15 +73,15 @@
             worker.lease.assume(self._leases_end_s)
 
     def on_worker_replaced(self, worker_id: str) -> None:
-        """Take in that another incarnation of a worker has begun: it has yet to say what runs there.
+        """Wait for the report of a worker's new incarnation.
 
-        It knows no owner before it has answered this one, and may have taken orders of the previous owner.
+        Until it has answered this owner it knows of no owner, so it may have accepted orders from the previous one.
         """
         if not self._all_workers_reported:
             self._unreported.add(worker_id)
 
     def on_worker_reported(self, worker_id: str) -> None:
-        """Take in that a worker has said what runs there, or is over."""
+        """Note that a worker has reported what is running there, or has ended."""
         if worker_id not in self._unreported:
             return
         self._unreported.discard(worker_id)
