--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -1,4 +1,4 @@
-"""Follows jobs, cancellations and workers in the store."""
+"""Watches jobs, cancellations and worker entries in the store."""
 
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
@@ -26,31 +26,31 @@
 
 Post = Callable[[OwnerMessage], None]
 
-# Pause between two watches of jobs, in seconds: updates come from the instances
-# themselves first, and each watch costs a call.
+# Pause between two watches of jobs, in seconds. Instances send updates to the owner
+# directly before the store does, and each watch costs a store call.
 _JOBS_WATCH_PAUSE_S = 0.25
-# Pause between two watches of workers' entries, in seconds. Each worker writes
-# its entry every 1.5 s, and each update ends a watch: without a pause they were
-# two thirds of all calls of the store. A worker that leaves must get nothing new
-# after 2 s.
+# Pause between two watches of worker entries, in seconds. Each worker writes its
+# entry every 1.5 s, and each update ends a watch: without a pause these watches
+# were two thirds of all store calls. The pause is bounded by the rule that a draining
+# worker must not be given new tasks after 2 s.
 _WORKERS_WATCH_PAUSE_S = 0.4
-# Updates in one answer after which no pause is made: more may wait. The store puts
-# some 500 into an answer, and with a pause after each of them 1,500 workers were
-# noticed 5 s late.
+# Number of updates in one page from which on the pause is skipped, because more are
+# likely pending. The store returns about 500 updates per page; with a pause after
+# each page, updates of 1,500 workers were processed 5 s late.
 _BUSY_PAGE_SIZE = 200
 
 
 class FeedContext(NamedTuple):
-    """What a feed needs.
+    """Dependencies shared by the feeds.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     post : callable
-        Hands a message to the task that decides.
+        Queues a message for the scheduling task.
     """
 
     store: StoreClient
@@ -59,7 +59,7 @@
 
 
 async def follow_jobs(feed: FeedContext, revision: int) -> None:
-    """Post jobs and cancellations from a revision on, until cancelled."""
+    """Post jobs and cancellations written after a revision, until cancelled."""
     while True:
         try:
             revision = await _watch_jobs(feed, revision)
@@ -78,13 +78,13 @@
 
 
 async def _pause_after(page: Page, pause_s: float) -> None:
-    """Let updates gather, unless there may be more already: then what is known would grow older with each answer."""
+    """Pause so that updates accumulate, but not if more may be pending: the lag would grow with each page."""
     if 0 < len(page.items) < _BUSY_PAGE_SIZE:
         await anyio.sleep(pause_s)
 
 
 def job_messages(item: Item) -> Iterator[OwnerMessage]:
-    """Yield a job or a cancellation; removals are the owner's own."""
+    """Yield the message for a job or a cancellation; removals are ignored because only the owner makes them."""
     if item.removed:
         return
     if item.key.endswith(CANCEL_SUFFIX):
@@ -99,21 +99,21 @@
 
 
 class WorkersFeed:
-    """Follows the workers' entries.
+    """Watches the entries that workers publish.
 
     Parameters
     ----------
-    feed : Feed
-        What it needs.
+    feed : FeedContext
+        Store, timing and message queue.
     """
 
     def __init__(self, feed: FeedContext) -> None:
-        """Start without entries."""
+        """Start without known entries."""
         self._feed = feed
         self._known: set[str] = set()
 
     def messages(self, page: Page, *, is_whole: bool) -> Iterator[OwnerMessage]:
-        """Yield what entries tell; a whole list of them also tells which are gone."""
+        """Yield the messages for a page of entries; a complete listing also reveals which entries were removed."""
         if is_whole:
             listed = {item.key for item in page.items}
             for key in self._known - listed:
@@ -125,7 +125,7 @@
                 yield from self._entry_messages(item)
 
     async def run(self, revision: int) -> None:
-        """Post updates from a revision on, until cancelled."""
+        """Post updates written after a revision, until cancelled."""
         while True:
             try:
                 revision = await self._watch(revision)
