--- a/packages/node/dahliaarch_node/owner/heap.py
+++ b/packages/node/dahliaarch_node/owner/heap.py
@@ -1,4 +1,4 @@
-"""Garbage collections of an owner, whose memory is large and lasts."""
+"""Tuning of garbage collection for an owner, whose heap is large and long-lived."""
 
 import gc
 import time
@@ -6,33 +6,34 @@
 
 from ..metrics import Metrics
 
-# New container objects after which the youngest generation is collected, and
-# collections of one generation after which the next one is.
+# Collection thresholds as for `gc.set_threshold`: new container objects before the youngest
+# generation is collected, and collections of a generation before the next older one is.
 _THRESHOLDS = (700, 10, 5)
-# The same while the oldest generation is not to be collected.
+# Thresholds that in effect disable collections of the oldest generation.
 _YOUNG_ONLY_THRESHOLDS = (700, 10, 1 << 30)
 _OLDEST_GENERATION = 2
-# So many times as many objects may be frozen as were in use when all were walked last.
+# Ratio of frozen objects to the objects in use at the last full scan above which the next full scan is due.
 _FREEZE_GROWTH_FACTOR = 2
 
 
 class GarbageCollectionTuner:
     """Keeps full garbage collections short while an owner holds many jobs.
 
-    A full collection walks every container object, and stops heartbeats, renewals of
-    leases and answers meanwhile. There is none while jobs are read, which leaves no
-    garbage. What is in use then, and what outlives a later one, is frozen: the next
-    one does not walk it. Reference counts free frozen objects, too; cycles among
-    them are found once twice as many are frozen as were in use.
+    A full collection traverses every container object, and blocks heartbeats, lease
+    renewals and answers in the meantime. Full collections are disabled while jobs are
+    loaded, which produces no garbage. Objects that are in use after loading, and those
+    that survive a later full collection, are frozen, so that the next one does not
+    traverse them. Reference counting still frees frozen objects. Cycles among them are
+    found by a full scan, which is due once twice as many objects are frozen as were in use.
 
     Parameters
     ----------
     metrics : Metrics
-        Where the time of full collections is counted.
+        Records the duration of full collections.
     """
 
     def __init__(self, metrics: Metrics) -> None:
-        """Change nothing yet."""
+        """Store the current thresholds without changing them."""
         self._metrics = metrics
         self._thresholds = gc.get_threshold()
         self._started_s = 0.0
@@ -40,20 +41,20 @@
         self._is_full_scan = False
 
     def __enter__(self) -> Self:
-        """Put full collections off until `loaded`."""
+        """Disable full collections until `finish_loading` is called."""
         self._thresholds = gc.get_threshold()
         gc.set_threshold(*_YOUNG_ONLY_THRESHOLDS)
         gc.callbacks.append(self._on_collection)
         return self
 
     def __exit__(self, *error: object) -> None:
-        """Leave all to the interpreter's own settings."""
+        """Restore the previous thresholds and unfreeze all objects."""
         gc.callbacks.remove(self._on_collection)
         gc.set_threshold(*self._thresholds)
         gc.unfreeze()
 
     def finish_loading(self) -> None:
-        """Freeze what was read."""
+        """Freeze the loaded objects and enable full collections."""
         gc.freeze()
         self._max_frozen = gc.get_freeze_count() * _FREEZE_GROWTH_FACTOR
         gc.set_threshold(*_THRESHOLDS)
