--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -292,7 +292,7 @@
     def _add_successor(self, predecessor: WorkerProfile, incarnation: WorkerIncarnation, address: Address) -> None:
         """Open a link to the successor of an incarnation before the successor's entry has been read.
 
-        Its capacity, its labels and whether it is draining may differ from those of its predecessor.
+        Its capacity, its kind and whether it is draining may differ from those of its predecessor.
         """
         profile = predecessor._replace(worker_id=incarnation.worker_id, draining=False, leaves_in_s=None)
         self._scheduler.expect_worker(profile, self._now())
