--- a/packages/node/dahliaarch_node/owner/load_gauges.py
+++ b/packages/node/dahliaarch_node/owner/load_gauges.py
@@ -1,4 +1,4 @@
-"""Shows as metrics what the owner has to do, and what keeps it from being done."""
+"""Metrics of the owner's load: active jobs, waiting steps by reason and unconfirmed runs."""
 
 from collections.abc import Iterator
 from typing import Self
@@ -9,29 +9,29 @@
 
 from ..metrics import Metrics
 
-# Shortest time between two updates, in seconds.
+# Minimum time between two updates, in seconds.
 _UPDATE_INTERVAL_S = 0.25
 
 
 class LoadGauges:
-    """The gauges that only the owner sets.
+    """Sets the gauges that only the owner exports, and resets them when it is deposed.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Whose load it is.
+        Scheduler whose load is exported.
     metrics : Metrics
-        Where it is shown.
+        Metrics that hold the gauges.
     """
 
     def __init__(self, scheduler: Scheduler, metrics: Metrics) -> None:
-        """Show nothing yet."""
+        """Leave the gauges unchanged until the first update."""
         self._scheduler = scheduler
         self._metrics = metrics
         self._updated_s = float('-inf')
 
     def update(self, now_s: float) -> None:
-        """Show the present load, unless it was shown a moment ago."""
+        """Set the gauges to the current load, at most once per update interval."""
         if now_s - self._updated_s < _UPDATE_INTERVAL_S:
             return
         self._updated_s = now_s
@@ -44,11 +44,11 @@
         self._metrics.unconfirmed_run_s.set(max(ages_s, default=0.0))
 
     def __enter__(self) -> Self:
-        """Begin to show the load."""
+        """Return this object; the gauges are reset on exit."""
         return self
 
     def __exit__(self, *error: object) -> None:
-        """Show no load: another instance owns the pool."""
+        """Reset the gauges to zero, because this instance no longer owns the pool."""
         self._metrics.active_jobs.set(0)
         for reason in WaitReason:
             self._metrics.waiting_steps.labels(reason.value).set(0)
@@ -57,6 +57,6 @@
         self._metrics.unconfirmed_run_s.set(0)
 
     def _unconfirmed_runs(self) -> Iterator[Run]:
-        """Yield the runs whose start no worker has acknowledged or listed."""
+        """Yield the runs whose start has been neither acknowledged nor listed by a worker."""
         for worker in self._scheduler.worker_by_id.values():
             yield from (run for run in worker.run_by_key.values() if not run.is_confirmed)
