--- a/packages/node/dahliaarch_node/owner/messages.py
+++ b/packages/node/dahliaarch_node/owner/messages.py
@@ -1,4 +1,4 @@
-"""Messages from the owner's tasks to the one that decides."""
+"""Messages from the owner's other tasks to its scheduling task."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -12,18 +12,18 @@
 
 
 class JobListed(NamedTuple):
-    """A job is in the store.
+    """A job has been read from the store.
 
     Parameters
     ----------
     spec : JobSpec
-        The job.
+        Specification of the job.
     queue : Queue
-        Its queue when it was accepted.
+        Settings of its queue at the time of acceptance.
     revision : int
-        Store revision of its acceptance.
+        Store revision at which it was accepted.
     owner_epoch : int
-        Epoch of the owner that the accepting instance knew.
+        Epoch of the owner known to the accepting instance.
     """
 
     spec: JobSpec
@@ -33,25 +33,25 @@
 
 
 class JobCancelled(NamedTuple):
-    """A cancellation is in the store."""
+    """A job's cancellation has been read from the store."""
 
     job_id: str
 
 
 class WorkerListed(NamedTuple):
-    """A worker's entry is in the store; it may be of an earlier incarnation than the one that answers."""
+    """A worker's entry has been read from the store; it may predate the incarnation that answers."""
 
     profile: WorkerProfile
     address: Address
     incarnation: WorkerIncarnation
 
     def for_incarnation(self, incarnation: WorkerIncarnation) -> 'WorkerListed':
-        """Return it as the entry of the incarnation that is known under its name."""
+        """Return a copy of the entry for the incarnation that is known under its name."""
         return self._replace(incarnation=incarnation, profile=self.profile._replace(worker_id=incarnation.worker_id))
 
 
 class WorkerInherited(NamedTuple):
-    """The previous owner knew an incarnation of a worker: tasks may run there, whether it has an entry or not."""
+    """The previous owner knew an incarnation of a worker: tasks may be running there even if it has no entry."""
 
     profile: WorkerProfile
     address: Address
@@ -60,36 +60,36 @@
 
 
 class WorkersSynced(NamedTuple):
-    """All that workers publish is known up to now."""
+    """All worker entries published so far have been read."""
 
 
 class WorkerUnlisted(NamedTuple):
-    """The entry under a worker's name is gone."""
+    """The entry under a worker's name has been removed."""
 
     name: str
 
 
 class WorkerUnreadable(NamedTuple):
-    """The entry under a worker's name is there and names no worker: another writer made it."""
+    """The entry under a worker's name does not describe a worker: it was written by something else."""
 
     name: str
 
 
 class WorkerSurveyed(NamedTuple):
-    """A worker said what runs and what has ended.
+    """A worker answered a survey with its running and ended runs.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Identifier of the worker.
     running : tuple of RunSeen
-        What runs.
+        Runs in progress.
     ended : tuple of RunEnd
-        Ends not seen before.
+        Ends that earlier surveys did not list.
     last_end : int
         Number of the last end listed.
     begun_s : float
-        When it was asked, steady clock.
+        Steady-clock time at which the survey was sent.
     """
 
     worker_id: str
@@ -100,26 +100,26 @@
 
 
 class WorkerSilent(NamedTuple):
-    """A worker does not answer."""
+    """A worker has stopped answering."""
 
     worker_id: str
 
 
 class WorkerOver(NamedTuple):
-    """An incarnation of a worker has ended for certain."""
+    """An incarnation of a worker has certainly ended."""
 
     worker_id: str
 
 
 class WorkerReplaced(NamedTuple):
-    """An incarnation of a worker has ended for certain: another one under its name has answered.
+    """An incarnation of a worker has certainly ended, because another one under its name has answered.
 
     Parameters
     ----------
     worker_id : str
-        The incarnation that has ended.
+        Identifier of the ended incarnation.
     successor : WorkerIncarnation
-        The one that answered.
+        Incarnation that answered.
     """
 
     worker_id: str
@@ -127,7 +127,7 @@
 
 
 class StartAcknowledged(NamedTuple):
-    """A worker took a start."""
+    """A worker accepted a start."""
 
     worker_id: str
     key: TaskKey
@@ -135,7 +135,7 @@
 
 
 class RunRuledOut(NamedTuple):
-    """A run is certainly not on its worker and never will be."""
+    """A run is certainly not on its worker and can never start there."""
 
     worker_id: str
     key: TaskKey
@@ -144,18 +144,18 @@
 
 
 class AdviceGiven(NamedTuple):
-    """The outside policy said which workers may run a step.
+    """The external policy answered which workers may run a step.
 
     Parameters
     ----------
     step : StepKey
-        The step.
+        Step that the query was about.
     asked : tuple of str
-        Workers that were named.
+        Workers that the query listed.
     ticket_by_worker : mapping
-        Tickets of those that may.
+        Tickets of the workers that may run the step.
     until_s : float
-        When the tickets expire, steady clock.
+        Steady-clock time at which the tickets expire.
     """
 
     step: StepKey
@@ -165,7 +165,7 @@
 
 
 class AdviceFailed(NamedTuple):
-    """The outside policy did not answer."""
+    """A query to the external policy failed."""
 
     step: StepKey
 
