--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the progress of jobs and where their tasks are assigned in the store, many jobs in one transaction."""
+"""Persists job progress, task assignments and the worker roster in the store, batching jobs per transaction."""
 
 import zlib
 from collections import defaultdict
@@ -36,33 +36,33 @@
 from .committing import Committer
 from .held_starts import HeldStarts, RunId
 
-# Ends of tasks that come within this time share a transaction, in seconds; they
-# are owed their acknowledgement 0.1 s after they were listed. The end of a job is
-# waited for by its owner and kept at once.
+# Task ends that arrive within this time share a transaction, in seconds. They must
+# be acknowledged within 0.1 s of being listed. The end of a job is persisted without
+# this delay, because the job's submitter waits for it.
 _BATCH_DELAY_S = 0.03
-# Changes of one transaction: each brings a condition on its own key, beside the
-# one on the owner's key.
+# Maximum number of changes in one transaction. Each change adds a condition on its
+# own key, in addition to the condition on the owner's key.
 _MAX_CHANGES_PER_TRANSACTION = (MAX_TRANSACTION_ENTRIES - 1) // 2
-# Longest time that an assignment whose run has ended stays in the store, in seconds: a next
-# owner would wait for its worker if that is silent.
+# Maximum time that the assignment of an ended run stays in the store, in seconds. The next
+# owner would wait for its worker if that worker is silent.
 _MAX_FLUSH_INTERVAL_S = 0.5
-# Keys that the list of workers is spread over: a worker that changes costs what 44
-# of 1,400 take, 6 KB, and not 196.
+# Number of keys that the roster is partitioned into. With 1,400 workers, a change to
+# one of them rewrites the entries of 44, which is 6 KB instead of 196 KB.
 _ROSTER_PARTS = 32
-# Jobs removed in one transaction: each has a record, a cancellation and progress.
+# Maximum number of jobs removed in one transaction; each has a record, a cancellation and a progress key.
 _MAX_JOBS_PER_REMOVAL = (MAX_TRANSACTION_ENTRIES - 1) // 3
-# How often jobs that ended long ago are removed, in seconds.
+# Interval between removals of jobs past their retention period, in seconds.
 _CLEANUP_INTERVAL_S = 30.0
-# Kept longer than promised, since clocks differ.
+# Time that jobs are kept beyond the promised retention period, in seconds, because clocks differ.
 _RETENTION_MARGIN_S = 30.0
 
 
 class RevisionConflictError(DahliaarchError):
-    """Keys stand at other revisions than was known: a write was carried out late."""
+    """Keys are at unexpected revisions because a delayed write was applied."""
 
 
 class _Change(NamedTuple):
-    """A key that is written or, without a value, removed."""
+    """A write to a key or, if `value` is None, its removal."""
 
     key: str
     value: bytes | None
@@ -70,16 +70,16 @@
 
 
 class _PendingChanges(NamedTuple):
-    """What is to be kept of jobs.
+    """Changes to jobs that have not been persisted yet.
 
     Parameters
     ----------
     job_ids : set of str
         Jobs whose progress has changed.
     parts : set of AssignmentsPart
-        Assignments that have changed.
+        Parts whose assignments have changed.
     runs_by_part : dict
-        Runs whose starts are sent once their assignments are kept.
+        Runs whose starts are sent once their assignments are persisted.
     """
 
     job_ids: set[str]
@@ -87,13 +87,13 @@
     runs_by_part: dict[AssignmentsPart, list[RunId]]
 
     def ordered_ids(self) -> list[str]:
-        """Return the jobs in the order in which they are to be kept: starts wait for some."""
+        """Return the jobs in the order in which to persist them: first those with held starts."""
         first = dict.fromkeys(part.job_id for part in self.runs_by_part)
         others = self.job_ids.union(part.job_id for part in self.parts).difference(first)
         return [*first, *sorted(others)]
 
     def parts_by_job(self) -> dict[str, list[AssignmentsPart]]:
-        """Return the parts by job, in their order."""
+        """Return the sorted parts of each job."""
         found: dict[str, list[AssignmentsPart]] = {}
         for part in sorted(self.parts):
             found.setdefault(part.job_id, []).append(part)
@@ -101,28 +101,28 @@
 
 
 class Recorder:
-    """Writes progress and assignments under the condition that this owner is still the owner.
+    """Writes progress and assignments on the condition that this owner still owns the pool.
 
     Parameters
     ----------
     store : Committer
-        Makes transactions.
+        Commits transactions.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     scheduler : Scheduler
-        Whose jobs are kept.
+        Scheduler whose jobs are persisted.
     epoch : int
         Revision of the owner's key.
-    starts : HeldStarts
-        Starts that are sent once their assignments are kept.
-    mark : callable
-        Returns, by worker, the last end that has been taken in.
-    kept : callable
-        Called with such a mark once everything up to it is kept.
-    shown : callable
-        Called with a job whose end is kept, so that it may be shown.
-    deposed : callable
-        Called when another owner has taken the pool.
+    held_starts : HeldStarts
+        Starts that are sent once their assignments are persisted.
+    processed_ends : callable
+        Returns, by worker, the number of the last end that has been processed.
+    on_persisted : callable
+        Called with the result of `processed_ends` once everything up to it is persisted.
+    on_end_persisted : callable
+        Called with a job whose end is persisted and may now be shown to clients.
+    on_deposed : callable
+        Called when another owner has taken over the pool.
     """
 
     def __init__(
@@ -138,15 +138,15 @@
         on_end_persisted: Callable[[str], None],
         on_deposed: Callable[[], None],
     ) -> None:
-        """Start with nothing to keep."""
+        """Start without pending changes."""
         self.flush_requested = anyio.Event()
         self.roster: list[RosterEntry] = []
-        # Revisions at which the keys stand: a write that is carried out late, after
-        # a newer one of the same owner, fails on them.
+        # Expected revision of each key. A delayed write that is applied after a newer
+        # one by the same owner fails on these revisions.
         self.revision_by_key: dict[str, int] = {}
         self._encoded_roster: list[RosterEntry] = []
         self._roster_version = 0
-        # Number of the latest roster that the store surely holds.
+        # Version of the latest roster that the store is known to hold.
         self.persisted_roster_version = 0
         self._part_by_key: dict[str, bytes] = {}
         self._persisted_part_by_key: dict[str, bytes] = {}
@@ -161,14 +161,14 @@
         self._on_deposed = on_deposed
 
     def set_roster(self, roster: list[RosterEntry]) -> int:
-        """Have a roster kept in place of the one before; return its number."""
+        """Replace the roster to be persisted; return its version."""
         self.roster = roster
         self._roster_version += 1
         self.flush_requested.set()
         return self._roster_version
 
     async def run(self) -> None:
-        """Keep what has changed, again and again, until cancelled."""
+        """Persist changes until cancelled."""
         while True:
             with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
                 await self.flush_requested.wait()
@@ -178,13 +178,13 @@
             await self._flush()
 
     async def run_cleanup(self, status_s: float, wall_s: Callable[[], float]) -> None:
-        """Remove jobs that ended long ago, again and again, until cancelled."""
+        """Periodically remove jobs past their retention period, until cancelled."""
         while True:
             await anyio.sleep(_CLEANUP_INTERVAL_S)
             await self.remove_ended(wall_s() - status_s - _RETENTION_MARGIN_S)
 
     async def remove_ended(self, before_wall_s: float) -> None:
-        """Remove the jobs that ended before a time, many in one transaction."""
+        """Remove the jobs that ended before a wall-clock time, in batches."""
         old = self._scheduler.ended_before(before_wall_s)
         for first in range(0, len(old), _MAX_JOBS_PER_REMOVAL):
             await self._remove_jobs(old[first : first + _MAX_JOBS_PER_REMOVAL])
@@ -198,7 +198,7 @@
         )
         roster_version = self._roster_version
         roster = self._roster_changes()
-        # Jobs come first: a worker is taken off the roster only once nothing says that a task runs there.
+        # Jobs come first: a worker is removed from the roster only once no stored assignment names it.
         changes = [*self._job_changes(pending), *roster]
         try:
             for first in range(0, len(changes), _MAX_CHANGES_PER_TRANSACTION):
@@ -222,12 +222,12 @@
         self._on_persisted(processed_ends)
 
     def _release(self, pending: _PendingChanges, parts: Iterable[AssignmentsPart]) -> None:
-        """Let starts be sent whose assignments are kept, and whose workers are on the kept roster."""
+        """Send the held starts whose assignments, and whose workers' roster entries, are persisted."""
         for part in parts:
             self._held_starts.release(pending.runs_by_part.pop(part, ()))
 
     def _requeue(self, pending: _PendingChanges, changes: Iterable[_Change]) -> None:
-        """Have what was not kept written again: a write without an answer may yet be carried out."""
+        """Queue changes that failed for another write; an unanswered write may still be applied later."""
         for change in changes:
             self._persisted_part_by_key.pop(change.key, None)
         self._scheduler.mark_dirty(pending.job_ids)
@@ -235,7 +235,7 @@
         self.flush_requested.set()
 
     def _mark_persisted(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
-        """Note what is kept now: it is not written again when a later transaction fails, and ends may be shown."""
+        """Mark a batch as persisted: it is not rewritten if a later transaction fails, and job ends may be shown."""
         for change in batch:
             if change.part is not None:
                 pending.parts.discard(change.part)
@@ -264,10 +264,10 @@
             return True
         present = {item.key: item.revision for item in outcome.current}
         if present.get(OWNER_KEY) == self._epoch:
-            # An earlier write without an answer has been carried out meanwhile.
+            # An earlier unanswered write has been applied in the meantime.
             for change in batch:
                 self._record_revision(change.key, present.get(change.key, 0))
-            raise RevisionConflictError(f'{len(batch)} keys')
+            raise RevisionConflictError(f'one or more of {len(batch)} keys at an unexpected revision')
         log_event('progress_refused', status=outcome.status, epoch=self._epoch)
         self._on_deposed()
         return False
@@ -276,14 +276,14 @@
         return self.revision_by_key.get(key, 0)
 
     def _record_revision(self, key: str, revision: int) -> None:
-        """Note at which revision a key stands; 0 for one that is gone."""
+        """Record the revision of a key, 0 for a removed one."""
         if revision:
             self.revision_by_key[key] = revision
         else:
             self.revision_by_key.pop(key, None)
 
     def _job_changes(self, pending: _PendingChanges) -> Iterator[_Change]:
-        """Yield what is to be kept of jobs: of each its progress, then where its tasks are assigned."""
+        """Yield the changes of each job: its progress, then its assignments."""
         parts_by_job = pending.parts_by_job()
         for job_id in pending.ordered_ids():
             job = self._scheduler.job_by_id.get(job_id)
@@ -295,7 +295,7 @@
             yield from self._assignment_changes(self._stored_parts(job) if job.has_ended else parts)
 
     def _assignment_changes(self, parts: Iterable[AssignmentsPart]) -> Iterator[_Change]:
-        """Yield changes of assignments; where nothing is assigned any more, nothing is kept."""
+        """Yield changes of assignments; a part without assignments is removed."""
         for part in parts:
             key = assignments_key(part)
             assignments = self._scheduler.assignments.of_part(part)
@@ -305,12 +305,12 @@
                 yield _Change(key, None, part)
 
     def _stored_parts(self, job: JobState) -> list[AssignmentsPart]:
-        """Return the parts of a job that the store holds, as far as is known."""
+        """Return the parts of a job that the store is known to hold."""
         parts = (part for step in job.step_by_key.values() for part in parts_of(step))
         return [part for part in parts if self._revision(assignments_key(part))]
 
     def _roster_changes(self) -> list[_Change]:
-        """Return the parts of the list of workers that have changed, and then that this owner keeps assignments."""
+        """Return the changed parts of the roster, followed by the mark that this owner stores assignments."""
         if self.roster is not self._encoded_roster:
             self._part_by_key = self._roster_parts()
             self._encoded_roster = self.roster
@@ -322,7 +322,7 @@
 
     def _roster_parts(self) -> dict[str, bytes]:
         entries_by_key = defaultdict[str, list[RosterEntry]](list)
-        # Parts that a previous owner wrote may name workers that are gone.
+        # Parts written by a previous owner may contain only workers that no longer exist.
         for key in self.revision_by_key:
             if key.startswith(ROSTER_PREFIX):
                 entries_by_key[key] = []
