--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -1,4 +1,4 @@
-"""Links to all known workers, and what is acknowledged to each."""
+"""Registry of the links to all known workers, and the run ends acknowledged on each."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -17,38 +17,38 @@
 from .links import WorkerLink
 from .messages import WorkerListed
 
-# How late an order that got no answer may be carried out, in seconds.
+# Maximum delay, in seconds, after which a worker may still carry out an unanswered order.
 _MAX_ORDER_DELAY_S = 12.0
-# Incarnations of one worker that an owner may meet, for the numbers that its orders carry.
+# Number of fences reserved for each epoch: one for each incarnation of a worker that an owner may encounter.
 _INCARNATIONS_PER_EPOCH = 1 << 10
 
 
 def fence_of(epoch: int, incarnations: int) -> int:
-    """Return the number that orders to an incarnation of a worker carry.
+    """Return the fence (fencing token) that orders to an incarnation of a worker carry.
 
-    It grows with the owners and, under one owner, with the incarnations of a worker: an
-    order for an earlier incarnation that is carried out late is refused by the later one.
+    Fences increase with the epoch and, within one epoch, with the incarnations of a worker,
+    so a later incarnation refuses a delayed order that was sent to an earlier one.
     """
     return epoch * _INCARNATIONS_PER_EPOCH + min(incarnations, _INCARNATIONS_PER_EPOCH - 1)
 
 
 def epoch_of(fence: int) -> int:
-    """Return the epoch of the owner whose orders carry a fence."""
+    """Return the epoch of the owner that issued a fence."""
     return fence // _INCARNATIONS_PER_EPOCH
 
 
 class LinkRegistry:
-    """Links by incarnation of a worker; one at a time under each name.
+    """Links by worker incarnation, with at most one open link per worker name.
 
-    A worker that starts again may keep its name. Which incarnation answers is known from
-    its answers alone: entries come late, and those of an earlier incarnation after those
-    of a later one. So an entry of another incarnation than the one that is known counts
-    once that one is over.
+    A restarted worker may keep its name. Only a worker's answers tell which incarnation is
+    running: its entries arrive late, and those of an earlier incarnation may arrive after
+    those of a later one. An entry of another incarnation than the known one is therefore
+    applied only once the known one has ended.
 
     Parameters
     ----------
     context : LinkContext
-        What every link uses.
+        Dependencies and settings shared by all links.
     """
 
     def __init__(self, context: LinkContext) -> None:
@@ -58,29 +58,29 @@
         self._link_by_name: dict[str, WorkerLink] = {}
         self._incarnations_by_name: Counter[str] = Counter()
         self._entry_by_name: dict[str, WorkerListed] = {}
-        # Earlier incarnations to which an acknowledgement was sent that their next ones may have carried out.
+        # By name, an earlier incarnation's unanswered acknowledgement that its successor may have carried out.
         self._unanswered_by_name: dict[str, _UnansweredAcknowledgement] = {}
         self._given_up_by_address: dict[Address, str] = {}
-        # Workers of which the store may hold that nothing runs there, whichever incarnation of them it names.
+        # By name, for workers that the store may mark as lapsed under any incarnation: the latest such roster version.
         self._lapsed_roster_version_by_name: dict[str, int] = {}
 
     def get(self, worker_id: str) -> WorkerLink | None:
-        """Return the link to an incarnation of a worker, if there is one."""
+        """Return the link to an incarnation of a worker, or None."""
         return self._link_by_id.get(worker_id)
 
     def find_by_name(self, name: str) -> WorkerLink | None:
-        """Return the link to the worker of a name, if there is one."""
+        """Return the link to the worker of a name, or None."""
         return self._link_by_name.get(name)
 
     def name_of(self, worker_id: str) -> str:
-        """Return the name under which a worker publishes itself, by one of its incarnations."""
+        """Return the name under which the worker of an incarnation publishes its entry."""
         link = self._link_by_id.get(worker_id)
         return worker_id if link is None else link.incarnation.name
 
     def open(
         self, worker: WorkerState, incarnation: WorkerIncarnation, address: Address, tasks: TaskGroup
     ) -> WorkerLink:
-        """Return the link to an incarnation of a worker, started if it is new."""
+        """Return the link to an incarnation of a worker, creating and starting it if necessary."""
         link = self._link_by_id.get(worker.worker_id)
         if link is None:
             self._incarnations_by_name[incarnation.name] += 1
@@ -96,7 +96,7 @@
         return link
 
     def close(self, worker_id: str) -> None:
-        """Close the link to an incarnation of a worker, if any; an entry of another one may be taken in now."""
+        """Close the link to an incarnation of a worker, if any, and post a pending entry of another incarnation."""
         link = self._link_by_id.pop(worker_id, None)
         if link is None:
             return
@@ -110,32 +110,35 @@
 
     @property
     def max_late_run_s(self) -> float:
-        """How long a late start may run after it was sent: it comes late and has the longest lease."""
+        """Maximum time after its sending until which a delayed start may run: its delay plus the longest lease."""
         return _MAX_ORDER_DELAY_S + self._context.settings.hold_s
 
     def save_entry(self, entry: WorkerListed) -> None:
-        """Keep the entry that was read last under a worker's name."""
+        """Store the latest entry read under a worker's name."""
         self._entry_by_name[entry.incarnation.name] = entry
 
     def forget_entry(self, name: str) -> None:
-        """Forget an entry that is gone, or can't be read any more."""
+        """Discard an entry that was removed or can no longer be decoded."""
         self._entry_by_name.pop(name, None)
 
     def close_all_but(self, known: Mapping[str, WorkerState]) -> None:
-        """Close links to workers that the scheduler has given up."""
+        """Close the links to workers that the scheduler no longer tracks."""
         for worker_id in self._link_by_id.keys() - known.keys():
             log_event('worker_given_up', worker=worker_id)
             self._given_up_by_address[self._link_by_id[worker_id].address] = worker_id
             self.close(worker_id)
 
     def pop_predecessor(self, worker_id: str) -> str | None:
-        """Return, once, the incarnation that was given up at the address where a worker has answered: it is over."""
+        """Return and forget the incarnation that was given up at a worker's address.
+
+        It has ended, because another incarnation answers at that address.
+        """
         link = self._link_by_id.get(worker_id)
         former = None if link is None else self._given_up_by_address.pop(link.address, None)
         return None if former == worker_id else former
 
     def roster(self, known: Mapping[str, WorkerState]) -> list[RosterEntry]:
-        """Return the workers that the next owner must ask."""
+        """Return the workers that the next owner must survey."""
         return [
             self._roster_entry(known[worker_id], link)
             for worker_id, link in sorted(self._link_by_id.items())
@@ -143,24 +146,24 @@
         ]
 
     def mark_inherited_lapsed(self, worker: WorkerState) -> None:
-        """Take in that the store holds that nothing runs on a worker."""
+        """Mark a worker as lapsed because the stored roster says that nothing is running on it."""
         worker.is_lapsed = True
         self._lapsed_roster_version_by_name[self.name_of(worker.worker_id)] = 0
 
     def record_lapsed(self, roster: Iterable[RosterEntry], number: int) -> None:
-        """Record the number of a roster that may reach the store from now on."""
+        """Record the version of a roster that may be written from now on, for each worker it marks as lapsed."""
         lapsed = (entry.known_incarnation.name for entry in roster if entry.is_lapsed)
         self._lapsed_roster_version_by_name.update(dict.fromkeys(lapsed, number))
 
     def readmit(self, known: Mapping[str, WorkerState], persisted_version: int) -> None:
-        """Let workers that have answered get starts again, once the store holds a roster without their marks.
+        """Allow starts on workers that answer again, once the stored roster no longer marks them as lapsed.
 
         Parameters
         ----------
         known : mapping
             Workers by id.
-        kept_number : int
-            Number of the latest roster that the store surely holds.
+        persisted_version : int
+            Version of the latest roster that the store is known to hold.
         """
         numbers = self._lapsed_roster_version_by_name
         self._lapsed_roster_version_by_name = {
@@ -171,21 +174,21 @@
                 worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_roster_version_by_name
 
     def _roster_incarnation(self, link: WorkerLink) -> WorkerIncarnation:
-        """Return the incarnation that the next owner reads: it probes the same successors as this one does."""
+        """Return the incarnation to list on the roster, from which the next owner probes the same successors."""
         earlier = self._unanswered_by_name.get(link.incarnation.name)
         return earlier.incarnation if earlier is not None and link.may_hide_ends else link.incarnation
 
     @property
     def has_unacknowledged_ends(self) -> bool:
-        """Whether ends were taken in that are not acknowledged yet."""
+        """Whether any processed end has not been acknowledged yet."""
         return any(link.processed > link.acknowledged for link in self._link_by_id.values())
 
     def last_processed_ends(self) -> dict[str, int]:
-        """Return, by worker, the number of the last end taken in."""
+        """Return, by worker, the number of the last processed end."""
         return {worker_id: link.processed for worker_id, link in self._link_by_id.items()}
 
     def acknowledge(self, processed_ends: dict[str, int]) -> None:
-        """Let ends up to a mark be acknowledged: they are kept."""
+        """Allow ends up to the given numbers to be acknowledged, since they are persisted."""
         for worker_id, number in processed_ends.items():
             link = self._link_by_id.get(worker_id)
             if link is not None:
@@ -198,7 +201,7 @@
         return RosterEntry(profile, link.address, incarnation, is_lapsed)
 
     def _record_unanswered(self, link: WorkerLink) -> None:
-        """Note an incarnation whose next one may carry out an acknowledgement meant for it, or an earlier one."""
+        """Record a closed incarnation if a successor may still carry out an acknowledgement sent to it or before."""
         name = link.incarnation.name
         earlier = self._unanswered_by_name.pop(name, None)
         sent = [
@@ -217,14 +220,14 @@
 
 
 class _UnansweredAcknowledgement(NamedTuple):
-    """Until when an acknowledgement to an incarnation of a worker may be carried out, after its end too.
+    """An acknowledgement to a worker that may still be carried out after the addressed incarnation has ended.
 
     Parameters
     ----------
     until_s : float
-        Until when, steady clock.
+        Time until which it may be carried out, on the steady clock.
     is_own : bool
-        Whether this owner sent it; else the one before may have.
+        Whether this owner sent it; if False, the previous owner may have sent one.
     incarnation : WorkerIncarnation
         The last incarnation that has ended.
     """
