--- a/packages/node/dahliaarch_node/owner/settings.py
+++ b/packages/node/dahliaarch_node/owner/settings.py
@@ -1,4 +1,4 @@
-"""What an owner of the pool is built with."""
+"""Settings of the pool owner."""
 
 from typing import NamedTuple
 
@@ -10,18 +10,18 @@
 
 
 class OwnerSettings(NamedTuple):
-    """Everything that an owner is built with.
+    """Settings that a pool owner is created with.
 
     Parameters
     ----------
     epoch : int
-        Its epoch.
+        Epoch of the owner.
     bounds : Bounds
-        Time bounds of the platform.
+        Time bounds set by the platform.
     timing : StoreTiming
-        Timeouts and pauses of the store.
+        Timeouts and retry pauses of store calls.
     own : OwnSettings
-        What the project's operators decide.
+        Settings chosen by the project's operators.
     """
 
     epoch: int
@@ -31,7 +31,7 @@
 
 
 def scheduler_settings(settings: OwnerSettings) -> SchedulerSettings:
-    """Return the scheduler's settings: ours, and the bounds that the platform sets."""
+    """Return the operators' scheduler settings, completed with the bounds set by the platform."""
     bounds = settings.bounds
     return settings.own.scheduler._replace(
         far_factor=bounds.far_factor,
