--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -1,4 +1,4 @@
-"""Reads what previous owners left in the store."""
+"""Reads the state that previous owners left in the store."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -28,16 +28,16 @@
 
 
 class KnownWorkers(NamedTuple):
-    """Workers that may run something.
+    """Workers that may be running tasks.
 
     Parameters
     ----------
     entries : Page
-        Workers' entries.
+        Entries that workers published.
     roster : tuple of RosterEntry
-        Workers that the last owner knew, with an entry or without.
+        Workers that the previous owner knew, whether or not they have an entry.
     revision_by_key : dict
-        Revisions of the keys that the owner writes.
+        Revisions of the roster keys, which only owners write.
     """
 
     entries: Page
@@ -46,20 +46,20 @@
 
 
 class StoredJobs(NamedTuple):
-    """Jobs and what is known of them.
+    """Jobs in the store with their progress and assignments.
 
     Parameters
     ----------
     jobs : Page
-        Jobs and cancellations.
+        Job records and cancellations.
     progress_by_id : dict
         Progress by job.
     assignments_by_id : dict
-        Where tasks may run, by job.
+        Assignments by job: the workers on which its tasks may be running.
     revision_by_key : dict
-        Revisions of the keys that the owner writes.
+        Revisions of the progress and assignment keys, which only owners write.
     is_readable : bool
-        Whether all assignments could be read.
+        Whether all assignments could be decoded.
     """
 
     jobs: Page
@@ -70,25 +70,25 @@
 
 
 def are_assignments_complete(workers: KnownWorkers, stored: StoredJobs) -> bool:
-    """Tell whether previous owners kept each assignment before they sent its start.
+    """Return whether previous owners stored each assignment before they sent its start.
 
-    An earlier version does not, and writes the roster alone; a later one may write what can't be read here.
+    Earlier versions of the program store only the roster, and later ones may use an encoding unknown to this one.
     """
     roster_revision = max(workers.revision_by_key.values(), default=0)
     return stored.is_readable and stored.revision_by_key.get(ASSIGNER_KEY, 0) >= roster_revision
 
 
 async def read_workers(store: StoreClient, timing: StoreTiming) -> KnownWorkers:
-    """Read which workers there are, however long the store needs."""
+    """Read worker entries and the roster, retrying until the store answers."""
     entries, roster = await _read_prefixes(store, timing, WORKERS_PREFIX, ROSTER_PREFIX)
     return KnownWorkers(entries, _roster(roster), _revision_by_key(roster))
 
 
 async def read_jobs(store: StoreClient, timing: StoreTiming) -> StoredJobs:
-    """Read all jobs, however long the store needs.
+    """Read all jobs, retrying until the store answers.
 
-    Only owners write progress and assignments, and no earlier one can any more: they
-    belong to jobs that were there before.
+    Only owners write progress and assignments, and no previous owner can write any more,
+    so the progress and assignments read here belong to jobs that are already in the store.
     """
     progress, assignments, jobs = await _read_prefixes(store, timing, PROGRESS_PREFIX, ASSIGNMENTS_PREFIX, JOBS_PREFIX)
     assignments_by_id, is_readable = _assignments_by_id(assignments)
@@ -97,7 +97,7 @@
 
 
 async def _read_prefixes(store: StoreClient, timing: StoreTiming, *prefixes: str) -> list[Page]:
-    """Read prefixes at once: from a store that takes 0.27 s for an answer a takeover took 1.07 s."""
+    """Read prefixes concurrently; one by one, a takeover took 1.07 s with a store that answers in 0.27 s."""
     page_by_prefix: dict[str, Page] = {}
 
     async def read(prefix: str) -> None:
@@ -124,7 +124,7 @@
 
 
 def _assignments_by_id(page: Page) -> tuple[AssignmentsById, bool]:
-    """Decode assignments; tell whether all could be read."""
+    """Decode assignments; also return whether all of them could be decoded."""
     found: AssignmentsById = defaultdict(dict)
     is_readable = True
     for item in page.items:
