--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -178,7 +178,7 @@
                 handler = MessageHandler(dependencies, self.epoch, tasks)
                 jobs_revision = await self._load(handler, tasks)
                 self._gc_tuner.finish_loading()
-                await self._survey_all(handler)
+                await self._await_reports(handler)
                 self.is_ready = True
                 log_event(
                     'owner_ready',
@@ -231,7 +231,7 @@
         yield from self._workers_feed.messages(workers.entries, is_whole=True)
         yield WorkersSynced()
 
-    async def _survey_all(self, handler: MessageHandler) -> None:
+    async def _await_reports(self, handler: MessageHandler) -> None:
         """Wait for reports from all workers until the survey timeout.
 
         Jobs accepted under previous owners wait for each remaining worker until it answers or
