--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -176,7 +176,7 @@
                     _now,
                 )
                 handler = MessageHandler(dependencies, self.epoch, tasks)
-                jobs_revision = await self._load(handler, tasks)
+                jobs_revision = await self._load_state(handler, tasks)
                 self._gc_tuner.finish_loading()
                 await self._await_reports(handler)
                 self.is_ready = True
@@ -192,7 +192,7 @@
                 tasks.start_soon(self._recorder.run_cleanup, self._settings.bounds.status_s, time.time)
                 await self._run_passes(handler)
 
-    async def _load(self, handler: MessageHandler, tasks: TaskGroup) -> int:
+    async def _load_state(self, handler: MessageHandler, tasks: TaskGroup) -> int:
         """Load workers and jobs; return the revision to follow jobs from.
 
         Workers are loaded first so that their leases are renewed from then on: over a
