--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -158,8 +158,8 @@
         self.scheduler.set_guarantees({account.name: account.guaranteed_accelerators for account in accounts})
         services = configuration.service_by_name.values()
         self.scheduler.set_unguarded(each.name for each in services if not each.workers_check_capacity)
-        of_queues = {queue.service for queue in configuration.queue_by_name.values()}
-        for message in self._unserved.set_services(of_queues.union(configuration.service_by_name)):
+        queue_services = {queue.service for queue in configuration.queue_by_name.values()}
+        for message in self._unserved.set_services(queue_services.union(configuration.service_by_name)):
             self.post(message)
 
     async def run(self) -> None:
