--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -204,7 +204,7 @@
         """Record a closed incarnation if a successor may still carry out an acknowledgement sent to it or before."""
         name = link.incarnation.name
         earlier = self._unanswered_by_name.pop(name, None)
-        sent = [
+        acknowledgements = [
             _UnansweredAcknowledgement(
                 link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
             ),
@@ -213,8 +213,8 @@
             ),
         ]
         if earlier is not None:
-            sent.append(earlier._replace(incarnation=link.incarnation))
-        late = [each for each in sent if link.last_contact_s < each.until_s]
+            acknowledgements.append(earlier._replace(incarnation=link.incarnation))
+        late = [each for each in acknowledgements if link.last_contact_s < each.until_s]
         if late:
             self._unanswered_by_name[name] = max(late, key=attrgetter('is_own', 'until_s'))
 
