--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -214,9 +214,9 @@
         ]
         if earlier is not None:
             acknowledgements.append(earlier._replace(incarnation=link.incarnation))
-        late = [each for each in acknowledgements if link.last_contact_s < each.until_s]
-        if late:
-            self._unanswered_by_name[name] = max(late, key=attrgetter('is_own', 'until_s'))
+        unexpired = [each for each in acknowledgements if link.last_contact_s < each.until_s]
+        if unexpired:
+            self._unanswered_by_name[name] = max(unexpired, key=attrgetter('is_own', 'until_s'))
 
 
 class _UnansweredAcknowledgement(NamedTuple):
