--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -72,25 +72,25 @@
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
 
-def recorder_of(store, scheduler, deposed, kept=lambda mark: None):
+def recorder_of(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
     timing = StoreTiming(retry_s=0.01)
     return Recorder(
         store,
         timing,
         scheduler,
         EPOCH,
-        starts=HeldStarts(lambda start: None),
-        mark=dict,
-        kept=kept,
-        shown=lambda job_id: None,
-        deposed=lambda: deposed.append(True),
+        held_starts=HeldStarts(lambda start: None),
+        processed_ends=dict,
+        on_persisted=on_persisted,
+        on_end_persisted=lambda job_id: None,
+        on_deposed=lambda: deposed.append(True),
     )
 
 
 async def keep(recorder, until):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
-        recorder.needed.set()
+        recorder.flush_requested.set()
         with anyio.fail_after(5):
             while not until():
                 await anyio.sleep(0.01)
@@ -182,7 +182,7 @@
         await anyio.sleep(0.01)
         begun_s = time.monotonic()
         end(scheduler, index)
-        recorder.needed.set()
+        recorder.flush_requested.set()
         while progress_key(JOB) not in store.items:
             await anyio.sleep(0.001)
         tasks.cancel_scope.cancel()
@@ -208,10 +208,10 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(recorder.run)
             for roster in (first, second, list(first)):
-                number = recorder.offer_roster(roster)
+                number = recorder.set_roster(roster)
                 store.commits = 0 if roster is second else 1
                 await anyio.sleep(0.05 if roster is second else 0.5)
-            assert recorder.kept_roster_number == number
+            assert recorder.persisted_roster_version == number
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
