--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -12,7 +12,7 @@
 from .workers import WorkerState
 
 # Most workers that the policy is asked about at one time.
-MOST_ASKED = 100
+MAX_WORKERS_PER_REQUEST = 100
 # A ticket must hold for so long when it is used, in seconds: the start may need
 # a second try.
 _LEAST_VALID_S = 0.5
@@ -74,7 +74,7 @@
             if worker.worker_id not in self._refused and not self.ticket(worker.worker_id, now_s)
         ]
         self._is_asking = bool(wanted)
-        return tuple(wanted[:MOST_ASKED])
+        return tuple(wanted[:MAX_WORKERS_PER_REQUEST])
 
     def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Take in an answer."""
