--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -15,7 +15,7 @@
 MAX_WORKERS_PER_REQUEST = 100
 # A ticket must hold for so long when it is used, in seconds: the start may need
 # a second try.
-_LEAST_VALID_S = 0.5
+_MIN_TICKET_VALIDITY_S = 0.5
 # Pause after a call that failed, in seconds.
 _RETRY_S = 0.5
 
@@ -52,7 +52,7 @@
     def ticket(self, worker_id: str, now_s: float) -> str:
         """Return a ticket that is still valid for a while; empty when there is none."""
         known = self._ticket_by_worker.get(worker_id)
-        if known is None or known.until_s - now_s < _LEAST_VALID_S:
+        if known is None or known.until_s - now_s < _MIN_TICKET_VALIDITY_S:
             return ''
         return known.text
 
