--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -17,7 +17,7 @@
 # a second try.
 _MIN_TICKET_VALIDITY_S = 0.5
 # Pause after a call that failed, in seconds.
-_RETRY_S = 0.5
+_RETRY_DELAY_S = 0.5
 
 
 class Ticket(NamedTuple):
@@ -86,7 +86,7 @@
     def failed(self, now_s: float) -> None:
         """Note that there was no answer."""
         self._is_asking = False
-        self._not_before_s = now_s + _RETRY_S
+        self._not_before_s = now_s + _RETRY_DELAY_S
 
     def ticket_rejected(self, worker_id: str) -> None:
         """Note that a worker did not take a ticket."""
