--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -43,7 +43,7 @@
         self._ticket_by_worker: dict[str, Ticket] = {}
         self._refused: set[str] = set()
         self._is_asking = False
-        self._not_before_s = float('-inf')
+        self._retry_at_s = float('-inf')
 
     def consents(self, worker_id: str) -> bool:
         """Tell whether the policy has consented to a worker, its ticket valid or not."""
@@ -66,7 +66,7 @@
         now_s : float
             The present, steady clock.
         """
-        if self._is_asking or now_s < self._not_before_s:
+        if self._is_asking or now_s < self._retry_at_s:
             return ()
         wanted = [
             worker.worker_id
@@ -86,7 +86,7 @@
     def failed(self, now_s: float) -> None:
         """Note that there was no answer."""
         self._is_asking = False
-        self._not_before_s = now_s + _RETRY_DELAY_S
+        self._retry_at_s = now_s + _RETRY_DELAY_S
 
     def ticket_rejected(self, worker_id: str) -> None:
         """Note that a worker did not take a ticket."""
