--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -42,7 +42,7 @@
         """Start without having asked."""
         self._ticket_by_worker: dict[str, Ticket] = {}
         self._refused: set[str] = set()
-        self._is_asking = False
+        self._is_request_pending = False
         self._retry_at_s = float('-inf')
 
     def consents(self, worker_id: str) -> bool:
@@ -66,26 +66,26 @@
         now_s : float
             The present, steady clock.
         """
-        if self._is_asking or now_s < self._retry_at_s:
+        if self._is_request_pending or now_s < self._retry_at_s:
             return ()
         wanted = [
             worker.worker_id
             for worker in workers
             if worker.worker_id not in self._refused and not self.ticket(worker.worker_id, now_s)
         ]
-        self._is_asking = bool(wanted)
+        self._is_request_pending = bool(wanted)
         return tuple(wanted[:MAX_WORKERS_PER_REQUEST])
 
     def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Take in an answer."""
-        self._is_asking = False
+        self._is_request_pending = False
         self._refused.update(worker_id for worker_id in asked if worker_id not in tickets)
         for worker_id, text in tickets.items():
             self._ticket_by_worker[worker_id] = Ticket(text, until_s)
 
     def failed(self, now_s: float) -> None:
         """Note that there was no answer."""
-        self._is_asking = False
+        self._is_request_pending = False
         self._retry_at_s = now_s + _RETRY_DELAY_S
 
     def ticket_rejected(self, worker_id: str) -> None:
