--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -88,7 +88,7 @@
         self._is_request_pending = False
         self._retry_at_s = now_s + _RETRY_DELAY_S
 
-    def ticket_rejected(self, worker_id: str) -> None:
+    def invalidate_ticket(self, worker_id: str) -> None:
         """Note that a worker did not take a ticket."""
         known = self._ticket_by_worker.get(worker_id)
         if known is not None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -102,7 +102,7 @@
     worker = state.worker_by_id.get(end.worker_id)
     if step.advice is not None:
         # The ticket is at fault more often than the worker.
-        step.advice.ticket_rejected(end.worker_id)
+        step.advice.invalidate_ticket(end.worker_id)
     elif worker is not None:
         worker.refusal_backoff.refused(end.key.job_id, now.steady_s)
         step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSED_BY_WORKER_S
