--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -25,7 +25,7 @@
 _CONCLUSIVE_CRASHES = 3
 # A task is given up after this many crashes, whatever ran beside it: users bear two
 # more starts once three workers have crashed, and one may be under way unknown.
-_MOST_CRASHES = 4
+_MAX_COUNTED_CRASHES = 4
 # The same, discounted ones included.
 _MOST_CRASHES_IN_ALL = 5
 # Workers that are known to have crashed within this time did so together, in seconds:
@@ -220,6 +220,6 @@
 
 def _is_over_crash_limit(crashes: Sequence[Crash]) -> bool:
     counted = counted_crashes(crashes)
-    if len(counted) >= _MOST_CRASHES or len(crashes) >= _MOST_CRASHES_IN_ALL:
+    if len(counted) >= _MAX_COUNTED_CRASHES or len(crashes) >= _MOST_CRASHES_IN_ALL:
         return True
     return len(counted) >= _CONCLUSIVE_CRASHES and counted[-1].is_conclusive
