--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -27,7 +27,7 @@
 # more starts once three workers have crashed, and one may be under way unknown.
 _MAX_COUNTED_CRASHES = 4
 # The same, discounted ones included.
-_MOST_CRASHES_IN_ALL = 5
+_MAX_CRASHES = 5
 # Workers that are known to have crashed within this time did so together, in seconds:
 # they are back, and known to be, some tenths apart.
 _TOGETHER_S = 2.0
@@ -220,6 +220,6 @@
 
 def _is_over_crash_limit(crashes: Sequence[Crash]) -> bool:
     counted = counted_crashes(crashes)
-    if len(counted) >= _MAX_COUNTED_CRASHES or len(crashes) >= _MOST_CRASHES_IN_ALL:
+    if len(counted) >= _MAX_COUNTED_CRASHES or len(crashes) >= _MAX_CRASHES:
         return True
     return len(counted) >= _CONCLUSIVE_CRASHES and counted[-1].is_conclusive
