--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -22,7 +22,7 @@
 
 # A task is given up after this many crashes if the last is conclusive. Two are
 # enough to suspect it.
-_CONCLUSIVE_CRASHES = 3
+_MAX_CRASHES_IF_CONCLUSIVE = 3
 # A task is given up after this many crashes, whatever ran beside it: users bear two
 # more starts once three workers have crashed, and one may be under way unknown.
 _MAX_COUNTED_CRASHES = 4
@@ -222,4 +222,4 @@
     counted = counted_crashes(crashes)
     if len(counted) >= _MAX_COUNTED_CRASHES or len(crashes) >= _MAX_CRASHES:
         return True
-    return len(counted) >= _CONCLUSIVE_CRASHES and counted[-1].is_conclusive
+    return len(counted) >= _MAX_CRASHES_IF_CONCLUSIVE and counted[-1].is_conclusive
