--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -30,7 +30,7 @@
 _MAX_CRASHES = 5
 # Workers that are known to have crashed within this time did so together, in seconds:
 # they are back, and known to be, some tenths apart.
-_TOGETHER_S = 2.0
+_CORRELATION_WINDOW_S = 2.0
 # So many other workers make it a crash of several.
 _CORRELATED_OTHERS = 2
 # Crashes of one task that are discounted: it may have caused some of them all the same.
@@ -143,7 +143,7 @@
 
 
 def _note(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
-    recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _TOGETHER_S]
+    recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
     state.recent_deaths = [*recent, Death(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
         _count(state, key, crash)
@@ -206,7 +206,7 @@
     step = state.step_of(key)
     if step is not None and _is_over_crash_limit(step.crashes_by_index.get(key.task_index, ())):
         # Who crashed beside it may not be known yet; no crash soon after a start is discounted.
-        step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < OUTLIVED_S else _TOGETHER_S)
+        step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < OUTLIVED_S else _CORRELATION_WINDOW_S)
 
 
 def _fail_over_crash_limit(state: SchedulerState, job: JobState, now: Moment) -> None:
