--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -32,7 +32,7 @@
 # they are back, and known to be, some tenths apart.
 _CORRELATION_WINDOW_S = 2.0
 # So many other workers make it a crash of several.
-_CORRELATED_OTHERS = 2
+_MIN_UNRELATED = 2
 # Crashes of one task that are discounted: it may have caused some of them all the same.
 _MOST_DISCOUNTED = 2
 # How long a suspect waits for a worker without other work, in seconds: its job must
@@ -156,7 +156,7 @@
     """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
     for death in state.recent_deaths:
         for key, crash in death.crash_by_task.items():
-            if crash.ran_s >= OUTLIVED_S and _others(state.recent_deaths, death, key) >= _CORRELATED_OTHERS:
+            if crash.ran_s >= OUTLIVED_S and _others(state.recent_deaths, death, key) >= _MIN_UNRELATED:
                 _discount(state, key, crash)
 
 
