--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -34,7 +34,7 @@
 # So many other workers make it a crash of several.
 _MIN_UNRELATED = 2
 # Crashes of one task that are discounted: it may have caused some of them all the same.
-_MOST_DISCOUNTED = 2
+_MAX_DISCOUNTED_CRASHES = 2
 # How long a suspect waits for a worker without other work, in seconds: its job must
 # not be held up by a pool that is never empty.
 _ALONE_WAIT_S = 2.0
@@ -170,7 +170,7 @@
 
 def _may_discount(step: StepState, key: TaskKey) -> bool:
     crashes = step.crashes_by_index.get(key.task_index, ())
-    return sum(crash.is_discounted for crash in crashes) < _MOST_DISCOUNTED
+    return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
 
 def _others(deaths: Iterable[Death], death: Death, key: TaskKey) -> int:
