--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -37,7 +37,7 @@
 _MAX_DISCOUNTED_CRASHES = 2
 # How long a suspect waits for a worker without other work, in seconds: its job must
 # not be held up by a pool that is never empty.
-_ALONE_WAIT_S = 2.0
+_EMPTY_WORKER_WAIT_S = 2.0
 # Tasks that last are suspected only of deaths within this time of their start, in
 # seconds: in days of work they see many workers die.
 _LASTING_COUNTS_S = 10.0
@@ -90,7 +90,7 @@
 def waits_for_own_place(step: StepState, now_s: float) -> bool:
     """Tell whether the suspects of a step wait for workers that run nothing, as they do for a bounded time."""
     if step.alone_until_s is None:
-        step.alone_until_s = now_s + _ALONE_WAIT_S
+        step.alone_until_s = now_s + _EMPTY_WORKER_WAIT_S
     return now_s <= step.alone_until_s
 
 
