--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -40,7 +40,7 @@
 _EMPTY_WORKER_WAIT_S = 2.0
 # Tasks that last are suspected only of deaths within this time of their start, in
 # seconds: in days of work they see many workers die.
-_LASTING_COUNTS_S = 10.0
+_LASTING_TASK_CRASH_WINDOW_S = 10.0
 # How long it is remembered what ran on a worker that fell silent for good, in
 # seconds: by then another incarnation answers at its address, or none ever will.
 _SILENCE_REMEMBERED_S = 120.0
@@ -184,7 +184,7 @@
     """Tell whether a crash says anything of a task that may still be given up."""
     if step.job.has_ended or key.task_index in step.done:
         return False
-    return not step.spec.lasting or crash.ran_s <= _LASTING_COUNTS_S
+    return not step.spec.lasting or crash.ran_s <= _LASTING_TASK_CRASH_WINDOW_S
 
 
 def _count(state: SchedulerState, key: TaskKey, crash: Crash) -> None:
