--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -43,7 +43,7 @@
 _LASTING_TASK_CRASH_WINDOW_S = 10.0
 # How long it is remembered what ran on a worker that fell silent for good, in
 # seconds: by then another incarnation answers at its address, or none ever will.
-_SILENCE_REMEMBERED_S = 120.0
+_SILENT_LOSS_RETENTION_S = 120.0
 
 
 def worker_crashed(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
@@ -68,7 +68,7 @@
     remembered = {
         worker_id: silent
         for worker_id, silent in state.silent_loss_by_worker.items()
-        if now.steady_s - silent.at_s < _SILENCE_REMEMBERED_S
+        if now.steady_s - silent.at_s < _SILENT_LOSS_RETENTION_S
     }
     crash_by_task = _crash_by_task(state, worker, now)
     if crash_by_task and not worker.profile.draining:
