--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -53,14 +53,14 @@
     if silent is not None:
         crash_by_task |= silent.crash_by_task
     if not worker.profile.draining:
-        _note(state, crash_by_task, now)
+        _record_crash(state, crash_by_task, now)
 
 
 def silent_worker_crashed(state: SchedulerState, worker_id: str, now: Moment) -> None:
     """Note that a worker that was given up had crashed: another incarnation answers at its address."""
     silent = state.silent_loss_by_worker.pop(worker_id, None)
     if silent is not None:
-        _note(state, silent.crash_by_task, now)
+        _record_crash(state, silent.crash_by_task, now)
 
 
 def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
@@ -142,7 +142,7 @@
             _fail_over_crash_limit(state, job, now)
 
 
-def _note(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
+def _record_crash(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
     recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
     state.recent_deaths = [*recent, Death(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
