--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -146,7 +146,7 @@
     recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
     state.recent_deaths = [*recent, Death(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
-        _count(state, key, crash)
+        _count_crash(state, key, crash)
     _discount_correlated(state)
     for each, latest in crash_by_task.items():
         _schedule_crash_limit(state, each, latest, now)
@@ -187,7 +187,7 @@
     return not step.spec.lasting or crash.ran_s <= _LASTING_TASK_CRASH_WINDOW_S
 
 
-def _count(state: SchedulerState, key: TaskKey, crash: Crash) -> None:
+def _count_crash(state: SchedulerState, key: TaskKey, crash: Crash) -> None:
     step = state.step_of(key)
     if step is None or not _counts(step, key, crash):
         return
