--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -180,7 +180,7 @@
     )
 
 
-def _counts(step: StepState, key: TaskKey, crash: Crash) -> bool:
+def _is_countable(step: StepState, key: TaskKey, crash: Crash) -> bool:
     """Tell whether a crash says anything of a task that may still be given up."""
     if step.job.has_ended or key.task_index in step.done:
         return False
@@ -189,7 +189,7 @@
 
 def _count_crash(state: SchedulerState, key: TaskKey, crash: Crash) -> None:
     step = state.step_of(key)
-    if step is None or not _counts(step, key, crash):
+    if step is None or not _is_countable(step, key, crash):
         return
     if crash.is_discounted and not _may_discount(step, key):
         crash = crash._replace(is_discounted=False)
