--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -156,7 +156,7 @@
     """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
     for death in state.recent_deaths:
         for key, crash in death.crash_by_task.items():
-            if crash.ran_s >= OUTLIVED_S and _others(state.recent_deaths, death, key) >= _MIN_UNRELATED:
+            if crash.ran_s >= OUTLIVED_S and _count_unrelated(state.recent_deaths, death, key) >= _MIN_UNRELATED:
                 _discount(state, key, crash)
 
 
@@ -173,7 +173,7 @@
     return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
 
-def _others(deaths: Iterable[Death], death: Death, key: TaskKey) -> int:
+def _count_unrelated(deaths: Iterable[Death], death: Death, key: TaskKey) -> int:
     """Return how many other workers crashed on which no task of a task's step ran."""
     return sum(
         other is not death and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
