--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -115,11 +115,11 @@
 
 def _crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
     is_conclusive = run.is_isolated or not worker.beside(run)
-    was_there = _was_surely_there(state, run, crashed_s)
+    was_there = _was_certainly_running(state, run, crashed_s)
     return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_there)
 
 
-def _was_surely_there(state: SchedulerState, run: Run, crashed_s: float) -> bool:
+def _was_certainly_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
     """Tell whether a run had begun when its worker crashed, and its end, if it had one, would have been listed."""
     if not run.is_confirmed and (run.was_absent or run.is_inherited):
         return False
