--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -164,11 +164,11 @@
     step = state.step_of(key)
     if step is None:
         return
-    if _may_discount(step, key) and step.discount_crash(key.task_index, crash.run):
+    if _can_discount(step, key) and step.discount_crash(key.task_index, crash.run):
         state.dirty_jobs.add(key.job_id)
 
 
-def _may_discount(step: StepState, key: TaskKey) -> bool:
+def _can_discount(step: StepState, key: TaskKey) -> bool:
     crashes = step.crashes_by_index.get(key.task_index, ())
     return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
@@ -191,7 +191,7 @@
     step = state.step_of(key)
     if step is None or not _is_countable(step, key, crash):
         return
-    if crash.is_discounted and not _may_discount(step, key):
+    if crash.is_discounted and not _can_discount(step, key):
         crash = crash._replace(is_discounted=False)
     if step.count_crash(key.task_index, crash):
         note = CrashCounted(crash.worker_id, key, crash.run, crash.is_conclusive, crash.is_discounted)
