--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -110,10 +110,10 @@
     runs = list(worker.run_by_key.values())
     blamed = [run for run in runs if run.is_isolated] or runs
     crashed_s = now.steady_s if worker.silent_since_s is None else worker.silent_since_s
-    return {run.key: _crash(state, worker, run, crashed_s) for run in blamed}
+    return {run.key: _make_crash(state, worker, run, crashed_s) for run in blamed}
 
 
-def _crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
+def _make_crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
     is_conclusive = run.is_isolated or not worker.beside(run)
     was_there = _was_certainly_running(state, run, crashed_s)
     return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_there)
