--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -139,7 +139,7 @@
     for job in tuple(state.active_jobs()):
         if job.crash_limit_at_s is not None and job.crash_limit_at_s <= now.steady_s:
             job.crash_limit_at_s = None
-            _fail_over_crash_limit(state, job, now)
+            _fail_if_over_crash_limit(state, job, now)
 
 
 def _record_crash(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
@@ -209,7 +209,7 @@
         step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < OUTLIVED_S else _CORRELATION_WINDOW_S)
 
 
-def _fail_over_crash_limit(state: SchedulerState, job: JobState, now: Moment) -> None:
+def _fail_if_over_crash_limit(state: SchedulerState, job: JobState, now: Moment) -> None:
     for step in job.step_by_key.values():
         for index, crashes in step.crashes_by_index.items():
             if index not in step.done and _is_over_crash_limit(crashes):
