--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -47,14 +47,14 @@
     job.has_success = True
     was_done = end.key.task_index in step.done
     step.mark_done(end.key.task_index)
-    _stop_needless(state, step, end)
+    _stop_redundant_runs(state, step, end)
     if not was_done and not job.has_ended:
         state.dirty_jobs.add(job.spec.job_id)
     if not job.has_ended and job.has_succeeded():
         state.end_job(job, JobPhase.SUCCEEDED, now.wall_s, 'job succeeded')
 
 
-def _stop_needless(state: SchedulerState, step: StepState, end: RunEnd) -> None:
+def _stop_redundant_runs(state: SchedulerState, step: StepState, end: RunEnd) -> None:
     """Stop other runs of what has succeeded; members of this gang end by themselves."""
     for index, other in tuple(step.run_by_index.items()):
         if index in step.done and other.number != end.run:
