--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -63,7 +63,7 @@
 
 def _on_failed(state: SchedulerState, step: StepState, end: RunEnd, run: Run | None, now: Moment) -> None:
     job = step.job
-    _blame(state, step, end)
+    _attribute_failure(state, step, end)
     if step.spec.lasting or end.key.task_index in step.done:
         return
     failures = step.count_failure(end.key.task_index, end.run)
@@ -75,7 +75,7 @@
         state.end_job(job, JobPhase.FAILED, now.wall_s, 'job failed')
 
 
-def _blame(state: SchedulerState, step: StepState, end: RunEnd) -> None:
+def _attribute_failure(state: SchedulerState, step: StepState, end: RunEnd) -> None:
     """Tell a worker that fails everything from a job that fails everywhere."""
     job = step.job
     job.failed_on.add(end.worker_id)
