--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -14,7 +14,7 @@
 from .state import SchedulerState
 
 # A job that failed on this many workers without a success is at fault itself.
-_WORKERS_THAT_CONVICT_A_JOB = 2
+_FAULTY_JOB_MIN_WORKERS = 2
 # A step that a worker refused waits this long, in seconds.
 _REFUSED_PAUSE_S = 0.3
 # How long it then asks other workers first, in seconds.
@@ -82,7 +82,7 @@
     worker = state.worker_by_id.get(end.worker_id)
     if worker is None:
         return
-    if len(job.failed_on) >= _WORKERS_THAT_CONVICT_A_JOB and not job.has_success:
+    if len(job.failed_on) >= _FAULTY_JOB_MIN_WORKERS and not job.has_success:
         worker.failed_jobs.discard(job.spec.job_id)
         return
     worker.failed_jobs.add(job.spec.job_id)
