--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -16,7 +16,7 @@
 # A job that failed on this many workers without a success is at fault itself.
 _FAULTY_JOB_MIN_WORKERS = 2
 # A step that a worker refused waits this long, in seconds.
-_REFUSED_PAUSE_S = 0.3
+_REFUSED_STEP_DELAY_S = 0.3
 # How long it then asks other workers first, in seconds.
 _REFUSED_BY_WORKER_S = 4.0
 
@@ -98,7 +98,7 @@
 
 def _on_refused(state: SchedulerState, step: StepState, end: RunEnd, run: Run | None, now: Moment) -> None:
     """Leave the worker alone for a while, and give up the rest of a gang: it can't come together without this run."""
-    step.refused_until_s = now.steady_s + _REFUSED_PAUSE_S
+    step.refused_until_s = now.steady_s + _REFUSED_STEP_DELAY_S
     worker = state.worker_by_id.get(end.worker_id)
     if step.advice is not None:
         # The ticket is at fault more often than the worker.
