--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -18,7 +18,7 @@
 # A step that a worker refused waits this long, in seconds.
 _REFUSED_STEP_DELAY_S = 0.3
 # How long it then asks other workers first, in seconds.
-_REFUSED_BY_WORKER_S = 4.0
+_REFUSING_WORKER_AVOIDANCE_S = 4.0
 
 
 def take_in_end(state: SchedulerState, end: RunEnd, now: Moment) -> None:
@@ -105,7 +105,7 @@
         step.advice.invalidate_ticket(end.worker_id)
     elif worker is not None:
         worker.refusal_backoff.refused(end.key.job_id, now.steady_s)
-        step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSED_BY_WORKER_S
+        step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSING_WORKER_AVOIDANCE_S
     if not step.spec.gang or run is None:
         return
     for member in tuple(step.run_by_index.values()):
