--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -15,7 +15,7 @@
 from .clock import Moment
 from .events import CrashCounted, TaskGivenUp
 from .job_state import JobPhase, JobState, StepState
-from .progress import counted_crashes, Crash, is_suspect, OUTLIVED_S
+from .progress import counted_crashes, Crash, is_suspect, SUSPICION_S
 from .runs import Run
 from .state import Death, SchedulerState, SilentLoss
 from .workers import WorkerState
@@ -97,7 +97,7 @@
 def isolation_s(step: StepState) -> float:
     """Return how long a suspect of a step must have run before others may start beside it, in seconds."""
     crashes = (crash for crashes in step.crashes_by_index.values() for crash in crashes)
-    return OUTLIVED_S + max((crash.ran_s for crash in crashes), default=0.0)
+    return SUSPICION_S + max((crash.ran_s for crash in crashes), default=0.0)
 
 
 def clear_suspect(step: StepState, run: Run) -> None:
@@ -156,7 +156,7 @@
     """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
     for death in state.recent_deaths:
         for key, crash in death.crash_by_task.items():
-            if crash.ran_s >= OUTLIVED_S and _count_unrelated(state.recent_deaths, death, key) >= _MIN_UNRELATED:
+            if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_deaths, death, key) >= _MIN_UNRELATED:
                 _discount(state, key, crash)
 
 
@@ -206,7 +206,7 @@
     step = state.step_of(key)
     if step is not None and _is_over_crash_limit(step.crashes_by_index.get(key.task_index, ())):
         # Who crashed beside it may not be known yet; no crash soon after a start is discounted.
-        step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < OUTLIVED_S else _CORRELATION_WINDOW_S)
+        step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < SUSPICION_S else _CORRELATION_WINDOW_S)
 
 
 def _fail_if_over_crash_limit(state: SchedulerState, job: JobState, now: Moment) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/progress.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/progress.py
@@ -6,7 +6,7 @@
 # A run that goes on for so much longer than earlier ones did is not what killed
 # their workers, in seconds: progress is reported once a second. A run that was not
 # reported for so long is suspected of its worker's death.
-OUTLIVED_S = 1.0
+SUSPICION_S = 1.0
 
 
 class Crash(NamedTuple):
@@ -42,7 +42,7 @@
 def is_suspect(crashes: Sequence[Crash]) -> bool:
     """Tell whether crashes under a task make it a suspect: two, or one soon after its start."""
     counted = counted_crashes(crashes)
-    return len(counted) > 1 or any(crash.ran_s < OUTLIVED_S for crash in counted)
+    return len(counted) > 1 or any(crash.ran_s < SUSPICION_S for crash in counted)
 
 
 class StepProgress(NamedTuple):
