--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -90,7 +90,7 @@
         run = None if worker is None else worker.run_by_key.get(key)
         if run is None or run.number != number or run.phase is RunPhase.STOPPING:
             return False
-        run.date(now.steady_s)
+        run.mark_sent(now.steady_s)
         return True
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -129,7 +129,7 @@
         """Whether workers crashed under its task, and it has not gone on for longer yet."""
         return self.isolation_s > 0 and self.ran_s <= self.isolation_s
 
-    def date(self, started_s: float) -> None:
+    def mark_sent(self, started_s: float) -> None:
         """Note when its start is sent, steady clock: its assignment was kept meanwhile."""
         self.started_s = started_s
         self.moved_s = started_s
