--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -59,7 +59,7 @@
 
     __slots__ = (
         '_mark_percent',
-        '_mark_s',
+        '_baseline_s',
         'assigned_s',
         'is_inherited',
         'isolation_s',
@@ -115,7 +115,7 @@
         self.seen_s = started_s
         self.report_span_s = 0.0
         self.report_gain = 0.0
-        self._mark_s: float | None = started_s
+        self._baseline_s: float | None = started_s
         self._mark_percent = 0.0
         self.rank = 0
 
@@ -135,12 +135,12 @@
         self.moved_s = started_s
         self.seen_s = started_s
         self.was_absent = False
-        if self._mark_s is not None:
-            self._mark_s = started_s
+        if self._baseline_s is not None:
+            self._baseline_s = started_s
 
     def went_on(self) -> None:
         """Note that it did not begin at the beginning of its work, or not when it was noted."""
-        self._mark_s = None
+        self._baseline_s = None
 
     def saw_progress(self, percent: float, now_s: float) -> None:
         """Take in a report of progress."""
@@ -152,15 +152,15 @@
 
     def _take_in_report(self, percent: float, now_s: float) -> None:
         """Note what was done since an earlier report that lies far enough apart."""
-        if self._mark_s is None:
+        if self._baseline_s is None:
             # What a checkpoint held was not done in this run.
-            self._mark_s, self._mark_percent = now_s, percent
+            self._baseline_s, self._mark_percent = now_s, percent
             return
-        if now_s - self._mark_s < _CONCLUSIVE_SPAN_S:
+        if now_s - self._baseline_s < _CONCLUSIVE_SPAN_S:
             return
-        self.report_span_s = now_s - self._mark_s
+        self.report_span_s = now_s - self._baseline_s
         self.report_gain = max(0.0, percent - self._mark_percent)
-        self._mark_s, self._mark_percent = now_s, percent
+        self._baseline_s, self._mark_percent = now_s, percent
 
     def may_have_ended(self, at_s: float) -> bool:
         """Tell whether it is expected to have ended since it was listed, at a time by the steady clock."""
