--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        '_mark_percent',
+        '_baseline_percent',
         '_baseline_s',
         'assigned_s',
         'is_inherited',
@@ -116,7 +116,7 @@
         self.report_span_s = 0.0
         self.report_gain = 0.0
         self._baseline_s: float | None = started_s
-        self._mark_percent = 0.0
+        self._baseline_percent = 0.0
         self.rank = 0
 
     @property
@@ -154,13 +154,13 @@
         """Note what was done since an earlier report that lies far enough apart."""
         if self._baseline_s is None:
             # What a checkpoint held was not done in this run.
-            self._baseline_s, self._mark_percent = now_s, percent
+            self._baseline_s, self._baseline_percent = now_s, percent
             return
         if now_s - self._baseline_s < _CONCLUSIVE_SPAN_S:
             return
         self.report_span_s = now_s - self._baseline_s
-        self.report_gain = max(0.0, percent - self._mark_percent)
-        self._baseline_s, self._mark_percent = now_s, percent
+        self.report_gain = max(0.0, percent - self._baseline_percent)
+        self._baseline_s, self._baseline_percent = now_s, percent
 
     def may_have_ended(self, at_s: float) -> bool:
         """Tell whether it is expected to have ended since it was listed, at a time by the steady clock."""
