--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -144,13 +144,13 @@
 
     def saw_progress(self, percent: float, now_s: float) -> None:
         """Take in a report of progress."""
-        self._take_in_report(percent, now_s)
+        self._update_measured_pace(percent, now_s)
         self.seen_s = now_s
         if percent > self.percent:
             self.percent = percent
             self.moved_s = now_s
 
-    def _take_in_report(self, percent: float, now_s: float) -> None:
+    def _update_measured_pace(self, percent: float, now_s: float) -> None:
         """Note what was done since an earlier report that lies far enough apart."""
         if self._baseline_s is None:
             # What a checkpoint held was not done in this run.
