--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -156,7 +156,7 @@
             # What a checkpoint held was not done in this run.
             self._baseline_s, self._baseline_percent = now_s, percent
             return
-        if now_s - self._baseline_s < _CONCLUSIVE_SPAN_S:
+        if now_s - self._baseline_s < _MIN_MEASURED_SPAN_S:
             return
         self.report_span_s = now_s - self._baseline_s
         self.report_gain = max(0.0, percent - self._baseline_percent)
@@ -178,7 +178,7 @@
 
 
 # Reports that lie closer together say little of a pace, in seconds.
-_CONCLUSIVE_SPAN_S = 0.35
+_MIN_MEASURED_SPAN_S = 0.35
 # Below this share the pace is mostly start-up time.
 _CONCLUSIVE_PERCENT = 8.0
 # A run that should have ended is expected at any moment.
