--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -169,7 +169,7 @@
     def left_s(self, now_s: float) -> float:
         """Return the expected time to its end."""
         by_plan_s = self.started_s + self.work_s - now_s
-        if self.percent < _CONCLUSIVE_PERCENT:
+        if self.percent < _MIN_PACE_PERCENT:
             return max(by_plan_s, _LEAST_LEFT_S)
         # The pace so far predicts more than any estimate made before.
         pace_s = (self.seen_s - self.started_s) / self.percent
@@ -180,6 +180,6 @@
 # Reports that lie closer together say little of a pace, in seconds.
 _MIN_MEASURED_SPAN_S = 0.35
 # Below this share the pace is mostly start-up time.
-_CONCLUSIVE_PERCENT = 8.0
+_MIN_PACE_PERCENT = 8.0
 # A run that should have ended is expected at any moment.
 _LEAST_LEFT_S = 0.1
