--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -164,17 +164,17 @@
 
     def may_have_ended(self, at_s: float) -> bool:
         """Tell whether it is expected to have ended since it was listed, at a time by the steady clock."""
-        return at_s > self.seen_s and self.left_s(at_s) <= _LEAST_LEFT_S
+        return at_s > self.seen_s and self.left_s(at_s) <= _MIN_LEFT_S
 
     def left_s(self, now_s: float) -> float:
         """Return the expected time to its end."""
         by_plan_s = self.started_s + self.work_s - now_s
         if self.percent < _MIN_PACE_PERCENT:
-            return max(by_plan_s, _LEAST_LEFT_S)
+            return max(by_plan_s, _MIN_LEFT_S)
         # The pace so far predicts more than any estimate made before.
         pace_s = (self.seen_s - self.started_s) / self.percent
         left_s = pace_s * (100.0 - self.percent) - (now_s - self.seen_s)
-        return max(left_s, _LEAST_LEFT_S)
+        return max(left_s, _MIN_LEFT_S)
 
 
 # Reports that lie closer together say little of a pace, in seconds.
@@ -182,4 +182,4 @@
 # Below this share the pace is mostly start-up time.
 _MIN_PACE_PERCENT = 8.0
 # A run that should have ended is expected at any moment.
-_LEAST_LEFT_S = 0.1
+_MIN_LEFT_S = 0.1
