--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -168,9 +168,9 @@
 
     def left_s(self, now_s: float) -> float:
         """Return the expected time to its end."""
-        by_plan_s = self.started_s + self.work_s - now_s
+        estimated_left_s = self.started_s + self.work_s - now_s
         if self.percent < _MIN_PACE_PERCENT:
-            return max(by_plan_s, _MIN_LEFT_S)
+            return max(estimated_left_s, _MIN_LEFT_S)
         # The pace so far predicts more than any estimate made before.
         pace_s = (self.seen_s - self.started_s) / self.percent
         left_s = pace_s * (100.0 - self.percent) - (now_s - self.seen_s)
