--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -22,7 +22,7 @@
 RUNS_PER_EPOCH = 1 << 20
 # How long the last word of workers' room holds where they don't guard it, in seconds:
 # entries are written each 1.5 s, and users bear starts on room that shrank 4.5 s ago.
-_ROOM_KNOWN_S = 3.0
+_ROOM_VALID_S = 3.0
 
 
 # Tasks of a step whose assignments are kept together: a start costs a write of so many
@@ -153,7 +153,7 @@
         """Tell whether a worker's room is known, or guarded by the worker itself."""
         if worker.profile.service not in self.unguarded_services:
             return True
-        return now_s - self.workers_synced_s <= _ROOM_KNOWN_S
+        return now_s - self.workers_synced_s <= _ROOM_VALID_S
 
     def next_run_number(self) -> int:
         """Return a run number above all that were given before."""
