--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -27,7 +27,7 @@
 
 # Tasks of a step whose assignments are kept together: a start costs a write of so many
 # at most, however wide its step is.
-_TASKS_OF_A_PART = 256
+_TASKS_PER_PART = 256
 
 
 class AssignmentsPart(NamedTuple):
@@ -51,8 +51,8 @@
     @property
     def task_indices(self) -> range:
         """Which tasks of the step it is about."""
-        first = self.number * _TASKS_OF_A_PART
-        return range(first, first + _TASKS_OF_A_PART)
+        first = self.number * _TASKS_PER_PART
+        return range(first, first + _TASKS_PER_PART)
 
     @property
     def first_task(self) -> TaskKey:
@@ -62,7 +62,7 @@
 
 def part_of(key: TaskKey) -> AssignmentsPart:
     """Return the part that a task belongs to."""
-    return AssignmentsPart(key.job_id, key.occurrence, key.step, key.task_index // _TASKS_OF_A_PART)
+    return AssignmentsPart(key.job_id, key.occurrence, key.step, key.task_index // _TASKS_PER_PART)
 
 
 def parts_of(step: StepState) -> list[AssignmentsPart]:
