--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -17,7 +17,7 @@
 from .job_state import JobPhase, JobState, StepState
 from .progress import counted_crashes, Crash, is_suspect, SUSPICION_S
 from .runs import Run
-from .state import Death, SchedulerState, SilentLoss
+from .state import SchedulerState, SilentLoss, WorkerCrash
 from .workers import WorkerState
 
 # A task is given up after this many crashes if the last is conclusive. Two are
@@ -144,7 +144,7 @@
 
 def _record_crash(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
     recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
-    state.recent_deaths = [*recent, Death(now.steady_s, crash_by_task)]
+    state.recent_deaths = [*recent, WorkerCrash(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
         _count_crash(state, key, crash)
     _discount_correlated(state)
@@ -173,7 +173,7 @@
     return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
 
-def _count_unrelated(deaths: Iterable[Death], death: Death, key: TaskKey) -> int:
+def _count_unrelated(deaths: Iterable[WorkerCrash], death: WorkerCrash, key: TaskKey) -> int:
     """Return how many other workers crashed on which no task of a task's step ran."""
     return sum(
         other is not death and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -86,7 +86,7 @@
     crash_by_task: dict[TaskKey, Crash]
 
 
-class Death(NamedTuple):
+class WorkerCrash(NamedTuple):
     """A crash of a worker, and what it may say of the tasks that were there.
 
     Parameters
@@ -133,7 +133,7 @@
         # something answers at their addresses.
         self.awaited_incarnations: set[str] = set()
         self.given_up_unacknowledged: set[str] = set()
-        self.recent_deaths: list[Death] = []
+        self.recent_deaths: list[WorkerCrash] = []
         self.effects: list[Effect] = []
         self.guaranteed_by_account: dict[str, int] = {}
         # Services whose workers start whatever they are sent, and when entries were last synced.
