--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -143,8 +143,8 @@
 
 
 def _record_crash(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
-    recent = [death for death in state.recent_deaths if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
-    state.recent_deaths = [*recent, WorkerCrash(now.steady_s, crash_by_task)]
+    recent = [death for death in state.recent_crashes if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
+    state.recent_crashes = [*recent, WorkerCrash(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
         _count_crash(state, key, crash)
     _discount_correlated(state)
@@ -154,9 +154,9 @@
 
 def _discount_correlated(state: SchedulerState) -> None:
     """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
-    for death in state.recent_deaths:
+    for death in state.recent_crashes:
         for key, crash in death.crash_by_task.items():
-            if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_deaths, death, key) >= _MIN_UNRELATED:
+            if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_crashes, death, key) >= _MIN_UNRELATED:
                 _discount(state, key, crash)
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -133,7 +133,7 @@
         # something answers at their addresses.
         self.awaited_incarnations: set[str] = set()
         self.given_up_unacknowledged: set[str] = set()
-        self.recent_deaths: list[WorkerCrash] = []
+        self.recent_crashes: list[WorkerCrash] = []
         self.effects: list[Effect] = []
         self.guaranteed_by_account: dict[str, int] = {}
         # Services whose workers start whatever they are sent, and when entries were last synced.
