--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -167,7 +167,7 @@
         self.ended_s = 0.0
         self.known_since_s = 0.0
         self.step_by_key: dict[tuple[int, int], StepState] = {}
-        self.opened = 0
+        self.opened_occurrences = 0
         self.failed_on: set[str] = set()
         self.has_success = False
         # Whether crashes of workers were counted that a next owner would not know of.
@@ -193,16 +193,16 @@
         """Whether its end waits only for runs that are under way, or to be kept."""
         if self.has_ended:
             return self.shown_phase not in ENDED_PHASES
-        if self.opened < self.spec.occurrences:
+        if self.opened_occurrences < self.spec.occurrences:
             return False
         return not any(step.pending or step.spec.lasting for step in self.step_by_key.values())
 
     def open_due(self, wall_s: float) -> bool:
         """Create the steps of occurrences that are due; tell whether any was."""
         opened = False
-        while self.opened < self.spec.occurrences and self.spec.due_s(self.opened) <= wall_s:
-            self._open(self.opened)
-            self.opened += 1
+        while self.opened_occurrences < self.spec.occurrences and self.spec.due_s(self.opened_occurrences) <= wall_s:
+            self._open(self.opened_occurrences)
+            self.opened_occurrences += 1
             opened = True
         return opened
 
@@ -227,7 +227,7 @@
 
     def has_succeeded(self) -> bool:
         """Whether every task of every occurrence has succeeded."""
-        if self.opened < self.spec.occurrences:
+        if self.opened_occurrences < self.spec.occurrences:
             return False
         return all(step.is_done for step in self.step_by_key.values())
 
