--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -143,7 +143,7 @@
 
 
 def _record_crash(state: SchedulerState, crash_by_task: dict[TaskKey, Crash], now: Moment) -> None:
-    recent = [death for death in state.recent_crashes if now.steady_s - death.at_s < _CORRELATION_WINDOW_S]
+    recent = [event for event in state.recent_crashes if now.steady_s - event.at_s < _CORRELATION_WINDOW_S]
     state.recent_crashes = [*recent, WorkerCrash(now.steady_s, crash_by_task)]
     for key, crash in crash_by_task.items():
         _count_crash(state, key, crash)
@@ -154,9 +154,9 @@
 
 def _discount_correlated(state: SchedulerState) -> None:
     """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
-    for death in state.recent_crashes:
-        for key, crash in death.crash_by_task.items():
-            if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_crashes, death, key) >= _MIN_UNRELATED:
+    for event in state.recent_crashes:
+        for key, crash in event.crash_by_task.items():
+            if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_crashes, event, key) >= _MIN_UNRELATED:
                 _discount(state, key, crash)
 
 
@@ -173,10 +173,10 @@
     return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
 
-def _count_unrelated(deaths: Iterable[WorkerCrash], death: WorkerCrash, key: TaskKey) -> int:
+def _count_unrelated(deaths: Iterable[WorkerCrash], event: WorkerCrash, key: TaskKey) -> int:
     """Return how many other workers crashed on which no task of a task's step ran."""
     return sum(
-        other is not death and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
+        other is not event and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
     )
 
 
