--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -136,15 +136,15 @@
             {} if all_done else {index: tuple(crashes) for index, crashes in self.crashes_by_index.items()},
         )
 
-    def restore(self, kept: StepProgress) -> None:
+    def restore(self, saved: StepProgress) -> None:
         """Take in what was kept."""
-        for index in range(self.spec.task_count) if kept.all_done else kept.done:
+        for index in range(self.spec.task_count) if saved.all_done else saved.done:
             self.pending.discard(index)
             self.done.add(index)
-        self.failed_runs_by_index = {index: set(runs) for index, runs in kept.failures.items()}
-        self.checkpoint_by_index = dict(kept.checkpoints)
-        self.crashes_by_index = {index: list(crashes) for index, crashes in kept.crashes.items()}
-        self.suspects = {index for index, crashes in kept.crashes.items() if is_suspect(crashes)}
+        self.failed_runs_by_index = {index: set(runs) for index, runs in saved.failures.items()}
+        self.checkpoint_by_index = dict(saved.checkpoints)
+        self.crashes_by_index = {index: list(crashes) for index, crashes in saved.crashes.items()}
+        self.suspects = {index for index, crashes in saved.crashes.items() if is_suspect(crashes)}
 
 
 class JobState:
@@ -244,19 +244,19 @@
 
     def progress(self) -> JobProgress:
         """Return what must outlast every instance."""
-        kept = (step.progress() for step in self.step_by_key.values())
-        return JobProgress(str(self.phase), tuple(each for each in kept if each), self.ended_s)
+        saved = (step.progress() for step in self.step_by_key.values())
+        return JobProgress(str(self.phase), tuple(each for each in saved if each), self.ended_s)
 
-    def restore(self, kept: JobProgress) -> None:
+    def restore(self, saved: JobProgress) -> None:
         """Take in what was kept."""
-        self.phase = JobPhase(kept.phase)
-        self.ended_s = kept.ended_s
+        self.phase = JobPhase(saved.phase)
+        self.ended_s = saved.ended_s
         self.is_end_kept = self.has_ended
-        for each in kept.steps:
+        for each in saved.steps:
             step = self.step_of(TaskKey(self.spec.job_id, each.occurrence, each.step, 0))
             if step is not None:
                 step.restore(each)
-        if kept.steps:
+        if saved.steps:
             self.has_begun = True
 
     def release(self) -> None:
