--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -211,8 +211,8 @@
         for (occurrence, _), step in self.step_by_key.items():
             if not step.pending:
                 continue
-            before = step.spec.after
-            if all(self.step_by_key[occurrence, earlier].is_done for earlier in before):
+            prerequisites = step.spec.after
+            if all(self.step_by_key[occurrence, earlier].is_done for earlier in prerequisites):
                 yield step
 
     def step_of(self, key: TaskKey) -> StepState | None:
