--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -212,7 +212,7 @@
             if not step.pending:
                 continue
             prerequisites = step.spec.after
-            if all(self.step_by_key[occurrence, earlier].is_done for earlier in prerequisites):
+            if all(self.step_by_key[occurrence, prerequisite].is_done for prerequisite in prerequisites):
                 yield step
 
     def step_of(self, key: TaskKey) -> StepState | None:
