--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -201,7 +201,7 @@
         """Create the steps of occurrences that are due; tell whether any was."""
         opened = False
         while self.opened_occurrences < self.spec.occurrences and self.spec.due_s(self.opened_occurrences) <= wall_s:
-            self._open(self.opened_occurrences)
+            self._open_occurrence(self.opened_occurrences)
             self.opened_occurrences += 1
             opened = True
         return opened
@@ -221,7 +221,7 @@
             return None
         step = self.step_by_key.get((key.occurrence, key.step))
         if step is None:
-            self._open(key.occurrence)
+            self._open_occurrence(key.occurrence)
             step = self.step_by_key[key.occurrence, key.step]
         return step if key.task_index < step.spec.task_count else None
 
@@ -263,7 +263,7 @@
         """Let go of its steps, which name it: nothing but reference counts has to free it then."""
         self.step_by_key.clear()
 
-    def _open(self, occurrence: int) -> None:
+    def _open_occurrence(self, occurrence: int) -> None:
         for number, _ in enumerate(self.spec.steps):
             key = (occurrence, number)
             if key not in self.step_by_key:
