--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -115,8 +115,8 @@
 
 def _make_crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
     is_conclusive = run.is_isolated or not worker.beside(run)
-    was_there = _was_certainly_running(state, run, crashed_s)
-    return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_there)
+    was_running = _was_certainly_running(state, run, crashed_s)
+    return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_running)
 
 
 def _was_certainly_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
