--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -65,15 +65,15 @@
 
 def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Remember what was on a worker whose lease ended in silence, until it is known whether it crashed."""
-    remembered = {
+    retained = {
         worker_id: silent
         for worker_id, silent in state.silent_loss_by_worker.items()
         if now.steady_s - silent.at_s < _SILENT_LOSS_RETENTION_S
     }
     crash_by_task = _crash_by_task(state, worker, now)
     if crash_by_task and not worker.profile.draining:
-        remembered[worker.worker_id] = SilentLoss(now.steady_s, crash_by_task)
-    state.silent_loss_by_worker = remembered
+        retained[worker.worker_id] = SilentLoss(now.steady_s, crash_by_task)
+    state.silent_loss_by_worker = retained
 
 
 def worker_answered(state: SchedulerState, worker_id: str) -> None:
