--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -49,26 +49,26 @@
 def worker_crashed(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Note the death of a worker for all tasks that were there; one that leaves as announced crashes under none."""
     crash_by_task = _crash_by_task(state, worker, now)
-    silent = state.silent_loss_by_worker.pop(worker.worker_id, None)
-    if silent is not None:
-        crash_by_task |= silent.crash_by_task
+    silent_loss = state.silent_loss_by_worker.pop(worker.worker_id, None)
+    if silent_loss is not None:
+        crash_by_task |= silent_loss.crash_by_task
     if not worker.profile.draining:
         _record_crash(state, crash_by_task, now)
 
 
 def silent_worker_crashed(state: SchedulerState, worker_id: str, now: Moment) -> None:
     """Note that a worker that was given up had crashed: another incarnation answers at its address."""
-    silent = state.silent_loss_by_worker.pop(worker_id, None)
-    if silent is not None:
-        _record_crash(state, silent.crash_by_task, now)
+    silent_loss = state.silent_loss_by_worker.pop(worker_id, None)
+    if silent_loss is not None:
+        _record_crash(state, silent_loss.crash_by_task, now)
 
 
 def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Remember what was on a worker whose lease ended in silence, until it is known whether it crashed."""
     retained = {
-        worker_id: silent
-        for worker_id, silent in state.silent_loss_by_worker.items()
-        if now.steady_s - silent.at_s < _SILENT_LOSS_RETENTION_S
+        worker_id: silent_loss
+        for worker_id, silent_loss in state.silent_loss_by_worker.items()
+        if now.steady_s - silent_loss.at_s < _SILENT_LOSS_RETENTION_S
     }
     crash_by_task = _crash_by_task(state, worker, now)
     if crash_by_task and not worker.profile.draining:
