--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -129,8 +129,8 @@
 
 def check_kept_crashes(job: JobState, now: Moment) -> None:
     """Apply the crash limit to a job whose crashes a previous owner kept: it may have ended before it could."""
-    kept = (crashes for step in job.step_by_key.values() for crashes in step.crashes_by_index.values())
-    if any(_is_over_crash_limit(crashes) for crashes in kept):
+    saved = (crashes for step in job.step_by_key.values() for crashes in step.crashes_by_index.values())
+    if any(_is_over_crash_limit(crashes) for crashes in saved):
         job.crash_limit_at_s = now.steady_s
 
 
