--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -95,7 +95,7 @@
 
 
 def restore_assignments(
-    state: SchedulerState, job: JobState, kept: Mapping[AssignmentsPart, StepAssignments], now: Moment
+    state: SchedulerState, job: JobState, saved: Mapping[AssignmentsPart, StepAssignments], now: Moment
 ) -> None:
     """Believe in the runs that a previous owner assigned, until their workers say otherwise.
 
@@ -110,7 +110,7 @@
     now : Moment
         The present.
     """
-    for part, assignments in kept.items():
+    for part, assignments in saved.items():
         step = job.step_of(part.first_task)
         if step is None:
             continue
