--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -65,9 +65,9 @@
 
     def take_unkept(self) -> set[AssignmentsPart]:
         """Return the parts that must be kept, and forget that they must."""
-        unkept = self._state.unkept_assignments
+        unsaved = self._state.unkept_assignments
         self._state.unkept_assignments = set()
-        return unkept
+        return unsaved
 
     def mark_unkept(self, parts: Iterable[AssignmentsPart]) -> None:
         """Ask for parts to be kept, after a write that failed."""
