--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -194,8 +194,8 @@
 
     def start(self, step: StepState, task_index: int, run: Run) -> None:
         """Order a start."""
-        kept = step.checkpoint_by_index
-        run.checkpoint = step.gang_checkpoint() if step.spec.gang else kept.get(task_index, '')
+        checkpoints = step.checkpoint_by_index
+        run.checkpoint = step.gang_checkpoint() if step.spec.gang else checkpoints.get(task_index, '')
         run.began_from_checkpoint = bool(run.checkpoint)
         if run.began_from_checkpoint:
             run.went_on()
