--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -68,13 +68,13 @@
         """
         if self._is_request_pending or now_s < self._retry_at_s:
             return ()
-        wanted = [
+        worker_ids = [
             worker.worker_id
             for worker in workers
             if worker.worker_id not in self._refused and not self.ticket(worker.worker_id, now_s)
         ]
-        self._is_request_pending = bool(wanted)
-        return tuple(wanted[:MAX_WORKERS_PER_REQUEST])
+        self._is_request_pending = bool(worker_ids)
+        return tuple(worker_ids[:MAX_WORKERS_PER_REQUEST])
 
     def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Take in an answer."""
