--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -69,7 +69,7 @@
         'has_reported_pace',
         'is_confirmed',
         'key',
-        'moved_s',
+        'progressed_s',
         'number',
         'percent',
         'phase',
@@ -111,7 +111,7 @@
         self.isolation_s = 0.0
         self.slowdown = 1.0
         self.percent = 0.0
-        self.moved_s = started_s
+        self.progressed_s = started_s
         self.seen_s = started_s
         self.report_span_s = 0.0
         self.report_gain = 0.0
@@ -132,7 +132,7 @@
     def mark_sent(self, started_s: float) -> None:
         """Note when its start is sent, steady clock: its assignment was kept meanwhile."""
         self.started_s = started_s
-        self.moved_s = started_s
+        self.progressed_s = started_s
         self.seen_s = started_s
         self.was_absent = False
         if self._baseline_s is not None:
@@ -148,7 +148,7 @@
         self.seen_s = now_s
         if percent > self.percent:
             self.percent = percent
-            self.moved_s = now_s
+            self.progressed_s = now_s
 
     def _update_measured_pace(self, percent: float, now_s: float) -> None:
         """Note what was done since an earlier report that lies far enough apart."""
