--- a/packages/kernel/dahliaarch_kernel/scheduler/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/__init__.py
@@ -1,4 +1,4 @@
-"""Which task runs where and when: pure decisions over jobs and workers."""
+"""The scheduler of one worker pool: placement and preemption decisions, without I/O or clock access."""
 
 from .assignments import Assignment, StepAssignments
 from .clock import Moment
