--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -1,9 +1,9 @@
-"""Steps whose workers an outside policy must consent to.
+"""Consent of an external policy to run a step on particular workers.
 
-The policy is slow and takes one call at a time, so it is asked as soon as a step
-may start, while it waits for room. Its consent does not change, but the tickets
-that prove it expire: when there is room and no valid ticket, it is asked again,
-for those that it consented to alone.
+The policy is slow and handles one call at a time, so it is queried as soon as a
+step may start, while the step still waits for capacity. Its consent does not
+change, but the tickets that prove it expire: when there is capacity and no valid
+ticket, the policy is queried again, only about workers that it already consented to.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,24 +11,24 @@
 
 from .workers import WorkerState
 
-# Most workers that the policy is asked about at one time.
+# Maximum number of workers in one query to the policy.
 MAX_WORKERS_PER_REQUEST = 100
-# A ticket must hold for so long when it is used, in seconds: the start may need
-# a second try.
+# Minimum remaining validity of a ticket when it is used, in seconds: the start order
+# may need a retry.
 _MIN_TICKET_VALIDITY_S = 0.5
-# Pause after a call that failed, in seconds.
+# Delay after a failed query before the next one, in seconds.
 _RETRY_DELAY_S = 0.5
 
 
 class Ticket(NamedTuple):
-    """The policy's consent to one worker.
+    """Proof of the policy's consent to one worker.
 
     Parameters
     ----------
     text : str
-        What the worker wants to see.
+        Opaque ticket that the worker verifies.
     until_s : float
-        When it expires, steady clock.
+        Expiry time on the steady clock.
     """
 
     text: str
@@ -36,35 +36,35 @@
 
 
 class Advice:
-    """What the policy has said about one step."""
+    """The policy's answers about one step."""
 
     def __init__(self) -> None:
-        """Start without having asked."""
+        """Start without any answers."""
         self._ticket_by_worker: dict[str, Ticket] = {}
         self._refused: set[str] = set()
         self._is_request_pending = False
         self._retry_at_s = float('-inf')
 
     def consents(self, worker_id: str) -> bool:
-        """Tell whether the policy has consented to a worker, its ticket valid or not."""
+        """Return whether the policy has consented to a worker, even if the ticket has expired."""
         return worker_id in self._ticket_by_worker
 
     def ticket(self, worker_id: str, now_s: float) -> str:
-        """Return a ticket that is still valid for a while; empty when there is none."""
+        """Return a ticket that stays valid long enough to be used, or an empty string."""
         known = self._ticket_by_worker.get(worker_id)
         if known is None or known.until_s - now_s < _MIN_TICKET_VALIDITY_S:
             return ''
         return known.text
 
     def to_ask(self, workers: Iterable[WorkerState], now_s: float) -> tuple[str, ...]:
-        """Return the workers to ask the policy about now, and note that it is asked.
+        """Return the workers to query the policy about now, and mark the query as pending.
 
         Parameters
         ----------
         workers : iterable of WorkerState
-            Workers that could run the step, the likeliest first.
+            Workers that could run the step, the most likely first.
         now_s : float
-            The present, steady clock.
+            Current time on the steady clock.
         """
         if self._is_request_pending or now_s < self._retry_at_s:
             return ()
@@ -77,19 +77,19 @@
         return tuple(worker_ids[:MAX_WORKERS_PER_REQUEST])
 
     def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
-        """Take in an answer."""
+        """Record an answer; workers without a ticket in it are refused."""
         self._is_request_pending = False
         self._refused.update(worker_id for worker_id in asked if worker_id not in tickets)
         for worker_id, text in tickets.items():
             self._ticket_by_worker[worker_id] = Ticket(text, until_s)
 
     def failed(self, now_s: float) -> None:
-        """Note that there was no answer."""
+        """Record that a query failed, and delay the next one."""
         self._is_request_pending = False
         self._retry_at_s = now_s + _RETRY_DELAY_S
 
     def invalidate_ticket(self, worker_id: str) -> None:
-        """Note that a worker did not take a ticket."""
+        """Mark the ticket of a worker that rejected it as expired."""
         known = self._ticket_by_worker.get(worker_id)
         if known is not None:
             self._ticket_by_worker[worker_id] = known._replace(until_s=float('-inf'))
