--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -1,4 +1,4 @@
-"""Assignments of tasks to workers: what a next owner must know of starts that were sent."""
+"""Assignments of tasks to workers, saved so that the next owner knows which starts were sent."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -15,18 +15,18 @@
 
 
 class Assignment(NamedTuple):
-    """A run of a task on a worker, kept before its start is sent.
+    """A run of a task on a worker, saved before its start order is sent.
 
     Parameters
     ----------
     task_index : int
-        Which task of the step.
+        Index of the task in its step.
     run : int
         Number of the run.
     worker_id : str
-        Incarnation of the worker.
+        Identifier of the worker incarnation.
     assigned_s : float
-        When it was decided, seconds since 1970.
+        Time of the decision, in seconds since 1970.
     """
 
     task_index: int
@@ -36,14 +36,15 @@
 
 
 class StepAssignments(NamedTuple):
-    """Where some tasks of a step may run.
+    """The assignments of some tasks of a step.
 
     Parameters
     ----------
     runs : tuple of Assignment
-        Runs that were assigned, and of which no end is known.
+        Assigned runs that are not known to have ended.
     awaited : tuple of str
-        Workers that may have begun tasks of the step and have not said so: it waits for their lists.
+        Workers that may have started tasks of the step without reporting it: the step waits
+        until they have listed their runs.
     """
 
     runs: tuple[Assignment, ...] = ()
@@ -51,30 +52,30 @@
 
 
 class Assignments:
-    """Where tasks may run, as far as the store does not hold it yet.
+    """Tracks which assignments have changed since they were last saved.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed.
+        The scheduler's state.
     """
 
     def __init__(self, state: SchedulerState) -> None:
-        """Start with what is believed."""
+        """Wrap a scheduler state."""
         self._state = state
 
     def take_unkept(self) -> set[AssignmentsPart]:
-        """Return the parts that must be kept, and forget that they must."""
+        """Return the parts with unsaved changes, and clear that set."""
         unsaved = self._state.unkept_assignments
         self._state.unkept_assignments = set()
         return unsaved
 
     def mark_unkept(self, parts: Iterable[AssignmentsPart]) -> None:
-        """Ask for parts to be kept, after a write that failed."""
+        """Mark parts as unsaved again after a failed write."""
         self._state.unkept_assignments.update(parts)
 
     def of_part(self, part: AssignmentsPart) -> StepAssignments:
-        """Return where tasks may run; nowhere once their job has ended."""
+        """Return the current assignments of a part; none once the job has ended."""
         step = self._state.step_of(part.first_task)
         if step is None or step.job.has_ended:
             return StepAssignments()
@@ -85,7 +86,7 @@
         )
 
     def sent(self, worker_id: str, key: TaskKey, number: int, now: Moment) -> bool:
-        """Record that the start of a run is about to be sent; false when it is not wanted any more."""
+        """Record that a start order is about to be sent; return false if the run is no longer wanted."""
         worker = self._state.worker_by_id.get(worker_id)
         run = None if worker is None else worker.run_by_key.get(key)
         if run is None or run.number != number or run.phase is RunPhase.STOPPING:
@@ -97,18 +98,18 @@
 def restore_assignments(
     state: SchedulerState, job: JobState, saved: Mapping[AssignmentsPart, StepAssignments], now: Moment
 ) -> None:
-    """Believe in the runs that a previous owner assigned, until their workers say otherwise.
+    """Restore the runs that a previous owner assigned; they count as running until their workers report otherwise.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed; workers are known by now.
+        The scheduler's state; the workers must already be known.
     job : JobState
-        The job, its progress restored.
-    kept : mapping
-        What the previous owner kept of it.
+        The job, with its progress already restored.
+    saved : mapping
+        The job's assignments as saved by the previous owner.
     now : Moment
-        The present.
+        The current time.
     """
     for part, assignments in saved.items():
         step = job.step_of(part.first_task)
@@ -120,13 +121,13 @@
             worker = state.worker_by_id.get(worker_id)
             if worker is not None:
                 await_list(state, step, worker_id, now.steady_s + worker.late_order_s)
-        # It is kept as it is, but for what has ended since.
+        # The store already holds this part, except that some of its runs may have ended since.
         state.unkept_assignments.discard(part)
 
 
 def _restore_run(state: SchedulerState, step: StepState, assignment: Assignment, now: Moment) -> None:
     worker = state.worker_by_id.get(assignment.worker_id)
-    # A worker that its owner did not know any more, or that is lapsed, runs nothing.
+    # Nothing runs on a worker that the previous owner no longer knew, or that is lapsed.
     if assignment.task_index not in step.pending or worker is None or worker.is_lapsed:
         return
     work_s = state.times.expect_s(step.job.queue.name, step.spec)
@@ -137,7 +138,7 @@
     run.seen_s = now.steady_s
     run.is_inherited = True
     run.rank = rank_of_queue(step.job.queue)
-    # How far it has come, and at what pace, only its worker can tell.
+    # Only the worker knows the run's progress and pace, so pace is not learned from this run.
     run.has_reported_pace = True
     run.went_on()
     if assignment.task_index in step.suspects:
