--- a/packages/kernel/dahliaarch_kernel/scheduler/clock.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/clock.py
@@ -1,17 +1,17 @@
-"""The present time, as decisions see it."""
+"""The time at which a scheduling decision is made."""
 
 from typing import NamedTuple
 
 
 class Moment(NamedTuple):
-    """The present time on both clocks.
+    """One point in time on both clocks.
 
     Parameters
     ----------
     steady_s : float
-        Steady clock of the process in seconds.
+        Steady clock, in seconds: monotonic, and it also advances while the machine is suspended.
     wall_s : float
-        Time of day, seconds since 1970.
+        Wall clock, in seconds since 1970.
     """
 
     steady_s: float
