--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -1,12 +1,13 @@
-"""Tasks under which workers crash: what is counted, which run alone, which are given up.
-
-A worker that dies says nothing of what killed it, and what ran beside the cause
-died as well. So a death counts against every task that was there, and those that
-it makes suspects run isolated, one at a time: a suspect starts on a worker of its own, or
-after a wait where no other suspect runs isolated, and nothing starts beside it until
-it has outlived its earlier runs. A worker that dies meanwhile counts against it alone.
-Workers that die together die of something else, unless one step had tasks on them: a
-task that had run there for a while is not suspected of it.
+"""Crash accounting for tasks: crash counts, isolation of suspects and the crash limit.
+
+A worker that crashes does not report the cause, and all of its runs are lost with it.
+A crash therefore counts against every task that ran there. Tasks that become suspects
+run isolated, one at a time: a suspect starts on an empty worker or, after a bounded
+wait, on a worker without another isolated run, and nothing else starts there until the
+run has outlasted the task's earlier runs. If the worker crashes before that, the crash
+counts against the isolated task only. When several workers crash together, an external
+cause is assumed unless tasks of one step ran on several of them: the crashes are
+discounted for tasks that had been running for a while.
 """
 
 from collections.abc import Iterable, Sequence
@@ -20,34 +21,36 @@
 from .state import SchedulerState, SilentLoss, WorkerCrash
 from .workers import WorkerState
 
-# A task is given up after this many crashes if the last is conclusive. Two are
-# enough to suspect it.
+# A task with this many counted crashes is over the crash limit if the latest one is
+# conclusive. Two crashes are enough to make a task a suspect.
 _MAX_CRASHES_IF_CONCLUSIVE = 3
-# A task is given up after this many crashes, whatever ran beside it: users bear two
-# more starts once three workers have crashed, and one may be under way unknown.
+# A task with this many counted crashes is over the crash limit whatever else ran on
+# those workers: users tolerate two more starts once three workers have crashed, and one
+# start may already be in flight without the owner knowing.
 _MAX_COUNTED_CRASHES = 4
-# The same, discounted ones included.
+# The same limit when discounted crashes are included.
 _MAX_CRASHES = 5
-# Workers that are known to have crashed within this time did so together, in seconds:
-# they are back, and known to be, some tenths apart.
+# Crashes that become known within this time of each other count as simultaneous, in
+# seconds: restarted workers come back, and are detected, some tenths of a second apart.
 _CORRELATION_WINDOW_S = 2.0
-# So many other workers make it a crash of several.
+# Number of other workers, without tasks of the same step, whose simultaneous crashes
+# make a crash a correlated one.
 _MIN_UNRELATED = 2
-# Crashes of one task that are discounted: it may have caused some of them all the same.
+# Maximum number of discounted crashes per task: the task may still have caused some of them.
 _MAX_DISCOUNTED_CRASHES = 2
-# How long a suspect waits for a worker without other work, in seconds: its job must
-# not be held up by a pool that is never empty.
+# How long a suspect waits for an empty worker, in seconds: a pool whose workers are
+# never empty must not block its job.
 _EMPTY_WORKER_WAIT_S = 2.0
-# Tasks that last are suspected only of deaths within this time of their start, in
-# seconds: in days of work they see many workers die.
+# A crash counts against a lasting task only within this time of the task's start, in
+# seconds: running for days, such tasks see many workers crash.
 _LASTING_TASK_CRASH_WINDOW_S = 10.0
-# How long it is remembered what ran on a worker that fell silent for good, in
+# How long the lost runs of a worker that was given up in silence are remembered, in
 # seconds: by then another incarnation answers at its address, or none ever will.
 _SILENT_LOSS_RETENTION_S = 120.0
 
 
 def worker_crashed(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
-    """Note the death of a worker for all tasks that were there; one that leaves as announced crashes under none."""
+    """Record the crash of a worker for all tasks that ran there; the end of a draining worker counts against none."""
     crash_by_task = _crash_by_task(state, worker, now)
     silent_loss = state.silent_loss_by_worker.pop(worker.worker_id, None)
     if silent_loss is not None:
@@ -57,14 +60,14 @@
 
 
 def silent_worker_crashed(state: SchedulerState, worker_id: str, now: Moment) -> None:
-    """Note that a worker that was given up had crashed: another incarnation answers at its address."""
+    """Record that a worker given up in silence had crashed, since another incarnation answers at its address."""
     silent_loss = state.silent_loss_by_worker.pop(worker_id, None)
     if silent_loss is not None:
         _record_crash(state, silent_loss.crash_by_task, now)
 
 
 def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
-    """Remember what was on a worker whose lease ended in silence, until it is known whether it crashed."""
+    """Remember the runs of a worker whose lease ended in silence until it is known whether it crashed."""
     retained = {
         worker_id: silent_loss
         for worker_id, silent_loss in state.silent_loss_by_worker.items()
@@ -77,31 +80,31 @@
 
 
 def worker_answered(state: SchedulerState, worker_id: str) -> None:
-    """Forget what a worker was suspected of: it was only out of touch."""
+    """Discard the possible crash of a worker that answers again: it was only unreachable."""
     state.silent_loss_by_worker.pop(worker_id, None)
 
 
 def suspects(step: StepState) -> set[int]:
-    """Return the waiting tasks of a step that are suspects; a gang is one, since its members start together."""
+    """Return the pending suspects of a step; in a gang, one makes all suspects, since members start together."""
     found = step.suspects & step.pending
     return set(step.pending) if found and step.spec.gang else found
 
 
 def waits_for_own_place(step: StepState, now_s: float) -> bool:
-    """Tell whether the suspects of a step wait for workers that run nothing, as they do for a bounded time."""
+    """Return whether the suspects of a step still wait for empty workers; the wait is bounded."""
     if step.alone_until_s is None:
         step.alone_until_s = now_s + _EMPTY_WORKER_WAIT_S
     return now_s <= step.alone_until_s
 
 
 def isolation_s(step: StepState) -> float:
-    """Return how long a suspect of a step must have run before others may start beside it, in seconds."""
+    """Return how long a suspect of a step must run before other tasks may start on its worker, in seconds."""
     crashes = (crash for crashes in step.crashes_by_index.values() for crash in crashes)
     return SUSPICION_S + max((crash.ran_s for crash in crashes), default=0.0)
 
 
 def clear_suspect(step: StepState, run: Run) -> None:
-    """Clear a suspect whose run has gone on for longer than those that its workers died under."""
+    """Clear a suspect whose run has outlasted the runs that ended in crashes."""
     if run.isolation_s and not run.is_isolated:
         step.suspects.discard(run.key.task_index)
 
@@ -120,7 +123,7 @@
 
 
 def _was_certainly_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
-    """Tell whether a run had begun when its worker crashed, and its end, if it had one, would have been listed."""
+    """Return whether a run counts as running when its worker crashed: it did not fail to start or end unreported."""
     if not run.is_confirmed and (run.was_absent or run.is_inherited):
         return False
     step = state.step_of(run.key)
@@ -128,14 +131,14 @@
 
 
 def check_kept_crashes(job: JobState, now: Moment) -> None:
-    """Apply the crash limit to a job whose crashes a previous owner kept: it may have ended before it could."""
+    """Schedule the crash limit for a restored job: its previous owner may have stopped before applying it."""
     saved = (crashes for step in job.step_by_key.values() for crashes in step.crashes_by_index.values())
     if any(_is_over_crash_limit(crashes) for crashes in saved):
         job.crash_limit_at_s = now.steady_s
 
 
 def apply_crash_limit(state: SchedulerState, now: Moment) -> None:
-    """Give up jobs with a task that too many workers crashed under, once it is known who crashed beside them."""
+    """Fail jobs with a task over the crash limit once simultaneous crashes of other workers are known."""
     for job in tuple(state.active_jobs()):
         if job.crash_limit_at_s is not None and job.crash_limit_at_s <= now.steady_s:
             job.crash_limit_at_s = None
@@ -153,7 +156,7 @@
 
 
 def _discount_correlated(state: SchedulerState) -> None:
-    """Discount crashes of tasks that had run for a while on workers that crashed together with others."""
+    """Discount correlated crashes for tasks that had been running for a while."""
     for event in state.recent_crashes:
         for key, crash in event.crash_by_task.items():
             if crash.ran_s >= SUSPICION_S and _count_unrelated(state.recent_crashes, event, key) >= _MIN_UNRELATED:
@@ -174,14 +177,14 @@
 
 
 def _count_unrelated(deaths: Iterable[WorkerCrash], event: WorkerCrash, key: TaskKey) -> int:
-    """Return how many other workers crashed on which no task of a task's step ran."""
+    """Return the number of other crashed workers that ran no task of the same step."""
     return sum(
         other is not event and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
     )
 
 
 def _is_countable(step: StepState, key: TaskKey, crash: Crash) -> bool:
-    """Tell whether a crash says anything of a task that may still be given up."""
+    """Return whether a crash counts against its task: the task is unfinished and may have caused it."""
     if step.job.has_ended or key.task_index in step.done:
         return False
     return not step.spec.lasting or crash.ran_s <= _LASTING_TASK_CRASH_WINDOW_S
@@ -202,10 +205,11 @@
 
 
 def _schedule_crash_limit(state: SchedulerState, key: TaskKey, crash: Crash, now: Moment) -> None:
-    """Apply the crash limit, at once or a little later, to a task that is over it."""
+    """Schedule the crash limit, at once or a little later, for the job of a task that is over it."""
     step = state.step_of(key)
     if step is not None and _is_over_crash_limit(step.crashes_by_index.get(key.task_index, ())):
-        # Who crashed beside it may not be known yet; no crash soon after a start is discounted.
+        # Simultaneous crashes of other workers may not be known yet. A crash soon after a
+        # start is never discounted as correlated, so there is nothing to wait for.
         step.job.crash_limit_at_s = now.steady_s + (0.0 if crash.ran_s < SUSPICION_S else _CORRELATION_WINDOW_S)
 
 
