--- a/packages/kernel/dahliaarch_kernel/scheduler/effects.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/effects.py
@@ -1,4 +1,4 @@
-"""What the scheduler wants done."""
+"""Orders and queries that the scheduler asks its caller to send."""
 
 from typing import NamedTuple
 
@@ -18,13 +18,13 @@
     run : int
         Number of the run.
     checkpoint : str
-        Where to go on from; empty for the beginning.
+        Checkpoint to resume from; empty to start from the beginning.
     rank : int
-        Rank that its step had, for the log.
+        Rank of the step at the decision, for the log.
     expected_s : float
-        Run time that was expected there, for the log.
+        Expected run time on this worker, for the log.
     ticket : str
-        The outside policy's consent, where one is needed.
+        Ticket of the external policy, if the queue needs one.
     """
 
     worker_id: str
@@ -37,7 +37,7 @@
 
 
 class StopRun(NamedTuple):
-    """Order a worker to stop a run, or never to start it.
+    """Order a worker to stop a run, or not to start it at all.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
     run : int
         Number of the run.
     reason : str
-        Why, for the log.
+        Reason for the stop, for the log.
     """
 
     worker_id: str
@@ -58,16 +58,16 @@
 
 
 class AskAdvice(NamedTuple):
-    """Ask the outside policy which workers may run a step.
+    """Query the external policy for the workers that may run a step.
 
     Parameters
     ----------
     step : StepKey
         The step.
     worker_ids : tuple of str
-        Workers to ask about.
+        Workers that the query names.
     terms : AdviceTerms
-        What the call costs.
+        Time costs of the call and validity of its tickets.
     """
 
     step: StepKey
