--- a/packages/kernel/dahliaarch_kernel/scheduler/events.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/events.py
@@ -1,4 +1,4 @@
-"""Facts about runs that workers report."""
+"""Events about runs: reports of workers, and notes that the scheduler writes to the log."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -24,7 +24,7 @@
     Parameters
     ----------
     worker_id : str
-        Where it ran.
+        Identifier of the worker incarnation that ran it.
     key : TaskKey
         Its task.
     run : int
@@ -43,7 +43,7 @@
 
 
 class LossCause(StrEnum):
-    """Why a run is believed to be gone though its worker did not list its end."""
+    """Why a run is considered lost although its worker did not list its end."""
 
     WORKER_OVER = 'worker over'
     LEASE_ENDED = 'lease ended'
@@ -51,7 +51,7 @@
 
 
 class RunLost(NamedTuple):
-    """A run that its worker took with it, for the log.
+    """A run that was lost without a reported end, for the log.
 
     Parameters
     ----------
@@ -62,11 +62,11 @@
     run : int
         Number of the run.
     cause : LossCause
-        What shows that it is gone.
+        Evidence that it is lost.
     ran_s : float
-        How long it was known to run there, in seconds.
+        How long it was known to run on the worker, in seconds.
     beside : int
-        Runs of other jobs that went with it.
+        Number of runs of other jobs on the same worker.
     """
 
     worker_id: str
@@ -78,7 +78,7 @@
 
 
 class CrashCounted(NamedTuple):
-    """A crash of a worker under a task, for the log.
+    """A worker crash that was counted against a task, for the log.
 
     Parameters
     ----------
@@ -89,9 +89,9 @@
     run : int
         Number of the run.
     is_conclusive : bool
-        Whether no other job was there, or none but the task was isolated.
+        Whether the run was isolated, or no other job had runs on the worker.
     is_discounted : bool
-        Whether it says nothing of the task, since the run may not have been there.
+        Whether it is no evidence against the task, since the run may not have been on the worker.
     """
 
     worker_id: str
@@ -102,14 +102,14 @@
 
 
 class TaskGivenUp(NamedTuple):
-    """A task under which too many workers crashed; its job has failed by that.
+    """A task over the crash limit; its job has failed.
 
     Parameters
     ----------
     key : TaskKey
         The task.
     worker_ids : tuple of str
-        Incarnations of the workers, in the order of their crashes.
+        Worker incarnations that crashed, in order.
     """
 
     key: TaskKey
@@ -117,33 +117,33 @@
 
 
 class WaitReason(StrEnum):
-    """What keeps a ready step from being started."""
+    """Why a ready step is not started."""
 
-    #: A previous owner may have started it on a worker that has not answered.
+    #: A previous owner may have started it on a worker that has not answered yet.
     PREVIOUS_OWNER = 'previous owner'
-    #: Whether its job is failed by the crash limit is about to be decided.
+    #: A decision on failing its job by the crash limit is pending.
     CRASH_REVIEW = 'crash review'
-    #: Crashes of workers under its tasks are not saved yet.
+    #: Crashes counted against its tasks are not saved yet.
     CRASHES_NOT_SAVED = 'crashes not saved'
-    #: A worker refused it a moment ago.
+    #: A worker has just refused it.
     REFUSED = 'refused'
-    #: A restarted worker may have begun it and has not listed its runs.
+    #: A restarted worker may have started it and has not listed its runs yet.
     UNKNOWN_START = 'unknown start'
-    #: Members of its gang's previous run have not ended.
+    #: Members of its gang's previous run have not ended yet.
     GANG_ENDING = 'gang ending'
-    #: It must run alone, and no worker is empty.
+    #: It must run isolated, and no worker is empty.
     ISOLATION = 'isolation'
-    #: The outside policy has consented to no worker with room.
+    #: The external policy has not consented to any worker with free capacity.
     ADVICE = 'advice'
-    #: There is room, which is reserved for other steps.
+    #: There is free capacity, but it is reserved for other steps.
     RESERVED = 'reserved'
-    #: There is room, but not near its data or in one rack.
+    #: There is free capacity, but not near its data or not in one rack.
     LOCALITY = 'locality'
-    #: There is room, but on workers that get no starts now: silent, restarted or refusing ones.
+    #: There is free capacity, but on workers that get no starts now: silent, restarted or refusing ones.
     UNAVAILABLE = 'workers unavailable'
-    #: There is no room.
+    #: There is no free capacity.
     NO_CAPACITY = 'no capacity'
-    #: Not worked out yet.
+    #: Not determined yet.
     UNKNOWN = 'unknown'
 
 
@@ -155,18 +155,18 @@
     step : StepKey
         The step.
     reason : WaitReason
-        What keeps it from being started.
+        Why it is not started.
     waited_s : float
         How long its job has had nothing running, in seconds.
     task_count : int
-        Tasks that must find room together.
+        Number of tasks that must be placed together.
     used_share : float
-        Share of the pool's capacity that is in use.
+        Fraction of the pool's capacity that is in use.
     has_room_twice : bool
-        Whether free room, reserved or not, holds them twice, also on workers that get no
-        starts now, as their users see it.
+        Whether the free capacity, reserved or not, could hold these tasks twice, including
+        workers that get no starts now, as users of the pool see it.
     has_takers_twice : bool
-        The same on workers that take starts.
+        The same, counting only workers that accept starts.
     """
 
     step: StepKey
@@ -182,7 +182,7 @@
 
 
 class RunSeen(NamedTuple):
-    """A run that a worker lists as running.
+    """A run that a worker lists as running in a survey.
 
     Parameters
     ----------
@@ -193,7 +193,7 @@
     checkpoint : str
         Latest checkpoint; empty for none.
     percent : float
-        Work done so far, 0 to 100.
+        Completed share of the work in percent, 0 to 100.
     """
 
     key: TaskKey
