--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -1,4 +1,4 @@
-"""What keeps a ready step from being started, whatever room there is."""
+"""Conditions that keep a ready step from being started regardless of free capacity."""
 
 from .clock import Moment
 from .events import WaitReason
@@ -8,7 +8,7 @@
 
 
 def job_gate(job: JobState, now: Moment) -> WaitReason | None:
-    """Return why no task of a job may start now, if none may."""
+    """Return why no task of a job may start now, or None if tasks may start."""
     if job.crash_limit_at_s is not None:
         return WaitReason.CRASH_REVIEW
     if job.known_since_s > now.steady_s:
@@ -17,7 +17,7 @@
 
 
 def step_gate(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
-    """Return why no task of a step may start now, if none may."""
+    """Return why no task of a step may start now, or None if tasks may start."""
     if step.refused_until_s > now.steady_s:
         return WaitReason.REFUSED
     if step.refused_until_by_worker:
