--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -1,4 +1,4 @@
-"""State of one job: what is done, what runs and what may start."""
+"""State of one job and its steps: finished, running and pending tasks."""
 
 from collections.abc import Iterator
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class JobPhase(StrEnum):
-    """State of a job as callers see it."""
+    """Phase of a job as shown to callers."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
@@ -25,14 +25,14 @@
 
 
 class StepState:
-    """State of one step in one occurrence.
+    """State of one step in one occurrence of its job.
 
     Parameters
     ----------
     job : JobState
         Its job.
     occurrence, number : int
-        Which step.
+        Numbers of the occurrence and of the step in the job.
     """
 
     def __init__(self, job: 'JobState', occurrence: int, number: int) -> None:
@@ -46,29 +46,31 @@
         self.run_by_index: dict[int, Run] = {}
         self.failed_runs_by_index: dict[int, set[int]] = {}
         self.crashes_by_index: dict[int, list[Crash]] = {}
-        # Tasks that may crash workers, and until when they wait for a worker of their own, steady clock.
+        # Tasks suspected of crashing workers, and until when they wait for an empty worker, on the steady clock.
         self.suspects: set[int] = set()
         self.alone_until_s: float | None = None
         self.failed_on: set[str] = set()
         self.checkpoint_by_index: dict[int, str] = {}
         self.refused_until_s = 0.0
-        # Workers that refused it, and until when others are asked first, steady clock.
+        # Workers that refused the step, and until when other workers are preferred, on the steady clock.
         self.refused_until_by_worker: dict[str, float] = {}
-        # Incarnations of workers that may have begun its tasks, and until when they are waited for, steady clock.
+        # Worker incarnations that may have started tasks of the step, and until when their lists of runs are awaited,
+        # on the steady clock.
         self.awaited_until_by_worker: dict[str, float] = {}
-        # Whether a pass has tried to place it, and looked for victims.
+        # Whether a scheduling pass has already tried to place the step and looked for preemption victims.
         self.was_considered = False
-        # Logarithms of the times that its tasks take on a worker like the others.
+        # Logarithms of the run times of its tasks, normalized by the pace of their workers.
         self.log_times: list[float] = []
         self.standing: DatedStanding | None = None
-        # Whether any place near its data, or any rack, could hold it, and when that was looked at, steady clock.
+        # Whether any worker near the step's data, or any single rack, could hold it, and when that was last checked,
+        # on the steady clock.
         self.has_near_place = True
         self.near_place_seen_s = float('-inf')
         self.advice = Advice() if job.queue.advice else None
 
     @property
     def identity(self) -> StepKey:
-        """Which step of which job it is."""
+        """Key of the step."""
         return StepKey(self.job.spec.job_id, self.occurrence, self.number)
 
     @property
@@ -81,7 +83,7 @@
         return TaskKey(self.job.spec.job_id, self.occurrence, self.number, index)
 
     def mark_done(self, index: int) -> None:
-        """Record a success; one member's stands for its whole gang."""
+        """Record the success of a task; the success of one gang member counts for the whole gang."""
         indices = range(self.spec.task_count) if self.spec.gang else (index,)
         for each in indices:
             self.pending.discard(each)
@@ -89,25 +91,25 @@
             self.done.add(each)
 
     def count_failure(self, index: int, run: int) -> int:
-        """Record a failed run, once; return how many there are of its task."""
+        """Record a failed run, once; return the number of failed runs of its task."""
         failed = self.failed_runs_by_index.setdefault(0 if self.spec.gang else index, set())
         failed.add(run)
         return len(failed)
 
     def count_crash(self, index: int, crash: Crash) -> bool:
-        """Record a crash of a worker under a task, once; tell whether it is new."""
+        """Record a worker crash against a task, once per run; return whether it is new."""
         crashes = self.crashes_by_index.setdefault(index, [])
         if any(known.run == crash.run for known in crashes):
             return False
         crashes.append(crash)
         self.alone_until_s = None
-        # What one owner counted and could not keep is a start more under the next: with
-        # the store away, three owners in turn gave a task six.
+        # A crash that one owner counts but cannot save allows one more start under the next
+        # owner: with the store unavailable, three successive owners started a task six times.
         self.job.has_unkept_crashes = self.job.has_unkept_crashes or is_suspect(crashes)
         return True
 
     def discount_crash(self, index: int, run: int) -> bool:
-        """Record that the crash under a run said nothing of its task; tell whether that is new."""
+        """Discount the crash of a run as evidence against its task; return whether that is a change."""
         crashes = self.crashes_by_index.get(index, [])
         for number, crash in enumerate(crashes):
             if crash.run == run and not crash.is_discounted:
@@ -118,11 +120,11 @@
         return False
 
     def gang_checkpoint(self) -> str:
-        """Return a checkpoint that every member can go on from."""
+        """Return a checkpoint that every gang member can resume from."""
         return max(self.checkpoint_by_index.values(), default='')
 
     def progress(self) -> StepProgress | None:
-        """Return what must be kept; nothing for an untouched step."""
+        """Return the progress to save; None for a step without any."""
         if not (self.done or self.failed_runs_by_index or self.checkpoint_by_index or self.crashes_by_index):
             return None
         all_done = self.is_done
@@ -137,7 +139,7 @@
         )
 
     def restore(self, saved: StepProgress) -> None:
-        """Take in what was kept."""
+        """Restore saved progress."""
         for index in range(self.spec.task_count) if saved.all_done else saved.done:
             self.pending.discard(index)
             self.done.add(index)
@@ -153,9 +155,9 @@
     Parameters
     ----------
     spec : JobSpec
-        The job as submitted.
+        Specification of the job as submitted.
     queue : Queue
-        Its queue when it was accepted.
+        Configuration of its queue when the job was accepted.
     """
 
     def __init__(self, spec: JobSpec, queue: Queue) -> None:
@@ -170,27 +172,27 @@
         self.opened_occurrences = 0
         self.failed_on: set[str] = set()
         self.has_success = False
-        # Whether crashes of workers were counted that a next owner would not know of.
+        # Whether worker crashes were counted that are not saved, so that the next owner would not know of them.
         self.has_unkept_crashes = False
-        # Until when it is not decided whether one of its tasks is given up, steady clock.
+        # When the crash limit is applied to its tasks, on the steady clock; None if no decision is pending.
         self.crash_limit_at_s: float | None = None
         self.is_end_kept = False
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing more will run."""
+        """Whether the job is in a final phase."""
         return self.phase in ENDED_PHASES
 
     @property
     def shown_phase(self) -> JobPhase:
-        """Phase to show: an end only once it can't be lost any more."""
+        """Phase to show to callers: success or failure only once it is saved and can no longer be lost."""
         if self.has_ended and not self.is_end_kept and self.phase is not JobPhase.CANCELLED:
             return JobPhase.RUNNING
         return self.phase
 
     @property
     def is_end_near(self) -> bool:
-        """Whether its end waits only for runs that are under way, or to be kept."""
+        """Whether the job only waits for its current runs to end, or for its end to be saved."""
         if self.has_ended:
             return self.shown_phase not in ENDED_PHASES
         if self.opened_occurrences < self.spec.occurrences:
@@ -198,7 +200,7 @@
         return not any(step.pending or step.spec.lasting for step in self.step_by_key.values())
 
     def open_due(self, wall_s: float) -> bool:
-        """Create the steps of occurrences that are due; tell whether any was."""
+        """Create the steps of occurrences that are due; return whether there were any."""
         opened = False
         while self.opened_occurrences < self.spec.occurrences and self.spec.due_s(self.opened_occurrences) <= wall_s:
             self._open_occurrence(self.opened_occurrences)
@@ -207,7 +209,7 @@
         return opened
 
     def ready_steps(self) -> Iterator[StepState]:
-        """Yield the steps that have tasks to start and wait for no other."""
+        """Yield the steps that have pending tasks and whose prerequisite steps are done."""
         for (occurrence, _), step in self.step_by_key.items():
             if not step.pending:
                 continue
@@ -216,7 +218,7 @@
                 yield step
 
     def step_of(self, key: TaskKey) -> StepState | None:
-        """Return the step of a task; nothing when the job has no such task."""
+        """Return the step of a task, or None if the job has no such task."""
         if key.step >= len(self.spec.steps) or key.occurrence >= self.spec.occurrences:
             return None
         step = self.step_by_key.get((key.occurrence, key.step))
@@ -232,7 +234,7 @@
         return all(step.is_done for step in self.step_by_key.values())
 
     def mark_begun(self) -> None:
-        """Record that one of its tasks has begun."""
+        """Record that a task of the job has started."""
         self.has_begun = True
         if self.phase is JobPhase.QUEUED:
             self.phase = JobPhase.RUNNING
@@ -243,12 +245,12 @@
             yield from step.run_by_index.values()
 
     def progress(self) -> JobProgress:
-        """Return what must outlast every instance."""
+        """Return the progress to save in the store."""
         saved = (step.progress() for step in self.step_by_key.values())
         return JobProgress(str(self.phase), tuple(each for each in saved if each), self.ended_s)
 
     def restore(self, saved: JobProgress) -> None:
-        """Take in what was kept."""
+        """Restore saved progress."""
         self.phase = JobPhase(saved.phase)
         self.ended_s = saved.ended_s
         self.is_end_kept = self.has_ended
@@ -260,7 +262,7 @@
             self.has_begun = True
 
     def release(self) -> None:
-        """Let go of its steps, which name it: nothing but reference counts has to free it then."""
+        """Drop the steps, which refer back to the job, so that reference counting alone can free both."""
         self.step_by_key.clear()
 
     def _open_occurrence(self, occurrence: int) -> None:
