--- a/packages/kernel/dahliaarch_kernel/scheduler/progress.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/progress.py
@@ -1,30 +1,30 @@
-"""The part of a job's state that must outlast every instance."""
+"""The part of a job's state that is saved in the store and survives the loss of every instance."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# A run that goes on for so much longer than earlier ones did is not what killed
-# their workers, in seconds: progress is reported once a second. A run that was not
-# reported for so long is suspected of its worker's death.
+# Margin for attributing crashes, in seconds; progress is reported once a second. A run
+# that outlasts the task's crashed runs by this margin clears the task. A crash of a
+# run that is known to have lasted for less than this makes the task a suspect.
 SUSPICION_S = 1.0
 
 
 class Crash(NamedTuple):
-    """A crash of a worker under a task.
+    """A worker crash during a run of a task.
 
     Parameters
     ----------
     run : int
-        Number of the run that was there.
+        Number of the run that was lost.
     worker_id : str
-        Incarnation of the worker.
+        Identifier of the worker incarnation.
     ran_s : float
         How long the run was known to run, in seconds.
     is_conclusive : bool
-        Whether no other job ran there, or none but the task was isolated.
+        Whether the run was isolated, or no other job had runs on the worker.
     is_discounted : bool
-        Whether it says nothing of the task: other workers, without its step, crashed at
-        about that time, or the run may not have been there.
+        Whether it is no evidence against the task: other workers without tasks of its step
+        crashed at about the same time, or the run may not have been on the worker.
     """
 
     run: int
@@ -35,12 +35,12 @@
 
 
 def counted_crashes(crashes: Sequence[Crash]) -> list[Crash]:
-    """Return the crashes that say something of their task."""
+    """Return the crashes that are not discounted."""
     return [crash for crash in crashes if not crash.is_discounted]
 
 
 def is_suspect(crashes: Sequence[Crash]) -> bool:
-    """Tell whether crashes under a task make it a suspect: two, or one soon after its start."""
+    """Return whether its crashes make a task a suspect: two of them, or one soon after a start."""
     counted = counted_crashes(crashes)
     return len(counted) > 1 or any(crash.ran_s < SUSPICION_S for crash in counted)
 
@@ -51,18 +51,18 @@
     Parameters
     ----------
     occurrence, step : int
-        Which step.
+        Numbers of the occurrence and of the step in the job.
     done : tuple of int
         Tasks that have succeeded; empty when ``all_done``.
     all_done : bool
-        Whether all have.
+        Whether all tasks have succeeded.
     failures : dict
-        Numbers of failed runs by task; a gang counts under task 0. Numbers
-        and not a count, since a report may come again after a takeover.
+        Numbers of failed runs by task; those of a gang are stored under task 0. Run numbers
+        are stored rather than a count, since a report may be repeated after a takeover.
     checkpoints : dict
-        Checkpoints of tasks that wait to go on.
+        Checkpoints by task, for unfinished tasks that can resume.
     crashes : dict
-        Crashes of workers by task, oldest first; by run, as failures are.
+        Worker crashes by task, oldest first; one per run, as for failures.
     """
 
     occurrence: int
@@ -80,11 +80,11 @@
     Parameters
     ----------
     phase : str
-        Phase as callers see it.
+        Phase as shown to callers.
     steps : tuple of StepProgress
-        Steps that have any.
+        Progress of the steps that have any.
     ended_s : float
-        When it ended, seconds since 1970; 0 while it has not.
+        When the job ended, in seconds since 1970; 0 if it has not ended.
     """
 
     phase: str
