--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks, as the scheduler believes them to be."""
+"""Runs of tasks on workers, as the scheduler knows them."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class RunPhase(StrEnum):
-    """What is known of a run."""
+    """Phase of a run, as far as known."""
 
     STARTING = 'starting'
     RUNNING = 'running'
@@ -23,38 +23,38 @@
     number : int
         Number of the run.
     worker_id : str
-        Where it runs.
+        Worker that runs it.
     demand : Resources
-        What it holds.
+        Resources that it holds.
     started_s : float
-        When the start was ordered, steady clock.
+        When the start was ordered, on the steady clock.
     work_s : float
         Expected run time from start to end.
 
     Attributes
     ----------
     slowdown : float
-        Times as long as its work is expected to take where it runs.
+        Factor by which the run is expected to take longer on its worker than on a sound one.
     began_from_checkpoint : bool
-        Whether it went on from saved work.
+        Whether it resumed from a checkpoint.
     has_reported_pace : bool
         Whether its worker's pace was learned from it.
     report_span_s, report_gain : float
-        Time between the last two reports of progress that lie apart far enough
-        to tell, and the percent done in it.
+        Time between the last two progress reports that are far enough apart to measure a
+        pace, and the progress made in that time, in percent.
     isolation_s : float
-        How long it must have run before others may start beside it; 0 unless
-        workers crashed under its task.
+        How long it must run before other tasks may start on its worker, in seconds; 0
+        unless its task is a suspect.
     is_confirmed : bool
-        Whether its worker acknowledged its start or listed it: before that the
-        start may still be carried out, whatever a list of runs says.
+        Whether its worker has acknowledged the start or listed the run. Until then the
+        start may still be carried out, even if a list of runs omits it.
     was_absent : bool
-        Whether its worker has listed its runs since the start was sent, without it.
+        Whether its worker has sent a list of runs since the start was sent, without this one.
     is_inherited : bool
-        Whether a previous owner assigned it, and its worker has not listed it since:
-        a list that leaves it out rules it out, for orders of that owner are refused.
+        Whether a previous owner assigned it and its worker has not listed it since. A list
+        that omits it proves it is not running, since the worker refuses late orders of that owner.
     assigned_s : float
-        When its start was decided, seconds since 1970.
+        When its start was decided, in seconds since 1970.
     """
 
     __slots__ = (
@@ -93,7 +93,7 @@
         started_s: float,
         work_s: float,
     ) -> None:
-        """Record a start that was ordered."""
+        """Create a run whose start has been decided."""
         self.key = key
         self.number = number
         self.worker_id = worker_id
@@ -121,16 +121,16 @@
 
     @property
     def ran_s(self) -> float:
-        """How long it was known to run, in seconds."""
+        """How long the run is known to have lasted, in seconds."""
         return self.seen_s - self.started_s
 
     @property
     def is_isolated(self) -> bool:
-        """Whether workers crashed under its task, and it has not gone on for longer yet."""
+        """Whether its task is a suspect and the run has not outlasted its isolation time yet."""
         return self.isolation_s > 0 and self.ran_s <= self.isolation_s
 
     def mark_sent(self, started_s: float) -> None:
-        """Note when its start is sent, steady clock: its assignment was kept meanwhile."""
+        """Set the start time, on the steady clock, when the order is sent: it waited for the assignment to be saved."""
         self.started_s = started_s
         self.progressed_s = started_s
         self.seen_s = started_s
@@ -139,11 +139,11 @@
             self._baseline_s = started_s
 
     def went_on(self) -> None:
-        """Note that it did not begin at the beginning of its work, or not when it was noted."""
+        """Discard the pace baseline: the run did not start from the beginning, or its start time is not exact."""
         self._baseline_s = None
 
     def saw_progress(self, percent: float, now_s: float) -> None:
-        """Take in a report of progress."""
+        """Record a progress report."""
         self._update_measured_pace(percent, now_s)
         self.seen_s = now_s
         if percent > self.percent:
@@ -151,9 +151,9 @@
             self.progressed_s = now_s
 
     def _update_measured_pace(self, percent: float, now_s: float) -> None:
-        """Note what was done since an earlier report that lies far enough apart."""
+        """Measure the progress since an earlier report that is far enough apart."""
         if self._baseline_s is None:
-            # What a checkpoint held was not done in this run.
+            # Work restored from a checkpoint was not done in this run.
             self._baseline_s, self._baseline_percent = now_s, percent
             return
         if now_s - self._baseline_s < _MIN_MEASURED_SPAN_S:
@@ -163,23 +163,23 @@
         self._baseline_s, self._baseline_percent = now_s, percent
 
     def may_have_ended(self, at_s: float) -> bool:
-        """Tell whether it is expected to have ended since it was listed, at a time by the steady clock."""
+        """Return whether the run, last listed earlier, is expected to have ended by a time on the steady clock."""
         return at_s > self.seen_s and self.left_s(at_s) <= _MIN_LEFT_S
 
     def left_s(self, now_s: float) -> float:
-        """Return the expected time to its end."""
+        """Return the expected remaining time, in seconds."""
         estimated_left_s = self.started_s + self.work_s - now_s
         if self.percent < _MIN_PACE_PERCENT:
             return max(estimated_left_s, _MIN_LEFT_S)
-        # The pace so far predicts more than any estimate made before.
+        # The measured pace is a better predictor than the estimate made before the start.
         pace_s = (self.seen_s - self.started_s) / self.percent
         left_s = pace_s * (100.0 - self.percent) - (now_s - self.seen_s)
         return max(left_s, _MIN_LEFT_S)
 
 
-# Reports that lie closer together say little of a pace, in seconds.
+# Minimum time between two reports for measuring a pace, in seconds.
 _MIN_MEASURED_SPAN_S = 0.35
-# Below this share the pace is mostly start-up time.
+# Below this progress, in percent, the measured pace is dominated by start-up time.
 _MIN_PACE_PERCENT = 8.0
-# A run that should have ended is expected at any moment.
+# Minimum remaining time, in seconds: a run past its expected end may end at any moment.
 _MIN_LEFT_S = 0.1
