--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -1,4 +1,4 @@
-"""Everything that the scheduler believes, in one place."""
+"""The mutable state of the scheduler: jobs, workers, runs and pending effects."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -18,29 +18,31 @@
 from .stalls import Stalls
 from .workers import WorkerState
 
-# Runs of one owner count up below its epoch, so that numbers rise over owners.
+# Run numbers of one owner are its epoch times this, plus a counter: they increase from
+# one owner to the next.
 RUNS_PER_EPOCH = 1 << 20
-# How long the last word of workers' room holds where they don't guard it, in seconds:
-# entries are written each 1.5 s, and users bear starts on room that shrank 4.5 s ago.
+# How long the published capacity of workers that don't enforce it stays valid, in
+# seconds: entries are written every 1.5 s, and users tolerate starts on capacity that
+# shrank up to 4.5 s ago.
 _ROOM_VALID_S = 3.0
 
 
-# Tasks of a step whose assignments are kept together: a start costs a write of so many
-# at most, however wide its step is.
+# Number of tasks of a step whose assignments are saved together. It bounds the size of
+# the write that a start needs, however many tasks the step has.
 _TASKS_PER_PART = 256
 
 
 class AssignmentsPart(NamedTuple):
-    """Some tasks of one step, whose assignments are kept together.
+    """A group of tasks of one step whose assignments are saved together.
 
     Parameters
     ----------
     job_id : str
         The job.
     occurrence, step : int
-        Which step of it.
+        Numbers of the occurrence and of the step in the job.
     number : int
-        Which part of the step, from 0.
+        Number of the part in the step, from 0.
     """
 
     job_id: str
@@ -50,36 +52,36 @@
 
     @property
     def task_indices(self) -> range:
-        """Which tasks of the step it is about."""
+        """Indices of the tasks that the part covers."""
         first = self.number * _TASKS_PER_PART
         return range(first, first + _TASKS_PER_PART)
 
     @property
     def first_task(self) -> TaskKey:
-        """The first of its tasks."""
+        """Key of the first task of the part."""
         return TaskKey(self.job_id, self.occurrence, self.step, self.task_indices[0])
 
 
 def part_of(key: TaskKey) -> AssignmentsPart:
-    """Return the part that a task belongs to."""
+    """Return the assignments part that a task belongs to."""
     return AssignmentsPart(key.job_id, key.occurrence, key.step, key.task_index // _TASKS_PER_PART)
 
 
 def parts_of(step: StepState) -> list[AssignmentsPart]:
-    """Return the parts of a step."""
+    """Return all assignments parts of a step."""
     last = part_of(step.key(step.spec.task_count - 1))
     return [last._replace(number=number) for number in range(last.number + 1)]
 
 
 class SilentLoss(NamedTuple):
-    """What was on a worker whose lease ended in silence: it may have crashed, or be cut off.
+    """The runs of a worker whose lease ended in silence: it may have crashed, or only be unreachable.
 
     Parameters
     ----------
     at_s : float
-        When it was given up, steady clock.
+        When the worker was given up, on the steady clock.
     crash_by_task : dict
-        What is to be noted if it has crashed.
+        Crashes to record if the worker turns out to have crashed.
     """
 
     at_s: float
@@ -87,14 +89,14 @@
 
 
 class WorkerCrash(NamedTuple):
-    """A crash of a worker, and what it may say of the tasks that were there.
+    """A crash of a worker and the crashes recorded for the tasks that ran there.
 
     Parameters
     ----------
     at_s : float
-        When it was known, steady clock.
+        When the crash became known, on the steady clock.
     crash_by_task : dict
-        What was noted.
+        Recorded crashes by task.
     """
 
     at_s: float
@@ -102,16 +104,16 @@
 
 
 class SchedulerState:
-    """Jobs, workers and what is to be done about them.
+    """Jobs, workers, runs and the effects that are still to be sent.
 
     Parameters
     ----------
     settings : SchedulerSettings
         Limits and weights.
     epoch : int
-        Epoch of the owner; later owners have larger ones.
+        Epoch of the owner; it grows with every new owner.
     policy : Policy
-        The operators' programs, with built-in choices for those left out.
+        The operators' policy programs, with built-in defaults for those not given.
     """
 
     def __init__(self, settings: SchedulerSettings, epoch: int, policy: Policy) -> None:
@@ -125,18 +127,18 @@
         self.times = RunTimes(is_learning=settings.has(Mechanism.LEARNED_TIMES))
         self.reservations = Reservations()
         self.dirty_jobs: set[str] = set()
-        # What has changed of where tasks may run, and is not kept.
+        # Parts whose assignments have changed and are not saved yet.
         self.unkept_assignments: set[AssignmentsPart] = set()
         self.notes: list[Note] = []
         self.silent_loss_by_worker: dict[str, SilentLoss] = {}
-        # Incarnations whose lists some step waits for, or did, and those that were given up in silence since, until
-        # something answers at their addresses.
+        # Incarnations whose lists of runs a step waits for or has waited for; and those of them that have since been
+        # given up in silence, until something answers at their addresses.
         self.awaited_incarnations: set[str] = set()
         self.given_up_unacknowledged: set[str] = set()
         self.recent_crashes: list[WorkerCrash] = []
         self.effects: list[Effect] = []
         self.guaranteed_by_account: dict[str, int] = {}
-        # Services whose workers start whatever they are sent, and when entries were last synced.
+        # Services whose workers don't enforce their capacity, and when worker entries were last synced.
         self.unguarded_services: frozenset[str] = frozenset()
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
@@ -145,23 +147,23 @@
         self._runs_started = 0
 
     def step_of(self, key: TaskKey) -> StepState | None:
-        """Return the step of a task, if its job is known."""
+        """Return the step of a task, or None if the job or task is unknown."""
         job = self.job_by_id.get(key.job_id)
         return None if job is None else job.step_of(key)
 
     def knows_room(self, worker: WorkerState, now_s: float) -> bool:
-        """Tell whether a worker's room is known, or guarded by the worker itself."""
+        """Return whether a worker's published capacity is recent, or the worker enforces it itself."""
         if worker.profile.service not in self.unguarded_services:
             return True
         return now_s - self.workers_synced_s <= _ROOM_VALID_S
 
     def next_run_number(self) -> int:
-        """Return a run number above all that were given before."""
+        """Return a run number larger than all previous ones."""
         self._runs_started += 1
         return self.epoch * RUNS_PER_EPOCH + self._runs_started
 
     def add_run(self, step: StepState, run: Run) -> None:
-        """Let a run hold its task and its room."""
+        """Add a run, which takes its task and its capacity on the worker."""
         step.pending.discard(run.key.task_index)
         step.run_by_index[run.key.task_index] = run
         self.unkept_assignments.add(part_of(run.key))
@@ -170,7 +172,7 @@
             worker.add_run(run)
 
     def remove_run(self, run: Run) -> None:
-        """Free a run's room; its task waits again unless it has succeeded."""
+        """Remove a run and free its capacity; its task is pending again unless it has succeeded."""
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None:
             worker.remove_run(run)
@@ -184,16 +186,16 @@
             step.pending.add(run.key.task_index)
 
     def note_losses(self, worker: WorkerState, cause: LossCause) -> None:
-        """Note what a worker takes with it."""
+        """Record all runs of a worker as lost, for the log."""
         for run in worker.run_by_key.values():
             self.note_loss(worker, run, cause)
 
     def note_loss(self, worker: WorkerState, run: Run, cause: LossCause) -> None:
-        """Note that a run is gone though its worker did not list its end."""
+        """Record that a run was lost without a reported end, for the log."""
         self.notes.append(RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.beside(run)))
 
     def start(self, step: StepState, task_index: int, run: Run) -> None:
-        """Order a start."""
+        """Add a run and order its start."""
         checkpoints = step.checkpoint_by_index
         run.checkpoint = step.gang_checkpoint() if step.spec.gang else checkpoints.get(task_index, '')
         run.began_from_checkpoint = bool(run.checkpoint)
@@ -204,21 +206,21 @@
         self.effects.append(StartRun(run.worker_id, run.key, run.number, run.checkpoint, run.rank, run.work_s, ticket))
 
     def stop(self, run: Run, reason: str) -> None:
-        """Order a stop, once."""
+        """Order a stop, unless one has been ordered already."""
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
         self.effects.append(StopRun(run.worker_id, run.key, run.number, reason))
 
     def stop_unit(self, run: Run, reason: str) -> None:
-        """Order a stop of a run and of its whole gang."""
+        """Order a stop of a run or, for a gang, of all its members."""
         step = self.step_of(run.key)
         members = list(step.run_by_index.values()) if step is not None and step.spec.gang else [run]
         for member in members:
             self.stop(member, reason)
 
     def end_job(self, job: JobState, phase: JobPhase, wall_s: float, reason: str) -> None:
-        """Let a job end: nothing of it runs on."""
+        """Move a job to a final phase and stop its remaining runs."""
         job.phase = phase
         job.ended_s = wall_s
         self.active_job_by_id.pop(job.spec.job_id, None)
@@ -226,10 +228,10 @@
         self.reservations.drop(lambda reservation: reservation.step.job is job)
         for step in job.step_by_key.values():
             for run in tuple(step.run_by_index.values()):
-                # Members of a gang that has succeeded end by themselves.
+                # The other members of a gang that has succeeded end by themselves.
                 if run.key.task_index not in step.done:
                     self.stop(run, reason)
 
     def active_jobs(self) -> Iterator[JobState]:
-        """Yield the jobs that have not ended."""
+        """Return an iterator over the jobs that have not ended."""
         return iter(self.active_job_by_id.values())
