--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -118,11 +118,11 @@
 
 def _make_crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
     is_conclusive = run.is_isolated or not worker.beside(run)
-    was_running = _was_certainly_running(state, run, crashed_s)
+    was_running = _counts_as_running(state, run, crashed_s)
     return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_running)
 
 
-def _was_certainly_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
+def _counts_as_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
     """Return whether a run counts as running when its worker crashed: it did not fail to start or end unreported."""
     if not run.is_confirmed and (run.was_absent or run.is_inherited):
         return False
