--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -111,9 +111,9 @@
 
 def _crash_by_task(state: SchedulerState, worker: WorkerState, now: Moment) -> dict[TaskKey, Crash]:
     runs = list(worker.run_by_key.values())
-    suspected_runs = [run for run in runs if run.is_isolated] or runs
+    counted_runs = [run for run in runs if run.is_isolated] or runs
     crashed_s = now.steady_s if worker.silent_since_s is None else worker.silent_since_s
-    return {run.key: _make_crash(state, worker, run, crashed_s) for run in suspected_runs}
+    return {run.key: _make_crash(state, worker, run, crashed_s) for run in counted_runs}
 
 
 def _make_crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
