--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -176,10 +176,10 @@
     return sum(crash.is_discounted for crash in crashes) < _MAX_DISCOUNTED_CRASHES
 
 
-def _count_unrelated(deaths: Iterable[WorkerCrash], event: WorkerCrash, key: TaskKey) -> int:
+def _count_unrelated(crashes: Iterable[WorkerCrash], event: WorkerCrash, key: TaskKey) -> int:
     """Return the number of other crashed workers that ran no task of the same step."""
     return sum(
-        other is not event and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in deaths
+        other is not event and not any(each[:-1] == key[:-1] for each in other.crash_by_task) for other in crashes
     )
 
 
