--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         """Start without any answers."""
         self._ticket_by_worker: dict[str, Ticket] = {}
-        self._refused: set[str] = set()
+        self._refused_worker_ids: set[str] = set()
         self._is_request_pending = False
         self._retry_at_s = float('-inf')
 
@@ -71,7 +71,7 @@
         worker_ids = [
             worker.worker_id
             for worker in workers
-            if worker.worker_id not in self._refused and not self.ticket(worker.worker_id, now_s)
+            if worker.worker_id not in self._refused_worker_ids and not self.ticket(worker.worker_id, now_s)
         ]
         self._is_request_pending = bool(worker_ids)
         return tuple(worker_ids[:MAX_WORKERS_PER_REQUEST])
@@ -79,7 +79,7 @@
     def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Record an answer; workers without a ticket in it are refused."""
         self._is_request_pending = False
-        self._refused.update(worker_id for worker_id in asked if worker_id not in tickets)
+        self._refused_worker_ids.update(worker_id for worker_id in asked if worker_id not in tickets)
         for worker_id, text in tickets.items():
             self._ticket_by_worker[worker_id] = Ticket(text, until_s)
 
