--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -1,7 +1,7 @@
-"""What the end of a run changes.
+"""Handling of the ends of runs.
 
-Kinds of end are members of one enumeration and not types, so a table stands
-where `singledispatch` would.
+Handlers are looked up in a table, not by `singledispatch`, because the kinds of
+end are members of one enumeration rather than types.
 """
 
 from collections.abc import Callable
@@ -13,16 +13,17 @@
 from .runs import Run, RunPhase
 from .state import SchedulerState
 
-# A job that failed on this many workers without a success is at fault itself.
-_WORKERS_THAT_CONVICT_A_JOB = 2
-# A step that a worker refused waits this long, in seconds.
-_REFUSED_PAUSE_S = 0.3
-# How long it then asks other workers first, in seconds.
-_REFUSED_BY_WORKER_S = 4.0
+# Number of workers on which a job must fail, without any success, before the failures
+# are attributed to the job rather than to the workers.
+_FAULTY_JOB_MIN_WORKERS = 2
+# Delay before a step is started again after a worker refused it, in seconds.
+_REFUSED_STEP_DELAY_S = 0.3
+# How long the step then prefers workers other than the one that refused, in seconds.
+_REFUSING_WORKER_AVOIDANCE_S = 4.0
 
 
 def take_in_end(state: SchedulerState, end: RunEnd, now: Moment) -> None:
-    """Take in the end of a run; a report that comes again changes nothing."""
+    """Apply the end of a run; a repeated report has no effect."""
     step = state.step_of(end.key)
     if step is None:
         return
@@ -47,15 +48,15 @@
     job.has_success = True
     was_done = end.key.task_index in step.done
     step.mark_done(end.key.task_index)
-    _stop_needless(state, step, end)
+    _stop_redundant_runs(state, step, end)
     if not was_done and not job.has_ended:
         state.dirty_jobs.add(job.spec.job_id)
     if not job.has_ended and job.has_succeeded():
         state.end_job(job, JobPhase.SUCCEEDED, now.wall_s, 'job succeeded')
 
 
-def _stop_needless(state: SchedulerState, step: StepState, end: RunEnd) -> None:
-    """Stop other runs of what has succeeded; members of this gang end by themselves."""
+def _stop_redundant_runs(state: SchedulerState, step: StepState, end: RunEnd) -> None:
+    """Stop other runs of tasks that have succeeded; members of the same gang run end by themselves."""
     for index, other in tuple(step.run_by_index.items()):
         if index in step.done and other.number != end.run:
             state.stop(other, 'task has succeeded')
@@ -63,7 +64,7 @@
 
 def _on_failed(state: SchedulerState, step: StepState, end: RunEnd, run: Run | None, now: Moment) -> None:
     job = step.job
-    _blame(state, step, end)
+    _attribute_failure(state, step, end)
     if step.spec.lasting or end.key.task_index in step.done:
         return
     failures = step.count_failure(end.key.task_index, end.run)
@@ -75,21 +76,21 @@
         state.end_job(job, JobPhase.FAILED, now.wall_s, 'job failed')
 
 
-def _blame(state: SchedulerState, step: StepState, end: RunEnd) -> None:
-    """Tell a worker that fails everything from a job that fails everywhere."""
+def _attribute_failure(state: SchedulerState, step: StepState, end: RunEnd) -> None:
+    """Attribute a failure to the worker, or to the job if it has failed on several workers without a success."""
     job = step.job
     job.failed_on.add(end.worker_id)
     worker = state.worker_by_id.get(end.worker_id)
     if worker is None:
         return
-    if len(job.failed_on) >= _WORKERS_THAT_CONVICT_A_JOB and not job.has_success:
+    if len(job.failed_on) >= _FAULTY_JOB_MIN_WORKERS and not job.has_success:
         worker.failed_jobs.discard(job.spec.job_id)
         return
     worker.failed_jobs.add(job.spec.job_id)
 
 
 def _on_interrupted(state: SchedulerState, step: StepState, end: RunEnd, run: Run | None, now: Moment) -> None:
-    """Keep the checkpoint of a run that was stopped, lapsed or lost its gang."""
+    """Store the checkpoint of a run that was stopped, lapsed or lost its gang."""
     if not end.checkpoint or step.job.has_ended or end.key.task_index in step.done:
         return
     step.checkpoint_by_index[end.key.task_index] = end.checkpoint
@@ -97,15 +98,15 @@
 
 
 def _on_refused(state: SchedulerState, step: StepState, end: RunEnd, run: Run | None, now: Moment) -> None:
-    """Leave the worker alone for a while, and give up the rest of a gang: it can't come together without this run."""
-    step.refused_until_s = now.steady_s + _REFUSED_PAUSE_S
+    """Avoid the worker for a while, and stop the rest of a gang, which can't run without this member."""
+    step.refused_until_s = now.steady_s + _REFUSED_STEP_DELAY_S
     worker = state.worker_by_id.get(end.worker_id)
     if step.advice is not None:
-        # The ticket is at fault more often than the worker.
-        step.advice.ticket_rejected(end.worker_id)
+        # An invalid ticket is a likelier cause than the worker.
+        step.advice.invalidate_ticket(end.worker_id)
     elif worker is not None:
         worker.refusal_backoff.refused(end.key.job_id, now.steady_s)
-        step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSED_BY_WORKER_S
+        step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSING_WORKER_AVOIDANCE_S
     if not step.spec.gang or run is None:
         return
     for member in tuple(step.run_by_index.values()):
