--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -29,7 +29,7 @@
 _OTHER_SPREAD = 0.15
 # Bounds of what one run shows, in logarithms.
 _MIN_LOG_SLOWNESS = math.log(0.5)
-_SLOWEST = math.log(20.0)
+_MAX_LOG_SLOWNESS = math.log(20.0)
 # How much longer a worker that is slow or stalled is expected to be so, in seconds.
 _DEGRADED_FOR_S = 4.0
 # A run that is so far behind is moved though its job ends in time without, in
@@ -112,7 +112,7 @@
     # Half a percent is what rounding hides of the progress.
     log_slowness = math.log(expected / (run.report_gain + 0.5))
     spread = math.hypot(state.times.spread(step.job.queue.name), _OTHER_SPREAD)
-    return _Evidence(min(max(log_slowness, _MIN_LOG_SLOWNESS), _SLOWEST), spread)
+    return _Evidence(min(max(log_slowness, _MIN_LOG_SLOWNESS), _MAX_LOG_SLOWNESS), spread)
 
 
 def _move(state: SchedulerState, step: StepState, run: Run, slowness: float, now: Moment) -> None:
