--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -17,7 +17,7 @@
 from .workers import WorkerState
 
 # A worker this many times slower than expected is avoided; sound ones differ by less.
-_SLOW_FACTOR = 2.0
+_SLOW_THRESHOLD = 2.0
 # How certain that must be, in standard deviations.
 _CERTAINTY = 2.5
 # Progress that a run should have made for its report to tell, in percent: reports
@@ -74,12 +74,12 @@
     evidence_by_run = {run: _evidence(state, run) for run in worker.run_by_key.values()}
     own = [each for run, each in evidence_by_run.items() if each is not None and not _is_spread(state, run)]
     worker.slowness = _slowness(own)
-    is_slow = worker.slowness >= _SLOW_FACTOR
+    is_slow = worker.slowness >= _SLOW_THRESHOLD
     for run, evidence in evidence_by_run.items():
         step = state.step_of(run.key)
         if evidence is None or step is None or run.phase is not RunPhase.RUNNING:
             continue
-        is_held_up = _is_spread(state, run) and _slowness([evidence]) >= _SLOW_FACTOR
+        is_held_up = _is_spread(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
         if is_slow or is_held_up:
             _move(state, step, run, math.exp(evidence.log_slowness), now)
 
