--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -19,7 +19,7 @@
 # A worker this many times slower than expected is avoided; sound ones differ by less.
 _SLOW_THRESHOLD = 2.0
 # How certain that must be, in standard deviations.
-_CERTAINTY = 2.5
+_MIN_Z_SCORE = 2.5
 # Progress that a run should have made for its report to tell, in percent: reports
 # are in whole percent, and a late start weighs less by then.
 _LEAST_EXPECTED = 5.0
@@ -90,7 +90,7 @@
     if not weight:
         return 1.0
     mean = sum(each.log_slowness / (each.spread * each.spread) for each in evidence) / weight
-    return math.exp(mean) if mean * math.sqrt(weight) > _CERTAINTY else 1.0
+    return math.exp(mean) if mean * math.sqrt(weight) > _MIN_Z_SCORE else 1.0
 
 
 def _is_spread(state: SchedulerState, run: Run) -> bool:
