--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -22,7 +22,7 @@
 _MIN_Z_SCORE = 2.5
 # Progress that a run should have made for its report to tell, in percent: reports
 # are in whole percent, and a late start weighs less by then.
-_LEAST_EXPECTED = 5.0
+_MIN_EXPECTED_PERCENT = 5.0
 # What a run may make less for a late start or a late report, in seconds.
 _LATE_START_S = 0.15
 # Spread of a run's pace for other reasons than its length, in logarithms.
@@ -107,7 +107,7 @@
     if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _ALMOST_DONE:
         return None
     expected = (run.report_span_s - _LATE_START_S) * _WHOLE / run.work_s
-    if expected < _LEAST_EXPECTED:
+    if expected < _MIN_EXPECTED_PERCENT:
         return None
     # Half a percent is what rounding hides of the progress.
     log_slowness = math.log(expected / (run.report_gain + 0.5))
