--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -24,7 +24,7 @@
 # are in whole percent, and a late start weighs less by then.
 _MIN_EXPECTED_PERCENT = 5.0
 # What a run may make less for a late start or a late report, in seconds.
-_LATE_START_S = 0.15
+_START_DELAY_ALLOWANCE_S = 0.15
 # Spread of a run's pace for other reasons than its length, in logarithms.
 _OTHER_SPREAD = 0.15
 # Bounds of what one run shows, in logarithms.
@@ -106,7 +106,7 @@
     step = state.step_of(run.key)
     if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _ALMOST_DONE:
         return None
-    expected = (run.report_span_s - _LATE_START_S) * _WHOLE / run.work_s
+    expected = (run.report_span_s - _START_DELAY_ALLOWANCE_S) * _WHOLE / run.work_s
     if expected < _MIN_EXPECTED_PERCENT:
         return None
     # Half a percent is what rounding hides of the progress.
