--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -26,7 +26,7 @@
 # What a run may make less for a late start or a late report, in seconds.
 _START_DELAY_ALLOWANCE_S = 0.15
 # Spread of a run's pace for other reasons than its length, in logarithms.
-_OTHER_SPREAD = 0.15
+_RESIDUAL_SPREAD = 0.15
 # Bounds of what one run shows, in logarithms.
 _MIN_LOG_SLOWNESS = math.log(0.5)
 _MAX_LOG_SLOWNESS = math.log(20.0)
@@ -111,7 +111,7 @@
         return None
     # Half a percent is what rounding hides of the progress.
     log_slowness = math.log(expected / (run.report_gain + 0.5))
-    spread = math.hypot(state.times.spread(step.job.queue.name), _OTHER_SPREAD)
+    spread = math.hypot(state.times.spread(step.job.queue.name), _RESIDUAL_SPREAD)
     return _Evidence(min(max(log_slowness, _MIN_LOG_SLOWNESS), _MAX_LOG_SLOWNESS), spread)
 
 
