--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -31,7 +31,7 @@
 _MIN_LOG_SLOWNESS = math.log(0.5)
 _MAX_LOG_SLOWNESS = math.log(20.0)
 # How much longer a worker that is slow or stalled is expected to be so, in seconds.
-_DEGRADED_FOR_S = 4.0
+_MIN_DEGRADATION_S = 4.0
 # A run that is so far behind is moved though its job ends in time without, in
 # seconds: most workers have recovered by then.
 _STUCK_S = 8.0
@@ -152,7 +152,7 @@
     lost_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     missed_s = run.seen_s - run.started_s - (run.work_s - left_s)
     # What has been slow for long will be for long.
-    degraded_s = max(_DEGRADED_FOR_S, missed_s)
+    degraded_s = max(_MIN_DEGRADATION_S, missed_s)
     stay_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
     return _Outlook(missed_s, lost_s, stay_s, _MOVE_S + left_s + lost_s)
 
