--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -34,7 +34,7 @@
 _MIN_DEGRADATION_S = 4.0
 # A run that is so far behind is moved though its job ends in time without, in
 # seconds: most workers have recovered by then.
-_STUCK_S = 8.0
+_MAX_DELAY_S = 8.0
 # What stopping a run and starting it again takes beside its work, in seconds.
 _MOVE_S = 0.6
 # All of a run's work, in percent.
@@ -159,7 +159,7 @@
 
 def _is_stuck(outlook: _Outlook) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
-    return outlook.missed_s > _STUCK_S and outlook.moved_s + outlook.lost_s < outlook.stay_s
+    return outlook.missed_s > _MAX_DELAY_S and outlook.moved_s + outlook.lost_s < outlook.stay_s
 
 
 def _saves_job(state: SchedulerState, step: StepState, outlook: _Outlook, now: Moment) -> bool:
