--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -36,7 +36,7 @@
 # seconds: most workers have recovered by then.
 _MAX_DELAY_S = 8.0
 # What stopping a run and starting it again takes beside its work, in seconds.
-_MOVE_S = 0.6
+_RESTART_OVERHEAD_S = 0.6
 # All of a run's work, in percent.
 _WHOLE = 100.0
 # Above this share of its work a run is left alone, in percent.
@@ -154,7 +154,7 @@
     # What has been slow for long will be for long.
     degraded_s = max(_MIN_DEGRADATION_S, missed_s)
     stay_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
-    return _Outlook(missed_s, lost_s, stay_s, _MOVE_S + left_s + lost_s)
+    return _Outlook(missed_s, lost_s, stay_s, _RESTART_OVERHEAD_S + left_s + lost_s)
 
 
 def _is_stuck(outlook: _Outlook) -> bool:
