--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -38,7 +38,7 @@
 # What stopping a run and starting it again takes beside its work, in seconds.
 _RESTART_OVERHEAD_S = 0.6
 # All of a run's work, in percent.
-_WHOLE = 100.0
+_FULL_PERCENT = 100.0
 # Above this share of its work a run is left alone, in percent.
 _ALMOST_DONE = 97.0
 
@@ -106,7 +106,7 @@
     step = state.step_of(run.key)
     if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _ALMOST_DONE:
         return None
-    expected = (run.report_span_s - _START_DELAY_ALLOWANCE_S) * _WHOLE / run.work_s
+    expected = (run.report_span_s - _START_DELAY_ALLOWANCE_S) * _FULL_PERCENT / run.work_s
     if expected < _MIN_EXPECTED_PERCENT:
         return None
     # Half a percent is what rounding hides of the progress.
@@ -148,7 +148,7 @@
 
 
 def _outlook(step: StepState, run: Run, slowness: float) -> _Outlook:
-    left_s = run.work_s * (1.0 - run.percent / _WHOLE)
+    left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     lost_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     missed_s = run.seen_s - run.started_s - (run.work_s - left_s)
     # What has been slow for long will be for long.
