--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -40,7 +40,7 @@
 # All of a run's work, in percent.
 _FULL_PERCENT = 100.0
 # Above this share of its work a run is left alone, in percent.
-_ALMOST_DONE = 97.0
+_NEARLY_COMPLETE_PERCENT = 97.0
 
 
 class _Evidence(NamedTuple):
@@ -104,7 +104,7 @@
 def _evidence(state: SchedulerState, run: Run) -> _Evidence | None:
     """Return what a run's latest reports tell; nothing while they tell too little."""
     step = state.step_of(run.key)
-    if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _ALMOST_DONE:
+    if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _NEARLY_COMPLETE_PERCENT:
         return None
     expected = (run.report_span_s - _START_DELAY_ALLOWANCE_S) * _FULL_PERCENT / run.work_s
     if expected < _MIN_EXPECTED_PERCENT:
