--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -81,7 +81,7 @@
             continue
         is_held_up = _is_spread(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
         if is_slow or is_held_up:
-            _move(state, step, run, math.exp(evidence.log_slowness), now)
+            _stop_if_stalled(state, step, run, math.exp(evidence.log_slowness), now)
 
 
 def _slowness(evidence: list[_Evidence]) -> float:
@@ -115,7 +115,7 @@
     return _Evidence(min(max(log_slowness, _MIN_LOG_SLOWNESS), _MAX_LOG_SLOWNESS), spread)
 
 
-def _move(state: SchedulerState, step: StepState, run: Run, slowness: float, now: Moment) -> None:
+def _stop_if_stalled(state: SchedulerState, step: StepState, run: Run, slowness: float, now: Moment) -> None:
     """Stop a run that is stalled, if its job gains by that.
 
     One that crawls stays: its restart costs about what its job would gain.
