--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -128,7 +128,7 @@
         state.stop_unit(run, 'stalled')
 
 
-class _Outlook(NamedTuple):
+class _MoveEstimate(NamedTuple):
     """What becomes of a run where it is and elsewhere, all in seconds.
 
     Parameters
@@ -147,22 +147,22 @@
     moved_s: float
 
 
-def _outlook(step: StepState, run: Run, slowness: float) -> _Outlook:
+def _outlook(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     lost_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     missed_s = run.seen_s - run.started_s - (run.work_s - left_s)
     # What has been slow for long will be for long.
     degraded_s = max(_MIN_DEGRADATION_S, missed_s)
     stay_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
-    return _Outlook(missed_s, lost_s, stay_s, _RESTART_OVERHEAD_S + left_s + lost_s)
+    return _MoveEstimate(missed_s, lost_s, stay_s, _RESTART_OVERHEAD_S + left_s + lost_s)
 
 
-def _is_stuck(outlook: _Outlook) -> bool:
+def _is_stuck(outlook: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
     return outlook.missed_s > _MAX_DELAY_S and outlook.moved_s + outlook.lost_s < outlook.stay_s
 
 
-def _saves_job(state: SchedulerState, step: StepState, outlook: _Outlook, now: Moment) -> bool:
+def _saves_job(state: SchedulerState, step: StepState, outlook: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = objective_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
