--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -122,7 +122,7 @@
     """
     if run.report_gain or not state.settings.has(Mechanism.MOVES_OF_STALLED):
         return
-    outlook = _outlook(step, run, slowness)
+    outlook = _estimate_move(step, run, slowness)
     if _saves_job(state, step, outlook, now) or _is_stuck(outlook):
         step.failed_on.add(run.worker_id)
         state.stop_unit(run, 'stalled')
@@ -147,7 +147,7 @@
     moved_s: float
 
 
-def _outlook(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
+def _estimate_move(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     lost_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     missed_s = run.seen_s - run.started_s - (run.work_s - left_s)
