--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -122,8 +122,8 @@
     """
     if run.report_gain or not state.settings.has(Mechanism.MOVES_OF_STALLED):
         return
-    outlook = _estimate_move(step, run, slowness)
-    if _saves_job(state, step, outlook, now) or _is_stuck(outlook):
+    estimate = _estimate_move(step, run, slowness)
+    if _saves_job(state, step, estimate, now) or _is_stuck(estimate):
         step.failed_on.add(run.worker_id)
         state.stop_unit(run, 'stalled')
 
@@ -157,13 +157,13 @@
     return _MoveEstimate(missed_s, lost_s, stay_s, _RESTART_OVERHEAD_S + left_s + lost_s)
 
 
-def _is_stuck(outlook: _MoveEstimate) -> bool:
+def _is_stuck(estimate: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
-    return outlook.missed_s > _MAX_DELAY_S and outlook.moved_s + outlook.lost_s < outlook.stay_s
+    return estimate.missed_s > _MAX_DELAY_S and estimate.moved_s + estimate.lost_s < estimate.stay_s
 
 
-def _saves_job(state: SchedulerState, step: StepState, outlook: _MoveEstimate, now: Moment) -> bool:
+def _saves_job(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = objective_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
-    return outlook.moved_s <= left_s < outlook.stay_s
+    return estimate.moved_s <= left_s < estimate.stay_s
