--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -142,24 +142,24 @@
     """
 
     delay_s: float
-    lost_s: float
+    repeated_s: float
     stay_s: float
     moved_s: float
 
 
 def _estimate_move(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
-    lost_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
+    repeated_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     delay_s = run.seen_s - run.started_s - (run.work_s - left_s)
     # What has been slow for long will be for long.
     degraded_s = max(_MIN_DEGRADATION_S, delay_s)
     stay_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
-    return _MoveEstimate(delay_s, lost_s, stay_s, _RESTART_OVERHEAD_S + left_s + lost_s)
+    return _MoveEstimate(delay_s, repeated_s, stay_s, _RESTART_OVERHEAD_S + left_s + repeated_s)
 
 
 def _is_stuck(estimate: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
-    return estimate.delay_s > _MAX_DELAY_S and estimate.moved_s + estimate.lost_s < estimate.stay_s
+    return estimate.delay_s > _MAX_DELAY_S and estimate.moved_s + estimate.repeated_s < estimate.stay_s
 
 
 def _saves_job(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
