--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -143,7 +143,7 @@
 
     delay_s: float
     repeated_s: float
-    stay_s: float
+    remaining_s: float
     moved_s: float
 
 
@@ -153,17 +153,17 @@
     delay_s = run.seen_s - run.started_s - (run.work_s - left_s)
     # What has been slow for long will be for long.
     degraded_s = max(_MIN_DEGRADATION_S, delay_s)
-    stay_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
-    return _MoveEstimate(delay_s, repeated_s, stay_s, _RESTART_OVERHEAD_S + left_s + repeated_s)
+    remaining_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
+    return _MoveEstimate(delay_s, repeated_s, remaining_s, _RESTART_OVERHEAD_S + left_s + repeated_s)
 
 
 def _is_stuck(estimate: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
-    return estimate.delay_s > _MAX_DELAY_S and estimate.moved_s + estimate.repeated_s < estimate.stay_s
+    return estimate.delay_s > _MAX_DELAY_S and estimate.moved_s + estimate.repeated_s < estimate.remaining_s
 
 
 def _saves_job(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = objective_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
-    return estimate.moved_s <= left_s < estimate.stay_s
+    return estimate.moved_s <= left_s < estimate.remaining_s
