--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -144,7 +144,7 @@
     delay_s: float
     repeated_s: float
     remaining_s: float
-    moved_s: float
+    remaining_if_moved_s: float
 
 
 def _estimate_move(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
@@ -159,11 +159,13 @@
 
 def _is_stuck(estimate: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
-    return estimate.delay_s > _MAX_DELAY_S and estimate.moved_s + estimate.repeated_s < estimate.remaining_s
+    return (
+        estimate.delay_s > _MAX_DELAY_S and estimate.remaining_if_moved_s + estimate.repeated_s < estimate.remaining_s
+    )
 
 
 def _saves_job(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = objective_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
-    return estimate.moved_s <= left_s < estimate.remaining_s
+    return estimate.remaining_if_moved_s <= left_s < estimate.remaining_s
