--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -72,14 +72,14 @@
 
 def _assess(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     evidence_by_run = {run: _evidence(state, run) for run in worker.run_by_key.values()}
-    own = [each for run, each in evidence_by_run.items() if each is not None and not _is_spread(state, run)]
+    own = [each for run, each in evidence_by_run.items() if each is not None and not _is_on_several_workers(state, run)]
     worker.slowness = _slowness(own)
     is_slow = worker.slowness >= _SLOW_THRESHOLD
     for run, evidence in evidence_by_run.items():
         step = state.step_of(run.key)
         if evidence is None or step is None or run.phase is not RunPhase.RUNNING:
             continue
-        is_held_up = _is_spread(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
+        is_held_up = _is_on_several_workers(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
         if is_slow or is_held_up:
             _stop_if_stalled(state, step, run, math.exp(evidence.log_slowness), now)
 
@@ -93,7 +93,7 @@
     return math.exp(mean) if mean * math.sqrt(weight) > _MIN_Z_SCORE else 1.0
 
 
-def _is_spread(state: SchedulerState, run: Run) -> bool:
+def _is_on_several_workers(state: SchedulerState, run: Run) -> bool:
     """Tell whether a run is of a gang on several workers, any of which may hold it up."""
     step = state.step_of(run.key)
     if step is None or not step.spec.gang:
