--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -123,7 +123,7 @@
     if run.report_gain or not state.settings.has(Mechanism.MOVES_OF_STALLED):
         return
     estimate = _estimate_move(step, run, slowness)
-    if _saves_job(state, step, estimate, now) or _is_stuck(estimate):
+    if _saves_job(state, step, estimate, now) or _is_far_behind(estimate):
         step.failed_on.add(run.worker_id)
         state.stop_unit(run, 'stalled')
 
@@ -157,7 +157,7 @@
     return _MoveEstimate(delay_s, repeated_s, remaining_s, _RESTART_OVERHEAD_S + left_s + repeated_s)
 
 
-def _is_stuck(estimate: _MoveEstimate) -> bool:
+def _is_far_behind(estimate: _MoveEstimate) -> bool:
     """Tell whether a run is behind for so long that its worker will hardly recover soon."""
     return (
         estimate.delay_s > _MAX_DELAY_S and estimate.remaining_if_moved_s + estimate.repeated_s < estimate.remaining_s
