--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -123,7 +123,7 @@
     if run.report_gain or not state.settings.has(Mechanism.MOVES_OF_STALLED):
         return
     estimate = _estimate_move(step, run, slowness)
-    if _saves_job(state, step, estimate, now) or _is_far_behind(estimate):
+    if _meets_target_only_if_moved(state, step, estimate, now) or _is_far_behind(estimate):
         step.failed_on.add(run.worker_id)
         state.stop_unit(run, 'stalled')
 
@@ -164,7 +164,7 @@
     )
 
 
-def _saves_job(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
+def _meets_target_only_if_moved(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = objective_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
