--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -79,8 +79,8 @@
         step = state.step_of(run.key)
         if evidence is None or step is None or run.phase is not RunPhase.RUNNING:
             continue
-        is_held_up = _is_on_several_workers(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
-        if is_slow or is_held_up:
+        is_gang_delayed = _is_on_several_workers(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
+        if is_slow or is_gang_delayed:
             _stop_if_stalled(state, step, run, math.exp(evidence.log_slowness), now)
 
 
