--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -73,18 +73,18 @@
 def _assess(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     evidence_by_run = {run: _evidence(state, run) for run in worker.run_by_key.values()}
     own = [each for run, each in evidence_by_run.items() if each is not None and not _is_on_several_workers(state, run)]
-    worker.slowness = _slowness(own)
+    worker.slowness = _estimate_slowness(own)
     is_slow = worker.slowness >= _SLOW_THRESHOLD
     for run, evidence in evidence_by_run.items():
         step = state.step_of(run.key)
         if evidence is None or step is None or run.phase is not RunPhase.RUNNING:
             continue
-        is_gang_delayed = _is_on_several_workers(state, run) and _slowness([evidence]) >= _SLOW_THRESHOLD
+        is_gang_delayed = _is_on_several_workers(state, run) and _estimate_slowness([evidence]) >= _SLOW_THRESHOLD
         if is_slow or is_gang_delayed:
             _stop_if_stalled(state, step, run, math.exp(evidence.log_slowness), now)
 
 
-def _slowness(evidence: list[_Evidence]) -> float:
+def _estimate_slowness(evidence: list[_Evidence]) -> float:
     """Return how many times slower than expected a worker is; 1 unless that is certain."""
     weight = sum(1.0 / (each.spread * each.spread) for each in evidence)
     if not weight:
