--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -72,8 +72,10 @@
 
 def _assess(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     evidence_by_run = {run: _evidence(state, run) for run in worker.run_by_key.values()}
-    own = [each for run, each in evidence_by_run.items() if each is not None and not _is_on_several_workers(state, run)]
-    worker.slowness = _estimate_slowness(own)
+    independent = [
+        each for run, each in evidence_by_run.items() if each is not None and not _is_on_several_workers(state, run)
+    ]
+    worker.slowness = _estimate_slowness(independent)
     is_slow = worker.slowness >= _SLOW_THRESHOLD
     for run, evidence in evidence_by_run.items():
         step = state.step_of(run.key)
