--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -19,7 +19,7 @@
             _give_up(state, worker, now)
 
 
-def empty_leaving(state: SchedulerState, now: Moment) -> None:
+def drain_leaving_workers(state: SchedulerState, now: Moment) -> None:
     """Move what will not end before its worker leaves."""
     for worker in state.worker_by_id.values():
         if worker.profile.draining and not worker.is_silent:
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -14,7 +14,7 @@
 from .health import watch_progress
 from .job_state import ENDED_PHASES, JobPhase, JobState
 from .learning import update_slowdowns
-from .leaving import empty_leaving, expire_leases
+from .leaving import drain_leaving_workers, expire_leases
 from .mechanisms import Mechanism
 from .passes import Pass
 from .progress import JobProgress
@@ -273,7 +273,7 @@
         apply_crash_limit(state, now)
         for job in state.active_jobs():
             job.open_due(now.wall_s)
-        empty_leaving(state, now)
+        drain_leaving_workers(state, now)
         watch_progress(state, now)
         if state.settings.has(Mechanism.WORKER_PACES):
             update_slowdowns(state.worker_by_id.values())
