--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -23,7 +23,7 @@
     """Move what will not end before its worker leaves."""
     for worker in state.worker_by_id.values():
         if worker.profile.draining and not worker.is_silent:
-            _empty(state, worker, now)
+            _drain(state, worker, now)
 
 
 def _give_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
@@ -45,7 +45,7 @@
     return not any(sent_s + worker.late_order_s > now.steady_s for sent_s in worker.unanswered_starts.values())
 
 
-def _empty(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
+def _drain(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     leaves_at_s = worker.leaves_at_s
     if leaves_at_s is None or now.steady_s > leaves_at_s - state.settings.stop_timeout_s - _LEAVE_MARGIN_S:
         return
