--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -32,12 +32,12 @@
     note_given_up(state, worker)
     for run in tuple(worker.run_by_key.values()):
         state.remove_run(run)
-    worker.is_lapsed = worker.is_lapsed or _runs_nothing(state, worker, now)
+    worker.is_lapsed = worker.is_lapsed or _is_known_idle(state, worker, now)
     if not worker.is_listed:
         del state.worker_by_id[worker.worker_id]
 
 
-def _runs_nothing(state: SchedulerState, worker: WorkerState, now: Moment) -> bool:
+def _is_known_idle(state: SchedulerState, worker: WorkerState, now: Moment) -> bool:
     """Tell whether nothing runs on a worker that was given up, and no late start can begin on its next incarnation."""
     # One that was never contacted has no lease that could have ended.
     if not worker.lease.bound_s() or worker.worker_id in state.awaited_incarnations:
