--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -11,7 +11,7 @@
 from .room import effective_demand
 from .runs import Run, RunPhase
 from .state import AssignmentsPart, SchedulerState
-from .successors import await_list
+from .successors import wait_for_survey
 
 
 class Assignment(NamedTuple):
@@ -119,7 +119,7 @@
         for worker_id in assignments.awaited:
             worker = state.worker_by_id.get(worker_id)
             if worker is not None:
-                await_list(state, step, worker_id, now.steady_s + worker.late_order_s)
+                wait_for_survey(state, step, worker_id, now.steady_s + worker.late_order_s)
         # It is kept as it is, but for what has ended since.
         state.unkept_assignments.discard(part)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -27,9 +27,9 @@
     """
     for step in tuple(_unacknowledged(state, worker_id)):
         step.awaited_until_by_worker.pop(worker_id, None)
-        await_list(state, step, successor_id, until_s)
+        wait_for_survey(state, step, successor_id, until_s)
     for tried, late_until_s in _with_unanswered_tries(state, worker_id):
-        await_list(state, tried, successor_id, late_until_s)
+        wait_for_survey(state, tried, successor_id, late_until_s)
 
 
 def note_given_up(state: SchedulerState, worker: WorkerState) -> None:
@@ -38,12 +38,12 @@
     if not worker.late_order_s or worker_id in state.given_up_unacknowledged:
         return
     for step, until_s in _with_unanswered_tries(state, worker_id):
-        await_list(state, step, worker_id, until_s)
+        wait_for_survey(state, step, worker_id, until_s)
     if worker_id in state.awaited_incarnations:
         state.given_up_unacknowledged.add(worker_id)
 
 
-def await_list(state: SchedulerState, step: StepState, worker_id: str, until_s: float) -> None:
+def wait_for_survey(state: SchedulerState, step: StepState, worker_id: str, until_s: float) -> None:
     """Let tasks of a step wait for the list of an incarnation; what waits already does so until its own time."""
     step.awaited_until_by_worker.setdefault(worker_id, until_s)
     state.awaited_incarnations.add(worker_id)
