--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -4,7 +4,7 @@
 from .events import WaitReason
 from .job_state import JobState, StepState
 from .state import SchedulerState
-from .successors import awaits_list
+from .successors import is_waiting_for_survey
 
 
 def job_gate(job: JobState, now: Moment) -> WaitReason | None:
@@ -23,6 +23,6 @@
     if step.refused_until_by_worker:
         refused = step.refused_until_by_worker.items()
         step.refused_until_by_worker = {worker_id: until_s for worker_id, until_s in refused if until_s > now.steady_s}
-    if awaits_list(state, step, now):
+    if is_waiting_for_survey(state, step, now):
         return WaitReason.UNKNOWN_START
     return WaitReason.GANG_ENDING if step.spec.gang and step.run_by_index else None
--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -50,7 +50,7 @@
     state.unkept_assignments.add(part_of(step.key(0)))
 
 
-def awaits_list(state: SchedulerState, step: StepState, now: Moment) -> bool:
+def is_waiting_for_survey(state: SchedulerState, step: StepState, now: Moment) -> bool:
     """Tell whether tasks of a step may run on an incarnation of a worker that has not said what runs there."""
     awaited = step.awaited_until_by_worker
     if not awaited:
