--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -58,12 +58,12 @@
     step.awaited_until_by_worker = {
         worker_id: until_s
         for worker_id, until_s in awaited.items()
-        if until_s > now.steady_s and _has_yet_to_report(state, worker_id)
+        if until_s > now.steady_s and _is_survey_pending(state, worker_id)
     }
     return bool(step.awaited_until_by_worker)
 
 
-def _has_yet_to_report(state: SchedulerState, worker_id: str) -> bool:
+def _is_survey_pending(state: SchedulerState, worker_id: str) -> bool:
     """Tell whether an incarnation goes on, as far as is known, and has not said what runs there."""
     worker = state.worker_by_id.get(worker_id)
     return worker_id in state.given_up_unacknowledged or (worker is not None and not worker.is_surveyed)
@@ -76,7 +76,7 @@
         step = state.step_of(run.key)
         if step is not None and not run.is_confirmed:
             yield step
-    if _has_yet_to_report(state, worker_id):
+    if _is_survey_pending(state, worker_id):
         for job in state.active_jobs():
             yield from (step for step in job.step_by_key.values() if worker_id in step.awaited_until_by_worker)
 
