--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -28,7 +28,7 @@
     for step in tuple(_unacknowledged(state, worker_id)):
         step.awaited_until_by_worker.pop(worker_id, None)
         wait_for_survey(state, step, successor_id, until_s)
-    for tried, late_until_s in _with_unanswered_tries(state, worker_id):
+    for tried, late_until_s in _steps_with_unanswered_starts(state, worker_id):
         wait_for_survey(state, tried, successor_id, late_until_s)
 
 
@@ -37,7 +37,7 @@
     worker_id = worker.worker_id
     if not worker.late_order_s or worker_id in state.given_up_unacknowledged:
         return
-    for step, until_s in _with_unanswered_tries(state, worker_id):
+    for step, until_s in _steps_with_unanswered_starts(state, worker_id):
         wait_for_survey(state, step, worker_id, until_s)
     if worker_id in state.awaited_incarnations:
         state.given_up_unacknowledged.add(worker_id)
@@ -81,7 +81,7 @@
             yield from (step for step in job.step_by_key.values() if worker_id in step.awaited_until_by_worker)
 
 
-def _with_unanswered_tries(state: SchedulerState, worker_id: str) -> Iterator[tuple[StepState, float]]:
+def _steps_with_unanswered_starts(state: SchedulerState, worker_id: str) -> Iterator[tuple[StepState, float]]:
     """Yield the steps whose tasks wait, or run on an incarnation that is over, with tries of a start without an answer.
 
     What became of other tries does not matter. Each comes with the time until when such a try may still run.
