--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -25,7 +25,7 @@
     until_s : float
         Until when a late start may run there if nothing is reported, steady clock.
     """
-    for step in tuple(_unacknowledged(state, worker_id)):
+    for step in tuple(_steps_with_unacknowledged_starts(state, worker_id)):
         step.awaited_until_by_worker.pop(worker_id, None)
         wait_for_survey(state, step, successor_id, until_s)
     for tried, late_until_s in _steps_with_unanswered_starts(state, worker_id):
@@ -69,7 +69,7 @@
     return worker_id in state.given_up_unacknowledged or (worker is not None and not worker.is_surveyed)
 
 
-def _unacknowledged(state: SchedulerState, worker_id: str) -> Iterator[StepState]:
+def _steps_with_unacknowledged_starts(state: SchedulerState, worker_id: str) -> Iterator[StepState]:
     """Yield the steps with a start that an incarnation did not answer, and those that wait for it themselves."""
     worker = state.worker_by_id.get(worker_id)
     for run in worker.run_by_key.values() if worker is not None else ():
