--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -28,8 +28,8 @@
     for step in tuple(_steps_with_unacknowledged_starts(state, worker_id)):
         step.awaited_until_by_worker.pop(worker_id, None)
         wait_for_survey(state, step, successor_id, until_s)
-    for tried, late_until_s in _steps_with_unanswered_starts(state, worker_id):
-        wait_for_survey(state, tried, successor_id, late_until_s)
+    for unanswered_step, late_until_s in _steps_with_unanswered_starts(state, worker_id):
+        wait_for_survey(state, unanswered_step, successor_id, late_until_s)
 
 
 def note_given_up(state: SchedulerState, worker: WorkerState) -> None:
