--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -94,6 +94,6 @@
         if step is None:
             continue
         run = step.run_by_index.get(key.task_index)
-        is_here = run is not None and run.worker_id == worker_id
-        if is_here or key.task_index in step.pending:
+        is_on_worker = run is not None and run.worker_id == worker_id
+        if is_on_worker or key.task_index in step.pending:
             yield step, sent_s + worker.late_order_s
