--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -23,7 +23,7 @@
 from .stalls import Load
 from .state import AssignmentsPart, SchedulerState
 from .successors import note_successor
-from .surveys import take_in_survey
+from .surveys import apply_survey
 from .workers import WorkerProfile, WorkerState
 
 
@@ -264,7 +264,7 @@
             if lists_ends and worker.may_hide_ends:
                 worker.may_hide_ends = False
                 self._state.memory.grown_workers.add(worker_id)
-            take_in_survey(self._state, worker, running, begun_s, now)
+            apply_survey(self._state, worker, running, begun_s, now)
 
     def decide(self, now: Moment) -> list[Effect]:
         """Decide what to start and stop at this moment."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -17,7 +17,7 @@
 _WHOLE = 100.0
 
 
-def take_in_survey(
+def apply_survey(
     state: SchedulerState,
     worker: WorkerState,
     running: Sequence[RunSeen],
