--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -45,7 +45,7 @@
     seen_keys = set()
     for seen in running:
         seen_keys.add((seen.key, seen.run))
-        _take_in_run(state, worker, seen, now)
+        _apply_listed_run(state, worker, seen, now)
     for run in tuple(worker.run_by_key.values()):
         if (run.key, run.number) in seen_keys:
             continue
@@ -62,7 +62,7 @@
     return run.is_inherited or (run.is_confirmed and run.seen_s < begun_s)
 
 
-def _take_in_run(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> None:
+def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> None:
     run = worker.run_by_key.get(seen.key)
     if run is None or run.number != seen.run:
         run = _adopt(state, worker, seen, now)
