--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -21,7 +21,7 @@
     state: SchedulerState,
     worker: WorkerState,
     running: Sequence[RunSeen],
-    begun_s: float,
+    requested_s: float,
     now: Moment,
 ) -> None:
     """Compare a worker's list of runs with what is believed.
@@ -49,17 +49,17 @@
     for run in tuple(worker.run_by_key.values()):
         if (run.key, run.number) in seen_keys:
             continue
-        if not _is_known_absent(run, begun_s):
-            run.was_absent = run.was_absent or run.started_s < begun_s
+        if not _is_known_absent(run, requested_s):
+            run.was_absent = run.was_absent or run.started_s < requested_s
             continue
         state.note_loss(worker, run, LossCause.NOT_LISTED)
         take_in_end(state, RunEnd(worker.worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint), now)
 
 
-def _is_known_absent(run: Run, begun_s: float) -> bool:
+def _is_known_absent(run: Run, requested_s: float) -> bool:
     """Tell whether a run is not on a worker whose list, asked for at a time, leaves it out."""
     # A worker that has answered takes no orders of previous owners.
-    return run.is_inherited or (run.is_confirmed and run.seen_s < begun_s)
+    return run.is_inherited or (run.is_confirmed and run.seen_s < requested_s)
 
 
 def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> None:
