--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -85,17 +85,17 @@
 def _adopt(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> Run | None:
     """Take over a run that a previous owner started, or stop one that is not wanted."""
     step = state.step_of(seen.key)
-    stray = Run(seen.key, seen.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0)
+    unexpected = Run(seen.key, seen.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0)
     if worker.is_lapsed:
         # The next owner may have read that nothing runs there.
-        state.stop(stray, 'lease had ended')
+        state.stop(unexpected, 'lease had ended')
         return None
     if step is None or step.job.has_ended or seen.key.task_index in step.done:
-        state.stop(stray, 'run of a task that needs none')
+        state.stop(unexpected, 'run of a task that needs none')
         return None
     other = step.run_by_index.get(seen.key.task_index)
     if other is not None or (step.spec.gang and _has_other_run(list(step.run_by_index.values()), seen.run)):
-        state.stop(stray, 'task runs elsewhere')
+        state.stop(unexpected, 'task runs elsewhere')
         return None
     work_s = state.times.expect_s(step.job.queue.name, step.spec)
     started_s = now.steady_s - work_s * seen.percent / _WHOLE
