--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -14,7 +14,7 @@
 from .workers import WorkerState
 
 # All of a run's work, in percent.
-_WHOLE = 100.0
+_FULL_PERCENT = 100.0
 
 
 def apply_survey(
@@ -77,7 +77,7 @@
     step = state.step_of(run.key)
     if step is not None:
         clear_suspect(step, run)
-        observe_pace(step, run, worker, now.steady_s - run.started_s, seen.percent / _WHOLE)
+        observe_pace(step, run, worker, now.steady_s - run.started_s, seen.percent / _FULL_PERCENT)
     if seen.checkpoint:
         run.checkpoint = seen.checkpoint
 
@@ -98,7 +98,7 @@
         state.stop(unexpected, 'task runs elsewhere')
         return None
     work_s = state.times.expect_s(step.job.queue.name, step.spec)
-    started_s = now.steady_s - work_s * seen.percent / _WHOLE
+    started_s = now.steady_s - work_s * seen.percent / _FULL_PERCENT
     run = Run(seen.key, seen.run, worker.worker_id, effective_demand(step), started_s, work_s)
     run.phase = RunPhase.RUNNING
     # When it began is not known: it tells nothing of its worker.
