--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -15,7 +15,7 @@
 from .workers import WorkerState
 
 # Expected run time where the owner gave no estimate, in seconds.
-_UNKNOWN_WORK_S = 5.0
+_DEFAULT_ESTIMATE_S = 5.0
 # Share of its work from which a run's pace tells how long it will take, in
 # percent: reports are in whole percent and a second apart.
 _CONCLUSIVE_PERCENT = 20.0
@@ -35,7 +35,7 @@
 
     def expect_s(self, queue: str, step: StepSpec) -> float:
         """Return the expected run time of one task."""
-        estimate_s = step.estimate_s or _UNKNOWN_WORK_S
+        estimate_s = step.estimate_s or _DEFAULT_ESTIMATE_S
         model = self._model_by_queue.get(queue)
         return estimate_s if model is None else model.expect_s(estimate_s)
 
@@ -49,7 +49,7 @@
         if not self._is_learning or ran_s <= 0:
             return
         model = self._model_by_queue.setdefault(queue, EstimateModel())
-        model.observe(step.estimate_s or _UNKNOWN_WORK_S, ran_s, 1.0 / step.task_count)
+        model.observe(step.estimate_s or _DEFAULT_ESTIMATE_S, ran_s, 1.0 / step.task_count)
 
 
 def observe_pace(step: StepState, run: Run, worker: WorkerState, worked_s: float, share: float) -> None:
