--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -20,7 +20,7 @@
 # percent: reports are in whole percent and a second apart.
 _CONCLUSIVE_PERCENT = 20.0
 # Other runs of a step that tell what is usual.
-_FEWEST_PEERS = 2
+_MIN_PEERS = 2
 # Place, in the order of their paces, of the worker that counts as sound.
 _SOUND_QUANTILE = 0.25
 
@@ -82,6 +82,6 @@
 def _usual(step: StepState) -> float | None:
     """Return the logarithm of the time that a task of a step usually takes."""
     known = sorted(step.log_times)
-    if len(known) < _FEWEST_PEERS:
+    if len(known) < _MIN_PEERS:
         return None
     return known[len(known) // 2]
