--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -22,7 +22,7 @@
 # Other runs of a step that tell what is usual.
 _MIN_PEERS = 2
 # Place, in the order of their paces, of the worker that counts as sound.
-_SOUND_QUANTILE = 0.25
+_REFERENCE_QUANTILE = 0.25
 
 
 class RunTimes:
@@ -74,7 +74,7 @@
 def update_slowdowns(workers: Collection[WorkerState]) -> None:
     """Hold each worker's pace against that of a sound one."""
     ratios = sorted(worker.pace.log_ratio for worker in workers)
-    sound = ratios[int(len(ratios) * _SOUND_QUANTILE)] if ratios else 0.0
+    sound = ratios[int(len(ratios) * _REFERENCE_QUANTILE)] if ratios else 0.0
     for worker in workers:
         worker.slowdown = max(1.0, math.exp(worker.pace.log_ratio - sound))
 
