--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -65,7 +65,7 @@
         return
     run.has_reported_pace = True
     log_time = math.log(worked_s / share)
-    usual = _usual(step)
+    usual = _median_log_time(step)
     if usual is not None:
         worker.pace.observe(log_time - usual)
     step.log_times.append(log_time - worker.pace.log_ratio)
@@ -79,7 +79,7 @@
         worker.slowdown = max(1.0, math.exp(worker.pace.log_ratio - sound))
 
 
-def _usual(step: StepState) -> float | None:
+def _median_log_time(step: StepState) -> float | None:
     """Return the logarithm of the time that a task of a step usually takes."""
     known = sorted(step.log_times)
     if len(known) < _MIN_PEERS:
