--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -65,9 +65,9 @@
         return
     run.has_reported_pace = True
     log_time = math.log(worked_s / share)
-    usual = _median_log_time(step)
-    if usual is not None:
-        worker.pace.observe(log_time - usual)
+    median = _median_log_time(step)
+    if median is not None:
+        worker.pace.observe(log_time - median)
     step.log_times.append(log_time - worker.pace.log_ratio)
 
 
