--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -74,9 +74,9 @@
 def update_slowdowns(workers: Collection[WorkerState]) -> None:
     """Hold each worker's pace against that of a sound one."""
     ratios = sorted(worker.pace.log_ratio for worker in workers)
-    sound = ratios[int(len(ratios) * _REFERENCE_QUANTILE)] if ratios else 0.0
+    reference = ratios[int(len(ratios) * _REFERENCE_QUANTILE)] if ratios else 0.0
     for worker in workers:
-        worker.slowdown = max(1.0, math.exp(worker.pace.log_ratio - sound))
+        worker.slowdown = max(1.0, math.exp(worker.pace.log_ratio - reference))
 
 
 def _median_log_time(step: StepState) -> float | None:
