--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -81,7 +81,7 @@
 
 def _median_log_time(step: StepState) -> float | None:
     """Return the logarithm of the time that a task of a step usually takes."""
-    known = sorted(step.log_times)
-    if len(known) < _MIN_PEERS:
+    ordered = sorted(step.log_times)
+    if len(ordered) < _MIN_PEERS:
         return None
-    return known[len(known) // 2]
+    return ordered[len(ordered) // 2]
