--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -52,7 +52,7 @@
         model.observe(step.estimate_s or _DEFAULT_ESTIMATE_S, ran_s, 1.0 / step.task_count)
 
 
-def observe_pace(step: StepState, run: Run, worker: WorkerState, worked_s: float, share: float) -> None:
+def observe_pace(step: StepState, run: Run, worker: WorkerState, elapsed_s: float, share: float) -> None:
     """Take in that a run has done a share of its work in a time.
 
     A run tells once, when enough of it is done, and only if it began at the
@@ -61,10 +61,10 @@
     """
     if run.has_reported_pace or run.began_from_checkpoint or step.spec.gang or step.spec.lasting:
         return
-    if share * 100.0 < _CONCLUSIVE_PERCENT or worked_s <= 0:
+    if share * 100.0 < _CONCLUSIVE_PERCENT or elapsed_s <= 0:
         return
     run.has_reported_pace = True
-    log_time = math.log(worked_s / share)
+    log_time = math.log(elapsed_s / share)
     median = _median_log_time(step)
     if median is not None:
         worker.pace.observe(log_time - median)
