--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -13,7 +13,7 @@
 # Weight of the belief that they are right in the mean, in observations.
 _PRIOR_OBSERVATIONS = 3.0
 # Share of what is known that stays with each observation: recent work predicts more.
-_MEMORY = 0.98
+_DECAY = 0.98
 # Spread of times around what is expected, in logarithms, before any was seen.
 PRIOR_SPREAD = 1.0
 # Bounds of one observation, so that a single odd run moves little.
@@ -47,7 +47,7 @@
         log_x = math.log(estimate_s)
         log_ratio = math.log(ran_s) - log_x
         log_y = log_x + min(max(log_ratio, -_LARGEST_LOG_RATIO), _LARGEST_LOG_RATIO)
-        kept = _MEMORY**weight
+        kept = _DECAY**weight
         self._seen = self._seen * kept + weight
         off_x = log_x - self._mean_x
         off_y = log_y - self._mean_y
