--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -9,7 +9,7 @@
 import math
 
 # Weight of the belief that estimates predict everything, in squared logarithms.
-_PRIOR_SQUARES = 0.3
+_PRIOR_SUM_OF_SQUARES = 0.3
 # Weight of the belief that they are right in the mean, in observations.
 _PRIOR_OBSERVATIONS = 3.0
 # Share of what is known that stays with each observation: recent work predicts more.
@@ -60,7 +60,7 @@
     @property
     def slope(self) -> float:
         """How much longer tasks take, in logarithms, for each step of the estimate."""
-        return (self._sxy + _PRIOR_SQUARES) / (self._sxx + _PRIOR_SQUARES)
+        return (self._sxy + _PRIOR_SUM_OF_SQUARES) / (self._sxx + _PRIOR_SUM_OF_SQUARES)
 
     @property
     def spread(self) -> float:
