--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -17,7 +17,7 @@
 # Spread of times around what is expected, in logarithms, before any was seen.
 PRIOR_SPREAD = 1.0
 # Bounds of one observation, so that a single odd run moves little.
-_LARGEST_LOG_RATIO = 3.0
+_MAX_LOG_RATIO = 3.0
 
 
 class EstimateModel:
@@ -46,7 +46,7 @@
         """
         log_x = math.log(estimate_s)
         log_ratio = math.log(ran_s) - log_x
-        log_y = log_x + min(max(log_ratio, -_LARGEST_LOG_RATIO), _LARGEST_LOG_RATIO)
+        log_y = log_x + min(max(log_ratio, -_MAX_LOG_RATIO), _MAX_LOG_RATIO)
         kept = _DECAY**weight
         self._seen = self._seen * kept + weight
         off_x = log_x - self._mean_x
