--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -23,11 +23,11 @@
 class EstimateModel:
     """What is known of one queue's estimates."""
 
-    __slots__ = ('_mean_x', '_mean_y', '_seen', '_sxx', '_sxy', '_syy')
+    __slots__ = ('_mean_x', '_mean_y', '_total_weight', '_sxx', '_sxy', '_syy')
 
     def __init__(self) -> None:
         """Start by believing every estimate."""
-        self._seen = 0.0
+        self._total_weight = 0.0
         self._mean_x = 0.0
         self._mean_y = 0.0
         self._sxx = 0.0
@@ -48,11 +48,11 @@
         log_ratio = math.log(ran_s) - log_x
         log_y = log_x + min(max(log_ratio, -_MAX_LOG_RATIO), _MAX_LOG_RATIO)
         kept = _DECAY**weight
-        self._seen = self._seen * kept + weight
+        self._total_weight = self._total_weight * kept + weight
         off_x = log_x - self._mean_x
         off_y = log_y - self._mean_y
-        self._mean_x += weight * off_x / self._seen
-        self._mean_y += weight * off_y / self._seen
+        self._mean_x += weight * off_x / self._total_weight
+        self._mean_y += weight * off_y / self._total_weight
         self._sxx = self._sxx * kept + weight * off_x * (log_x - self._mean_x)
         self._sxy = self._sxy * kept + weight * off_x * (log_y - self._mean_y)
         self._syy = self._syy * kept + weight * off_y * (log_y - self._mean_y)
@@ -67,11 +67,11 @@
         """Spread of times around what is expected, in logarithms."""
         slope = self.slope
         squares = self._syy - 2 * slope * self._sxy + slope * slope * self._sxx
-        return math.sqrt((max(squares, 0.0) + PRIOR_SPREAD**2) / (self._seen + 1.0))
+        return math.sqrt((max(squares, 0.0) + PRIOR_SPREAD**2) / (self._total_weight + 1.0))
 
     def expect_s(self, estimate_s: float) -> float:
         """Return the expected run time of a task."""
         log_x = math.log(estimate_s)
-        trust = self._seen / (self._seen + _PRIOR_OBSERVATIONS)
+        trust = self._total_weight / (self._total_weight + _PRIOR_OBSERVATIONS)
         bias = trust * (self._mean_y - self._mean_x)
         return math.exp(log_x + bias + trust * (self.slope - 1.0) * (log_x - self._mean_x))
