--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -47,15 +47,15 @@
         log_x = math.log(estimate_s)
         log_ratio = math.log(ran_s) - log_x
         log_y = log_x + min(max(log_ratio, -_MAX_LOG_RATIO), _MAX_LOG_RATIO)
-        kept = _DECAY**weight
-        self._total_weight = self._total_weight * kept + weight
+        decay = _DECAY**weight
+        self._total_weight = self._total_weight * decay + weight
         off_x = log_x - self._mean_x
         off_y = log_y - self._mean_y
         self._mean_x += weight * off_x / self._total_weight
         self._mean_y += weight * off_y / self._total_weight
-        self._sxx = self._sxx * kept + weight * off_x * (log_x - self._mean_x)
-        self._sxy = self._sxy * kept + weight * off_x * (log_y - self._mean_y)
-        self._syy = self._syy * kept + weight * off_y * (log_y - self._mean_y)
+        self._sxx = self._sxx * decay + weight * off_x * (log_x - self._mean_x)
+        self._sxy = self._sxy * decay + weight * off_x * (log_y - self._mean_y)
+        self._syy = self._syy * decay + weight * off_y * (log_y - self._mean_y)
 
     @property
     def slope(self) -> float:
