--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -49,12 +49,12 @@
         log_y = log_x + min(max(log_ratio, -_MAX_LOG_RATIO), _MAX_LOG_RATIO)
         decay = _DECAY**weight
         self._total_weight = self._total_weight * decay + weight
-        off_x = log_x - self._mean_x
+        deviation_x = log_x - self._mean_x
         off_y = log_y - self._mean_y
-        self._mean_x += weight * off_x / self._total_weight
+        self._mean_x += weight * deviation_x / self._total_weight
         self._mean_y += weight * off_y / self._total_weight
-        self._sxx = self._sxx * decay + weight * off_x * (log_x - self._mean_x)
-        self._sxy = self._sxy * decay + weight * off_x * (log_y - self._mean_y)
+        self._sxx = self._sxx * decay + weight * deviation_x * (log_x - self._mean_x)
+        self._sxy = self._sxy * decay + weight * deviation_x * (log_y - self._mean_y)
         self._syy = self._syy * decay + weight * off_y * (log_y - self._mean_y)
 
     @property
