--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -66,8 +66,8 @@
     def spread(self) -> float:
         """Spread of times around what is expected, in logarithms."""
         slope = self.slope
-        squares = self._syy - 2 * slope * self._sxy + slope * slope * self._sxx
-        return math.sqrt((max(squares, 0.0) + PRIOR_SPREAD**2) / (self._total_weight + 1.0))
+        residual_squares = self._syy - 2 * slope * self._sxy + slope * slope * self._sxx
+        return math.sqrt((max(residual_squares, 0.0) + PRIOR_SPREAD**2) / (self._total_weight + 1.0))
 
     def expect_s(self, estimate_s: float) -> float:
         """Return the expected run time of a task."""
