--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -72,6 +72,6 @@
     def expect_s(self, estimate_s: float) -> float:
         """Return the expected run time of a task."""
         log_x = math.log(estimate_s)
-        trust = self._total_weight / (self._total_weight + _PRIOR_OBSERVATIONS)
-        bias = trust * (self._mean_y - self._mean_x)
-        return math.exp(log_x + bias + trust * (self.slope - 1.0) * (log_x - self._mean_x))
+        shrinkage = self._total_weight / (self._total_weight + _PRIOR_OBSERVATIONS)
+        bias = shrinkage * (self._mean_y - self._mean_x)
+        return math.exp(log_x + bias + shrinkage * (self.slope - 1.0) * (log_x - self._mean_x))
