--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -39,7 +39,7 @@
     owner: StepKey | None
 
 
-class PassMemory:
+class FailedSearches:
     """Searches that failed, and where room has grown since.
 
     Attributes
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -10,7 +10,7 @@
 from .job_state import JobPhase, JobState, StepState
 from .learning import RunTimes
 from .mechanisms import Mechanism
-from .memory import PassMemory
+from .memory import FailedSearches
 from .progress import Crash
 from .reservations import Reservations
 from .runs import Run, RunPhase
@@ -140,7 +140,7 @@
         self.unguarded_services: frozenset[str] = frozenset()
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
-        self.memory = PassMemory()
+        self.memory = FailedSearches()
         self.stalls = Stalls()
         self._runs_started = 0
 
