--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -84,7 +84,7 @@
         """Note a search for victims that failed."""
         self._without_victims[signature, rank] = (wanted, now_s)
 
-    def renew(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
+    def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
         """Forget failed searches where room has grown since.
 
         Parameters
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -76,7 +76,7 @@
     def run(self) -> None:
         """Place every step that fits, in order of standing."""
         self._drop_stale_reservations()
-        self._memory.renew(self._room.free_by_id, self._reservations.take_freed())
+        self._memory.invalidate(self._room.free_by_id, self._reservations.take_freed())
         if self._is_full:
             self._memory.begin_full(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
