--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -58,7 +58,7 @@
         self._blocked: dict[Signature, int] = {}
         self._without_victims: dict[tuple[Signature, int], tuple[int, float]] = {}
 
-    def begin_full(self, now_s: float) -> None:
+    def begin_full_pass(self, now_s: float) -> None:
         """Note that all steps are considered now, and forget what is too old or one step's own.
 
         Steps come and go, so that what is kept under their names would grow.
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -78,7 +78,7 @@
         self._drop_stale_reservations()
         self._memory.invalidate(self._room.free_by_id, self._reservations.take_freed())
         if self._is_full:
-            self._memory.begin_full(self._now.steady_s)
+            self._memory.begin_full_pass(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
             self._state.stalls.renew(self._state.active_jobs(), share, self._now.steady_s)
             self._reservations.is_in_order = self._state.stalls.has_idle_capacity
