--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         """Start without any search."""
         self.grown_workers: set[str] = set()
-        self.full_at_s = float('-inf')
+        self.last_full_pass_s = float('-inf')
         self._takers: set[str] = set()
         self._blocked: dict[Signature, int] = {}
         self._without_victims: dict[tuple[Signature, int], tuple[int, float]] = {}
@@ -63,7 +63,7 @@
 
         Steps come and go, so that what is kept under their names would grow.
         """
-        self.full_at_s = now_s
+        self.last_full_pass_s = now_s
         self._without_victims.clear()
         self._blocked = {signature: wanted for signature, wanted in self._blocked.items() if signature.owner is None}
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -71,7 +71,7 @@
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
-        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_EVERY_S
+        self._is_full = now.steady_s - self._memory.last_full_pass_s >= _FULL_EVERY_S
 
     def run(self) -> None:
         """Place every step that fits, in order of standing."""
