--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -80,7 +80,7 @@
         known = self._without_victims.get((signature, rank))
         return known is not None and known[0] <= wanted and known[1] > since_s
 
-    def note_no_victims(self, signature: Signature, rank: int, wanted: int, now_s: float) -> None:
+    def record_no_victims(self, signature: Signature, rank: int, wanted: int, now_s: float) -> None:
         """Note a search for victims that failed."""
         self._without_victims[signature, rank] = (wanted, now_s)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -304,7 +304,7 @@
             return None
         plan = self._preemption.plan(step, wanted, self._room, request.standing, may_go_far=request.may_go_far)
         if plan is None:
-            self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
+            self._memory.record_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
     def _reserve_plan(self, request: Request, plan: Plan) -> None:
