--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -71,7 +71,7 @@
         """Tell whether so many tasks, or fewer, found no room."""
         return self._blocked.get(signature, wanted + 1) <= wanted
 
-    def block(self, signature: Signature, wanted: int) -> None:
+    def record_no_room(self, signature: Signature, wanted: int) -> None:
         """Note that so many tasks found no room."""
         self._blocked[signature] = min(wanted, self._blocked.get(signature, wanted))
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -224,7 +224,7 @@
         placement = place(request, self._room)
         # Tickets come and go, so that a step that needs them is always tried.
         if not placement.task_count and request.step.advice is None:
-            self._memory.block(signature, wanted)
+            self._memory.record_no_room(signature, wanted)
         return placement
 
     def _signature(self, request: Request) -> Signature:
