--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -67,7 +67,7 @@
         self._without_victims.clear()
         self._blocked = {signature: wanted for signature, wanted in self._blocked.items() if signature.owner is None}
 
-    def is_blocked(self, signature: Signature, wanted: int) -> bool:
+    def is_known_to_lack_room(self, signature: Signature, wanted: int) -> bool:
         """Tell whether so many tasks, or fewer, found no room."""
         return self._blocked.get(signature, wanted + 1) <= wanted
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -120,7 +120,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._memory.is_blocked(self._signature(request), request.wanted_together)
+        return not self._memory.is_known_to_lack_room(self._signature(request), request.wanted_together)
 
     def _standing(self, step: StepState, rank: int) -> Standing:
         """Return a step's place in the order, worked out anew from time to time."""
@@ -219,7 +219,7 @@
     def _place(self, request: Request, signature: Signature) -> Placement:
         """Try a placement unless a like request found no room since some has grown."""
         wanted = request.wanted_together
-        if self._memory.is_blocked(signature, wanted):
+        if self._memory.is_known_to_lack_room(signature, wanted):
             return Placement(())
         placement = place(request, self._room)
         # Tickets come and go, so that a step that needs them is always tried.
