--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -75,7 +75,7 @@
         """Note that so many tasks found no room."""
         self._blocked[signature] = min(wanted, self._blocked.get(signature, wanted))
 
-    def lacks_victims(self, signature: Signature, rank: int, wanted: int, since_s: float) -> bool:
+    def is_known_to_lack_victims(self, signature: Signature, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
         known = self._without_victims.get((signature, rank))
         return known is not None and known[0] <= wanted and known[1] > since_s
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -300,7 +300,7 @@
         rank = request.rank
         signature = self._signature(request)
         since_s = self._now.steady_s - _VICTIMS_AGAIN_S
-        if self._memory.lacks_victims(signature, rank, wanted, since_s):
+        if self._memory.is_known_to_lack_victims(signature, rank, wanted, since_s):
             return None
         plan = self._preemption.plan(step, wanted, self._room, request.standing, may_go_far=request.may_go_far)
         if plan is None:
