--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -11,7 +11,7 @@
 from .room import fits
 
 
-class Signature(NamedTuple):
+class SearchKey(NamedTuple):
     """What steps that need the same places have in common.
 
     Parameters
@@ -55,8 +55,8 @@
         self.grown_workers: set[str] = set()
         self.last_full_pass_s = float('-inf')
         self._takers: set[str] = set()
-        self._blocked: dict[Signature, int] = {}
-        self._without_victims: dict[tuple[Signature, int], tuple[int, float]] = {}
+        self._blocked: dict[SearchKey, int] = {}
+        self._without_victims: dict[tuple[SearchKey, int], tuple[int, float]] = {}
 
     def begin_full_pass(self, now_s: float) -> None:
         """Note that all steps are considered now, and forget what is too old or one step's own.
@@ -67,20 +67,20 @@
         self._without_victims.clear()
         self._blocked = {signature: wanted for signature, wanted in self._blocked.items() if signature.owner is None}
 
-    def is_known_to_lack_room(self, signature: Signature, wanted: int) -> bool:
+    def is_known_to_lack_room(self, signature: SearchKey, wanted: int) -> bool:
         """Tell whether so many tasks, or fewer, found no room."""
         return self._blocked.get(signature, wanted + 1) <= wanted
 
-    def record_no_room(self, signature: Signature, wanted: int) -> None:
+    def record_no_room(self, signature: SearchKey, wanted: int) -> None:
         """Note that so many tasks found no room."""
         self._blocked[signature] = min(wanted, self._blocked.get(signature, wanted))
 
-    def is_known_to_lack_victims(self, signature: Signature, rank: int, wanted: int, since_s: float) -> bool:
+    def is_known_to_lack_victims(self, signature: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
         known = self._without_victims.get((signature, rank))
         return known is not None and known[0] <= wanted and known[1] > since_s
 
-    def record_no_victims(self, signature: Signature, rank: int, wanted: int, now_s: float) -> None:
+    def record_no_victims(self, signature: SearchKey, rank: int, wanted: int, now_s: float) -> None:
         """Note a search for victims that failed."""
         self._without_victims[signature, rank] = (wanted, now_s)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -10,7 +10,7 @@
 from .gates import job_gate, step_gate
 from .job_state import StepState
 from .mechanisms import Mechanism
-from .memory import Signature
+from .memory import SearchKey
 from .objectives import begin_s
 from .openings import earliest_reservation
 from .placement import has_near_place, place, Placement, Request, without_failed
@@ -216,7 +216,7 @@
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
-    def _place(self, request: Request, signature: Signature) -> Placement:
+    def _place(self, request: Request, signature: SearchKey) -> Placement:
         """Try a placement unless a like request found no room since some has grown."""
         wanted = request.wanted_together
         if self._memory.is_known_to_lack_room(signature, wanted):
@@ -227,7 +227,7 @@
             self._memory.record_no_room(signature, wanted)
         return placement
 
-    def _signature(self, request: Request) -> Signature:
+    def _signature(self, request: Request) -> SearchKey:
         """Return what steps that need the same places have in common.
 
         The places of some steps are their own: those that failed somewhere, are
@@ -244,7 +244,7 @@
             request.is_overdue,
         )
         is_special = any(own_reasons) or self._reservations.has(step)
-        return Signature(
+        return SearchKey(
             effective_demand(step),
             request.rank,
             step.job.queue.service,
