--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -65,24 +65,24 @@
         """
         self.last_full_pass_s = now_s
         self._without_victims.clear()
-        self._blocked = {signature: wanted for signature, wanted in self._blocked.items() if signature.owner is None}
+        self._blocked = {search_key: wanted for search_key, wanted in self._blocked.items() if search_key.owner is None}
 
-    def is_known_to_lack_room(self, signature: SearchKey, wanted: int) -> bool:
+    def is_known_to_lack_room(self, search_key: SearchKey, wanted: int) -> bool:
         """Tell whether so many tasks, or fewer, found no room."""
-        return self._blocked.get(signature, wanted + 1) <= wanted
+        return self._blocked.get(search_key, wanted + 1) <= wanted
 
-    def record_no_room(self, signature: SearchKey, wanted: int) -> None:
+    def record_no_room(self, search_key: SearchKey, wanted: int) -> None:
         """Note that so many tasks found no room."""
-        self._blocked[signature] = min(wanted, self._blocked.get(signature, wanted))
+        self._blocked[search_key] = min(wanted, self._blocked.get(search_key, wanted))
 
-    def is_known_to_lack_victims(self, signature: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
+    def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
-        known = self._without_victims.get((signature, rank))
+        known = self._without_victims.get((search_key, rank))
         return known is not None and known[0] <= wanted and known[1] > since_s
 
-    def record_no_victims(self, signature: SearchKey, rank: int, wanted: int, now_s: float) -> None:
+    def record_no_victims(self, search_key: SearchKey, rank: int, wanted: int, now_s: float) -> None:
         """Note a search for victims that failed."""
-        self._without_victims[signature, rank] = (wanted, now_s)
+        self._without_victims[search_key, rank] = (wanted, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
         """Forget failed searches where room has grown since.
@@ -99,6 +99,6 @@
         self.grown_workers = set()
         self._takers = takers
         rooms = [free_by_id[worker_id] for worker_id in grown]
-        for signature in tuple(self._blocked):
-            if any(fits(free, signature.demand) for free in rooms):
-                del self._blocked[signature]
+        for search_key in tuple(self._blocked):
+            if any(fits(free, search_key.demand) for free in rooms):
+                del self._blocked[search_key]
