--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -54,7 +54,7 @@
         """Start without any search."""
         self.grown_workers: set[str] = set()
         self.last_full_pass_s = float('-inf')
-        self._takers: set[str] = set()
+        self._eligible_workers: set[str] = set()
         self._blocked: dict[SearchKey, int] = {}
         self._without_victims: dict[tuple[SearchKey, int], tuple[int, float]] = {}
 
@@ -95,9 +95,9 @@
             Workers on which reservations were dropped.
         """
         takers = set(free_by_id)
-        grown = (self.grown_workers | set(freed)) & takers | takers - self._takers
+        grown = (self.grown_workers | set(freed)) & takers | takers - self._eligible_workers
         self.grown_workers = set()
-        self._takers = takers
+        self._eligible_workers = takers
         rooms = [free_by_id[worker_id] for worker_id in grown]
         for search_key in tuple(self._blocked):
             if any(fits(free, search_key.demand) for free in rooms):
