--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -94,10 +94,10 @@
         freed : iterable of str
             Workers on which reservations were dropped.
         """
-        takers = set(free_by_id)
-        grown = (self.grown_workers | set(freed)) & takers | takers - self._eligible_workers
+        eligible = set(free_by_id)
+        grown = (self.grown_workers | set(freed)) & eligible | eligible - self._eligible_workers
         self.grown_workers = set()
-        self._eligible_workers = takers
+        self._eligible_workers = eligible
         rooms = [free_by_id[worker_id] for worker_id in grown]
         for search_key in tuple(self._blocked):
             if any(fits(free, search_key.demand) for free in rooms):
