--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -55,7 +55,7 @@
         self.grown_workers: set[str] = set()
         self.last_full_pass_s = float('-inf')
         self._eligible_workers: set[str] = set()
-        self._blocked: dict[SearchKey, int] = {}
+        self._failed_placements: dict[SearchKey, int] = {}
         self._without_victims: dict[tuple[SearchKey, int], tuple[int, float]] = {}
 
     def begin_full_pass(self, now_s: float) -> None:
@@ -65,15 +65,17 @@
         """
         self.last_full_pass_s = now_s
         self._without_victims.clear()
-        self._blocked = {search_key: wanted for search_key, wanted in self._blocked.items() if search_key.owner is None}
+        self._failed_placements = {
+            search_key: wanted for search_key, wanted in self._failed_placements.items() if search_key.owner is None
+        }
 
     def is_known_to_lack_room(self, search_key: SearchKey, wanted: int) -> bool:
         """Tell whether so many tasks, or fewer, found no room."""
-        return self._blocked.get(search_key, wanted + 1) <= wanted
+        return self._failed_placements.get(search_key, wanted + 1) <= wanted
 
     def record_no_room(self, search_key: SearchKey, wanted: int) -> None:
         """Note that so many tasks found no room."""
-        self._blocked[search_key] = min(wanted, self._blocked.get(search_key, wanted))
+        self._failed_placements[search_key] = min(wanted, self._failed_placements.get(search_key, wanted))
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
@@ -99,6 +101,6 @@
         self.grown_workers = set()
         self._eligible_workers = eligible
         rooms = [free_by_id[worker_id] for worker_id in grown]
-        for search_key in tuple(self._blocked):
+        for search_key in tuple(self._failed_placements):
             if any(fits(free, search_key.demand) for free in rooms):
-                del self._blocked[search_key]
+                del self._failed_placements[search_key]
