--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -56,7 +56,7 @@
         self.last_full_pass_s = float('-inf')
         self._eligible_workers: set[str] = set()
         self._failed_placements: dict[SearchKey, int] = {}
-        self._without_victims: dict[tuple[SearchKey, int], tuple[int, float]] = {}
+        self._failed_victim_searches: dict[tuple[SearchKey, int], tuple[int, float]] = {}
 
     def begin_full_pass(self, now_s: float) -> None:
         """Note that all steps are considered now, and forget what is too old or one step's own.
@@ -64,7 +64,7 @@
         Steps come and go, so that what is kept under their names would grow.
         """
         self.last_full_pass_s = now_s
-        self._without_victims.clear()
+        self._failed_victim_searches.clear()
         self._failed_placements = {
             search_key: wanted for search_key, wanted in self._failed_placements.items() if search_key.owner is None
         }
@@ -79,12 +79,12 @@
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
-        known = self._without_victims.get((search_key, rank))
+        known = self._failed_victim_searches.get((search_key, rank))
         return known is not None and known[0] <= wanted and known[1] > since_s
 
     def record_no_victims(self, search_key: SearchKey, rank: int, wanted: int, now_s: float) -> None:
         """Note a search for victims that failed."""
-        self._without_victims[search_key, rank] = (wanted, now_s)
+        self._failed_victim_searches[search_key, rank] = (wanted, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
         """Forget failed searches where room has grown since.
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -305,4 +305,4 @@
         pool.scheduler.cancel(job_id, pool.now)
     pool.step(0.3)
     memory = pool.scheduler._state.memory
-    assert len(memory._failed_placements) + len(memory._without_victims) < 5
+    assert len(memory._failed_placements) + len(memory._failed_victim_searches) < 5
