--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -79,8 +79,8 @@
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
-        known = self._failed_victim_searches.get((search_key, rank))
-        return known is not None and known[0] <= wanted and known[1] > since_s
+        failed = self._failed_victim_searches.get((search_key, rank))
+        return failed is not None and failed[0] <= wanted and failed[1] > since_s
 
     def record_no_victims(self, search_key: SearchKey, rank: int, wanted: int, now_s: float) -> None:
         """Note a search for victims that failed."""
