--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -66,25 +66,27 @@
         self.last_full_pass_s = now_s
         self._failed_victim_searches.clear()
         self._failed_placements = {
-            search_key: wanted for search_key, wanted in self._failed_placements.items() if search_key.owner is None
+            search_key: task_count
+            for search_key, task_count in self._failed_placements.items()
+            if search_key.owner is None
         }
 
-    def is_known_to_lack_room(self, search_key: SearchKey, wanted: int) -> bool:
+    def is_known_to_lack_room(self, search_key: SearchKey, task_count: int) -> bool:
         """Tell whether so many tasks, or fewer, found no room."""
-        return self._failed_placements.get(search_key, wanted + 1) <= wanted
+        return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
-    def record_no_room(self, search_key: SearchKey, wanted: int) -> None:
+    def record_no_room(self, search_key: SearchKey, task_count: int) -> None:
         """Note that so many tasks found no room."""
-        self._failed_placements[search_key] = min(wanted, self._failed_placements.get(search_key, wanted))
+        self._failed_placements[search_key] = min(task_count, self._failed_placements.get(search_key, task_count))
 
-    def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, wanted: int, since_s: float) -> bool:
+    def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, task_count: int, since_s: float) -> bool:
         """Tell whether a search for victims failed since a time."""
         failed = self._failed_victim_searches.get((search_key, rank))
-        return failed is not None and failed[0] <= wanted and failed[1] > since_s
+        return failed is not None and failed[0] <= task_count and failed[1] > since_s
 
-    def record_no_victims(self, search_key: SearchKey, rank: int, wanted: int, now_s: float) -> None:
+    def record_no_victims(self, search_key: SearchKey, rank: int, task_count: int, now_s: float) -> None:
         """Note a search for victims that failed."""
-        self._failed_victim_searches[search_key, rank] = (wanted, now_s)
+        self._failed_victim_searches[search_key, rank] = (task_count, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
         """Forget failed searches where room has grown since.
