--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -5,7 +5,7 @@
 from .learning import RunTimes
 
 
-def chain_s(job: JobState, times: RunTimes) -> float:
+def critical_path_s(job: JobState, times: RunTimes) -> float:
     """Return the expected time of the longest chain of steps."""
     ends: list[float] = []
     for step in job.spec.steps:
@@ -16,7 +16,7 @@
 
 def objective_s(job: JobState, times: RunTimes) -> float:
     """Return the time in which the owner wants an occurrence to end."""
-    return job.queue.stretch * chain_s(job, times) + job.queue.target_latency_s
+    return job.queue.stretch * critical_path_s(job, times) + job.queue.target_latency_s
 
 
 def rest_s(step: StepState, times: RunTimes) -> float:
