--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -14,7 +14,7 @@
     return max(ends, default=0.0)
 
 
-def objective_s(job: JobState, times: RunTimes) -> float:
+def target_s(job: JobState, times: RunTimes) -> float:
     """Return the time in which the owner wants an occurrence to end."""
     return job.queue.stretch * critical_path_s(job, times) + job.queue.target_latency_s
 
@@ -26,7 +26,7 @@
 
 def slack_s(step: StepState, times: RunTimes, wall_s: float) -> float:
     """Return how long a step may still wait and end in time; negative when it is too late."""
-    left_s = objective_s(step.job, times) - (wall_s - begin_s(step.job.spec, step.occurrence))
+    left_s = target_s(step.job, times) - (wall_s - begin_s(step.job.spec, step.occurrence))
     return left_s - rest_s(step, times)
 
 
