--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -19,7 +19,7 @@
     return job.queue.stretch * critical_path_s(job, times) + job.queue.target_latency_s
 
 
-def rest_s(step: StepState, times: RunTimes) -> float:
+def remaining_s(step: StepState, times: RunTimes) -> float:
     """Return the expected time from a step's start to its occurrence's end."""
     return max(times.expect_s(step.job.queue.name, step.spec), 0.0) + after_s(step, times)
 
@@ -27,7 +27,7 @@
 def slack_s(step: StepState, times: RunTimes, wall_s: float) -> float:
     """Return how long a step may still wait and end in time; negative when it is too late."""
     left_s = target_s(step.job, times) - (wall_s - begin_s(step.job.spec, step.occurrence))
-    return left_s - rest_s(step, times)
+    return left_s - remaining_s(step, times)
 
 
 def begin_s(spec: JobSpec, occurrence: int) -> float:
