--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -11,7 +11,7 @@
 from .clock import Moment
 from .job_state import StepState
 from .mechanisms import Mechanism
-from .objectives import after_s, begin_s, target_s
+from .objectives import begin_s, downstream_s, target_s
 from .runs import Run, RunPhase
 from .state import SchedulerState
 from .workers import WorkerState
@@ -169,5 +169,5 @@
 def _meets_target_only_if_moved(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
     """Tell whether a job ends in time by a move alone."""
     begun_s = begin_s(step.job.spec, step.occurrence)
-    left_s = target_s(step.job, state.times) - (now.wall_s - begun_s) - after_s(step, state.times)
+    left_s = target_s(step.job, state.times) - (now.wall_s - begun_s) - downstream_s(step, state.times)
     return estimate.remaining_if_moved_s <= left_s < estimate.remaining_s
--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -21,7 +21,7 @@
 
 def remaining_s(step: StepState, times: RunTimes) -> float:
     """Return the expected time from a step's start to its occurrence's end."""
-    return max(times.expect_s(step.job.queue.name, step.spec), 0.0) + after_s(step, times)
+    return max(times.expect_s(step.job.queue.name, step.spec), 0.0) + downstream_s(step, times)
 
 
 def slack_s(step: StepState, times: RunTimes, wall_s: float) -> float:
@@ -35,7 +35,7 @@
     return spec.due_s(occurrence) or spec.accepted_s
 
 
-def after_s(step: StepState, times: RunTimes) -> float:
+def downstream_s(step: StepState, times: RunTimes) -> float:
     """Return the longest expected chain of steps that wait for this one."""
     longest = 0.0
     steps = step.job.spec.steps
