--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -39,10 +39,10 @@
     """Return the longest expected chain of steps that wait for this one."""
     longest = 0.0
     steps = step.job.spec.steps
-    reach: dict[int, float] = {step.number: 0.0}
+    end_offset_by_step: dict[int, float] = {step.number: 0.0}
     for number, later in enumerate(steps):
-        begins = [reach[earlier] for earlier in later.after if earlier in reach]
+        begins = [end_offset_by_step[earlier] for earlier in later.after if earlier in end_offset_by_step]
         if begins:
-            reach[number] = max(begins) + times.expect_s(step.job.queue.name, later)
-            longest = max(longest, reach[number])
+            end_offset_by_step[number] = max(begins) + times.expect_s(step.job.queue.name, later)
+            longest = max(longest, end_offset_by_step[number])
     return longest
