--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -7,11 +7,11 @@
 
 def critical_path_s(job: JobState, times: RunTimes) -> float:
     """Return the expected time of the longest chain of steps."""
-    ends: list[float] = []
+    end_offsets: list[float] = []
     for step in job.spec.steps:
-        begins_s = max((ends[earlier] for earlier in step.after), default=0.0)
-        ends.append(begins_s + times.expect_s(job.queue.name, step))
-    return max(ends, default=0.0)
+        begins_s = max((end_offsets[earlier] for earlier in step.after), default=0.0)
+        end_offsets.append(begins_s + times.expect_s(job.queue.name, step))
+    return max(end_offsets, default=0.0)
 
 
 def target_s(job: JobState, times: RunTimes) -> float:
