--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -37,12 +37,12 @@
 
 def downstream_s(step: StepState, times: RunTimes) -> float:
     """Return the longest expected chain of steps that wait for this one."""
-    longest = 0.0
+    longest_s = 0.0
     steps = step.job.spec.steps
     end_offset_by_step: dict[int, float] = {step.number: 0.0}
     for number, later in enumerate(steps):
         begins = [end_offset_by_step[earlier] for earlier in later.after if earlier in end_offset_by_step]
         if begins:
             end_offset_by_step[number] = max(begins) + times.expect_s(step.job.queue.name, later)
-            longest = max(longest, end_offset_by_step[number])
-    return longest
+            longest_s = max(longest_s, end_offset_by_step[number])
+    return longest_s
