--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -9,8 +9,8 @@
     """Return the expected time of the longest chain of steps."""
     end_offsets: list[float] = []
     for step in job.spec.steps:
-        begins_s = max((end_offsets[earlier] for earlier in step.after), default=0.0)
-        end_offsets.append(begins_s + times.expect_s(job.queue.name, step))
+        start_offset_s = max((end_offsets[earlier] for earlier in step.after), default=0.0)
+        end_offsets.append(start_offset_s + times.expect_s(job.queue.name, step))
     return max(end_offsets, default=0.0)
 
 
