--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -41,8 +41,8 @@
     steps = step.job.spec.steps
     end_offset_by_step: dict[int, float] = {step.number: 0.0}
     for number, later in enumerate(steps):
-        begins = [end_offset_by_step[earlier] for earlier in later.after if earlier in end_offset_by_step]
-        if begins:
-            end_offset_by_step[number] = max(begins) + times.expect_s(step.job.queue.name, later)
+        start_offsets = [end_offset_by_step[earlier] for earlier in later.after if earlier in end_offset_by_step]
+        if start_offsets:
+            end_offset_by_step[number] = max(start_offsets) + times.expect_s(step.job.queue.name, later)
             longest_s = max(longest_s, end_offset_by_step[number])
     return longest_s
