--- a/packages/kernel/dahliaarch_kernel/scheduler/pace.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/pace.py
@@ -5,7 +5,7 @@
 _PRIOR_OBSERVATIONS = 1.5
 # Share of what was known before that stays with each observation, so that a
 # worker that was slow for some seconds is trusted again.
-_MEMORY = 0.9
+_DECAY = 0.9
 # Largest effect of one observation: natural logarithm of a ratio of times.
 _LARGEST_STEP = 0.5
 
@@ -28,5 +28,5 @@
     def observe(self, log_ratio: float) -> None:
         """Take in one task's time against the usual one."""
         bounded = min(max(log_ratio, -_LARGEST_STEP), _LARGEST_STEP)
-        self._sum = self._sum * _MEMORY + bounded
-        self._count = self._count * _MEMORY + 1.0
+        self._sum = self._sum * _DECAY + bounded
+        self._count = self._count * _DECAY + 1.0
