--- a/packages/kernel/dahliaarch_kernel/scheduler/pace.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/pace.py
@@ -7,7 +7,7 @@
 # worker that was slow for some seconds is trusted again.
 _DECAY = 0.9
 # Largest effect of one observation: natural logarithm of a ratio of times.
-_LARGEST_STEP = 0.5
+_MAX_LOG_RATIO = 0.5
 
 
 class Pace:
@@ -27,6 +27,6 @@
 
     def observe(self, log_ratio: float) -> None:
         """Take in one task's time against the usual one."""
-        bounded = min(max(log_ratio, -_LARGEST_STEP), _LARGEST_STEP)
+        bounded = min(max(log_ratio, -_MAX_LOG_RATIO), _MAX_LOG_RATIO)
         self._sum = self._sum * _DECAY + bounded
         self._count = self._count * _DECAY + 1.0
