--- a/packages/kernel/dahliaarch_kernel/scheduler/variables.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/variables.py
@@ -10,7 +10,7 @@
 from .workers import WorkerState
 
 # A worker this many times as slow as expected is used last.
-_SLOW_ENOUGH = 2.0
+_SUSPECT_SLOWNESS = 2.0
 # A worker on which tasks take this many times as long counts as slow: half way
 # between the sound workers of the users' sites and the 1.3 times slower ones.
 _SLOW = 1.12
@@ -18,7 +18,7 @@
 
 def is_suspect(worker: WorkerState) -> bool:
     """Tell whether tasks failed or crawled on a worker of late."""
-    return bool(worker.failed_jobs) or worker.slowness > _SLOW_ENOUGH
+    return bool(worker.failed_jobs) or worker.slowness > _SUSPECT_SLOWNESS
 
 
 def is_slow(worker: WorkerState) -> bool:
