--- a/packages/kernel/dahliaarch_kernel/scheduler/variables.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/variables.py
@@ -13,7 +13,7 @@
 _SUSPECT_SLOWNESS = 2.0
 # A worker on which tasks take this many times as long counts as slow: half way
 # between the sound workers of the users' sites and the 1.3 times slower ones.
-_SLOW = 1.12
+_SLOW_FACTOR = 1.12
 
 
 def is_suspect(worker: WorkerState) -> bool:
@@ -23,7 +23,7 @@
 
 def is_slow(worker: WorkerState) -> bool:
     """Tell whether tasks take longer on a worker than on sound ones."""
-    return worker.slowdown > _SLOW
+    return worker.slowdown > _SLOW_FACTOR
 
 
 def job_variables(step: StepState, order: Standing, times: RunTimes, wall_s: float) -> JobVariables:
