--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -7,7 +7,7 @@
 from .runs import Run
 
 # A worker's steady clock may be 2% slow; the rest covers rounding.
-_SLOWEST_CLOCK = 1.03
+_MAX_CLOCK_RATIO = 1.03
 # How long a worker gets no starts after it has refused one, in seconds, and the
 # longest such time: it doubles with each refusal in a row.
 _FIRST_BACKOFF_S = 1.0
@@ -81,14 +81,14 @@
 
     def assume_held(self, hold_s: float, now_s: float) -> None:
         """Assume that a previous owner gave a lease of ``hold_s`` until now."""
-        self.assume(now_s + hold_s * _SLOWEST_CLOCK)
+        self.assume(now_s + hold_s * _MAX_CLOCK_RATIO)
 
     def bound_s(self) -> float:
         """Return the steady time after which nothing runs there any more."""
         if self._clock_s is None:
             return self._floor_s
         left_s = max(0.0, self._until_s - self._clock_s)
-        return max(self._floor_s, self._read_at_s + left_s * _SLOWEST_CLOCK)
+        return max(self._floor_s, self._read_at_s + left_s * _MAX_CLOCK_RATIO)
 
 
 class RefusalBackoff:
