--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -10,7 +10,7 @@
 _MAX_CLOCK_RATIO = 1.03
 # How long a worker gets no starts after it has refused one, in seconds, and the
 # longest such time: it doubles with each refusal in a row.
-_FIRST_BACKOFF_S = 1.0
+_INITIAL_BACKOFF_S = 1.0
 _LONGEST_BACKOFF_S = 4.0
 
 
@@ -110,7 +110,7 @@
         if now_s < self._until_s or len(self._job_ids) == 1:
             return
         self._refusals += 1
-        self._until_s = now_s + min(_FIRST_BACKOFF_S * (1 << (self._refusals - 1)), _LONGEST_BACKOFF_S)
+        self._until_s = now_s + min(_INITIAL_BACKOFF_S * (1 << (self._refusals - 1)), _LONGEST_BACKOFF_S)
 
     def started(self) -> None:
         """Record that the worker acknowledged a start."""
