--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -11,7 +11,7 @@
 # How long a worker gets no starts after it has refused one, in seconds, and the
 # longest such time: it doubles with each refusal in a row.
 _INITIAL_BACKOFF_S = 1.0
-_LONGEST_BACKOFF_S = 4.0
+_MAX_BACKOFF_S = 4.0
 
 
 class WorkerProfile(NamedTuple):
@@ -110,7 +110,7 @@
         if now_s < self._until_s or len(self._job_ids) == 1:
             return
         self._refusals += 1
-        self._until_s = now_s + min(_INITIAL_BACKOFF_S * (1 << (self._refusals - 1)), _LONGEST_BACKOFF_S)
+        self._until_s = now_s + min(_INITIAL_BACKOFF_S * (1 << (self._refusals - 1)), _MAX_BACKOFF_S)
 
     def started(self) -> None:
         """Record that the worker acknowledged a start."""
