--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -52,7 +52,7 @@
         self._clock_s: float | None = None
         self._read_at_s = 0.0
         self._until_s = 0.0
-        self._floor_s = 0.0
+        self._assumed_until_s = 0.0
 
     @property
     def has_reading(self) -> bool:
@@ -77,7 +77,7 @@
 
     def assume(self, bound_s: float) -> None:
         """Assume a lease given by a previous owner up to ``bound_s``."""
-        self._floor_s = max(self._floor_s, bound_s)
+        self._assumed_until_s = max(self._assumed_until_s, bound_s)
 
     def assume_held(self, hold_s: float, now_s: float) -> None:
         """Assume that a previous owner gave a lease of ``hold_s`` until now."""
@@ -86,9 +86,9 @@
     def bound_s(self) -> float:
         """Return the steady time after which nothing runs there any more."""
         if self._clock_s is None:
-            return self._floor_s
+            return self._assumed_until_s
         left_s = max(0.0, self._until_s - self._clock_s)
-        return max(self._floor_s, self._read_at_s + left_s * _MAX_CLOCK_RATIO)
+        return max(self._assumed_until_s, self._read_at_s + left_s * _MAX_CLOCK_RATIO)
 
 
 class RefusalBackoff:
