--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -114,7 +114,7 @@
 
 
 def _crash(state: SchedulerState, worker: WorkerState, run: Run, crashed_s: float) -> Crash:
-    is_conclusive = run.is_isolated or not worker.beside(run)
+    is_conclusive = run.is_isolated or not worker.count_runs_of_other_jobs(run)
     was_there = _was_surely_there(state, run, crashed_s)
     return Crash(run.number, worker.worker_id, run.ran_s, is_conclusive, is_discounted=not was_there)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -190,7 +190,9 @@
 
     def note_loss(self, worker: WorkerState, run: Run, cause: LossCause) -> None:
         """Note that a run is gone though its worker did not list its end."""
-        self.notes.append(RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.beside(run)))
+        self.notes.append(
+            RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.count_runs_of_other_jobs(run))
+        )
 
     def start(self, step: StepState, task_index: int, run: Run) -> None:
         """Order a start."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -203,7 +203,7 @@
             if run.isolation_s:
                 self._suspects.remove(run)
 
-    def beside(self, run: Run) -> int:
+    def count_runs_of_other_jobs(self, run: Run) -> int:
         """Return how many runs of other jobs are here beside a run."""
         return sum(other.job_id != run.key.job_id for other in self.run_by_key)
 
