--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -145,7 +145,7 @@
             self._state.memory.grown_workers.add(profile.worker_id)
         worker.profile = profile
         worker.is_listed = True
-        worker.is_described = True
+        worker.has_published_profile = True
         worker.has_readable_entry = True
         if not profile.draining:
             worker.leaves_at_s = None
@@ -167,7 +167,7 @@
         self.update_worker(profile, now)
         worker = self._state.worker_by_id[profile.worker_id]
         worker.is_listed = False
-        worker.is_described = False
+        worker.has_published_profile = False
 
     def unlist_worker(self, worker_id: str) -> None:
         """Record that a worker's entry is gone; what runs there is waited for."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -148,7 +148,7 @@
         self._suspects: list[Run] = []
         self.is_listed = True
         # False until it has published what it has: another incarnation may be of another kind.
-        self.is_described = True
+        self.has_published_profile = True
         # False while its entry is another writer's and names no worker.
         self.has_readable_entry = True
         self.is_surveyed = False
@@ -214,7 +214,7 @@
         A worker whose entry is missing but which answers is alive: entries
         lapse while the store is away.
         """
-        if not self.is_described or not self.has_readable_entry or self.profile.draining:
+        if not self.has_published_profile or not self.has_readable_entry or self.profile.draining:
             return False
         return self.is_in_touch and not self.is_lapsed and not self.has_isolated_run
 
