--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -15,7 +15,7 @@
 def expire_leases(state: SchedulerState, now: Moment) -> None:
     """Give up what ran on silent workers whose leases have ended."""
     for worker in tuple(state.worker_by_id.values()):
-        if worker.is_silent and now.steady_s > worker.lease.bound_s():
+        if worker.is_silent and now.steady_s > worker.lease.latest_end_s():
             _give_up(state, worker, now)
 
 
@@ -40,7 +40,7 @@
 def _is_known_idle(state: SchedulerState, worker: WorkerState, now: Moment) -> bool:
     """Tell whether nothing runs on a worker that was given up, and no late start can begin on its next incarnation."""
     # One that was never contacted has no lease that could have ended.
-    if not worker.lease.bound_s() or worker.worker_id in state.awaited_incarnations:
+    if not worker.lease.latest_end_s() or worker.worker_id in state.awaited_incarnations:
         return False
     return not any(sent_s + worker.late_order_s > now.steady_s for sent_s in worker.unanswered_starts.values())
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -75,15 +75,15 @@
         """Record an end that was sent, answered or not: it is never shortened."""
         self._until_s = max(self._until_s, until_s)
 
-    def assume(self, bound_s: float) -> None:
-        """Assume a lease given by a previous owner up to ``bound_s``."""
-        self._assumed_until_s = max(self._assumed_until_s, bound_s)
+    def assume(self, latest_end_s: float) -> None:
+        """Assume a lease given by a previous owner up to ``latest_end_s``."""
+        self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
     def assume_held(self, hold_s: float, now_s: float) -> None:
         """Assume that a previous owner gave a lease of ``hold_s`` until now."""
         self.assume(now_s + hold_s * _MAX_CLOCK_RATIO)
 
-    def bound_s(self) -> float:
+    def latest_end_s(self) -> float:
         """Return the steady time after which nothing runs there any more."""
         if self._clock_s is None:
             return self._assumed_until_s
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -115,7 +115,7 @@
     begun_s = time.monotonic()
     owner = posted_after(failure, lease, is_draining=is_draining)
     assert owner.has_been_posted(WorkerSurveyed)
-    assert lease.bound_s() >= begun_s + SETTINGS.hold_s
+    assert lease.latest_end_s() >= begun_s + SETTINGS.hold_s
 
 
 class LateWorker(Sessions):
