--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -216,7 +216,7 @@
         """
         if not self.has_published_profile or not self.has_readable_entry or self.profile.draining:
             return False
-        return self.is_in_touch and not self.is_lapsed and not self.has_isolated_run
+        return self.is_reporting and not self.is_lapsed and not self.has_isolated_run
 
     @property
     def is_silent(self) -> bool:
@@ -224,7 +224,7 @@
         return self.silent_since_s is not None
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_reporting(self) -> bool:
         """Whether it has reported what runs there, and still answers."""
         return self.is_surveyed and not self.is_silent
 
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -165,7 +165,7 @@
         numbers = self._lapsed_number_by_name
         self._lapsed_number_by_name = {name: numbers[name] for name in numbers if numbers[name] >= kept_number}
         for worker in known.values():
-            if worker.is_lapsed and worker.is_in_touch:
+            if worker.is_lapsed and worker.is_reporting:
                 worker.is_lapsed = self.name_of(worker.worker_id) in self._lapsed_number_by_name
 
     def _listed_incarnation(self, link: WorkerLink) -> WorkerIncarnation:
@@ -190,7 +190,7 @@
                 link.acknowledge(number)
 
     def _roster_entry(self, worker: WorkerState, link: WorkerLink) -> RosterEntry:
-        is_lapsed = worker.is_lapsed and not worker.is_in_touch and not worker.run_by_key
+        is_lapsed = worker.is_lapsed and not worker.is_reporting and not worker.run_by_key
         incarnation = self._listed_incarnation(link)
         profile = worker.profile._replace(worker_id=incarnation.worker_id, leaves_in_s=None)
         return RosterEntry(profile, link.address, incarnation, is_lapsed)
