--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -69,7 +69,7 @@
         """Replace the accelerators that accounts are guaranteed."""
         self._state.guaranteed_by_account = guaranteed_by_account
 
-    def set_unguarded(self, services: Iterable[str]) -> None:
+    def set_services_without_capacity_check(self, services: Iterable[str]) -> None:
         """Replace the services whose workers start whatever they are sent."""
         self._state.unguarded_services = frozenset(services)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -60,7 +60,7 @@
 
 
 def unguarded(pool):
-    pool.scheduler.set_unguarded({'svc'})
+    pool.scheduler.set_services_without_capacity_check({'svc'})
     pool.scheduler.workers_synced(pool.now)
 
 
@@ -77,7 +77,7 @@
 
 def test_a_worker_that_guards_its_room_is_used_while_entries_are_not_synced():
     pool = Pool(workers=1)
-    pool.scheduler.set_unguarded(set())
+    pool.scheduler.set_services_without_capacity_check(set())
     pool.scheduler.workers_synced(pool.now)
     pool.now_s += 60.0
     pool.submit(A, task(1))
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -157,7 +157,9 @@
         accounts = configuration.account_by_name.values()
         self.scheduler.set_guarantees({account.name: account.guaranteed_accelerators for account in accounts})
         services = configuration.service_by_name.values()
-        self.scheduler.set_unguarded(each.name for each in services if not each.workers_check_capacity)
+        self.scheduler.set_services_without_capacity_check(
+            each.name for each in services if not each.workers_check_capacity
+        )
         of_queues = {queue.service for queue in configuration.queue_by_name.values()}
         for message in self._unserved.set_services(of_queues.union(configuration.service_by_name)):
             self.post(message)
