--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one pool: facts come in, orders come out."""
+"""Scheduler of a pool of workers: turns reported events into orders."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -28,21 +28,21 @@
 
 
 class Scheduler:
-    """Decides over one pool of workers; does no I/O and reads no clock.
+    """Schedules jobs on one pool of workers, without I/O and without reading a clock.
 
     Parameters
     ----------
     settings : SchedulerSettings
-        Limits and weights.
+        Settings of the scheduler.
     epoch : int
-        Epoch of the owner; later owners have larger ones.
+        Epoch of the owner; later owners have larger epochs.
     policy : Policy or None
-        The operators' programs; nothing for the built-in choices.
+        The operators' programs; None for the built-in policy.
 
     Attributes
     ----------
     assignments : Assignments
-        Where tasks may run, to be kept before their starts are sent.
+        Assignments of tasks to workers, to be stored before the starts are sent.
     """
 
     def __init__(self, settings: SchedulerSettings, epoch: int, policy: Policy | None = None) -> None:
@@ -52,29 +52,29 @@
 
     @property
     def job_by_id(self) -> Mapping[str, JobState]:
-        """Jobs that are known, ended ones included."""
+        """Known jobs by identifier, including those that have ended."""
         return self._state.job_by_id
 
     @property
     def worker_by_id(self) -> Mapping[str, WorkerState]:
-        """Workers that are known."""
+        """Known workers by identifier."""
         return self._state.worker_by_id
 
     @property
     def load(self) -> Load:
-        """What is to be done, and what keeps it from being done."""
+        """Number of active jobs, and waiting steps by wait reason."""
         return Load(len(self._state.active_job_by_id), self._state.stalls.count_by_reason())
 
     def set_guarantees(self, guaranteed_by_account: dict[str, int]) -> None:
-        """Replace the accelerators that accounts are guaranteed."""
+        """Replace the numbers of accelerators that are guaranteed to accounts."""
         self._state.guaranteed_by_account = guaranteed_by_account
 
     def set_services_without_capacity_check(self, services: Iterable[str]) -> None:
-        """Replace the services whose workers start whatever they are sent."""
+        """Replace the services whose workers start tasks without checking their own capacity."""
         self._state.unguarded_services = frozenset(services)
 
     def workers_synced(self, now: Moment) -> None:
-        """Record that all that workers publish is known up to now."""
+        """Record that the published entries of all workers are up to date."""
         self._state.workers_synced_s = now.steady_s
 
     def add_job(
@@ -87,22 +87,22 @@
         assignments: Mapping[AssignmentsPart, StepAssignments] | None = None,
         not_before_s: float = 0.0,
     ) -> bool:
-        """Take in an accepted job; false when it is known already.
+        """Add an accepted job; return False if it is already known.
 
         Parameters
         ----------
         spec : JobSpec
             The job.
         queue : Queue
-            Its queue when it was accepted.
+            Its queue at the time of acceptance.
         now : Moment
-            The present.
+            Current time.
         progress : JobProgress or None
-            What a previous owner kept of it.
+            Progress stored by a previous owner.
         assignments : mapping or None
-            Where a previous owner has assigned its tasks.
+            Assignments of its tasks, stored by a previous owner.
         not_before_s : float
-            Steady time before which a silent worker may still run it.
+            Steady time until which a silent worker may still run it.
         """
         if spec.job_id in self._state.job_by_id:
             return False
@@ -120,7 +120,7 @@
         return True
 
     def cancel(self, job_id: str, now: Moment) -> bool:
-        """Cancel a job; false when it is unknown or has ended."""
+        """Cancel a job; return False if it is unknown or has ended."""
         job = self._state.job_by_id.get(job_id)
         if job is None or job.has_ended:
             return False
@@ -128,14 +128,14 @@
         return True
 
     def forget_job(self, job_id: str) -> None:
-        """Forget a job that ended long ago."""
+        """Remove a job that has ended from memory."""
         job = self._state.job_by_id.pop(job_id, None)
         self._state.active_job_by_id.pop(job_id, None)
         if job is not None:
             job.release()
 
     def update_worker(self, profile: WorkerProfile, now: Moment) -> bool:
-        """Take in what a worker publishes; true when it is new."""
+        """Update a worker from its published profile; return True if the worker is new."""
         worker = self._state.worker_by_id.get(profile.worker_id)
         is_new = worker is None
         if worker is None:
@@ -155,14 +155,14 @@
         return is_new
 
     def expect_worker(self, profile: WorkerProfile, now: Moment) -> None:
-        """Take in an incarnation of a worker that answers and has published nothing: it gets nothing new before.
+        """Add an incarnation that answers but has not published its profile; it gets no starts until it has.
 
         Parameters
         ----------
         profile : WorkerProfile
-            What the incarnation before it published.
+            Profile of the previous incarnation.
         now : Moment
-            The present.
+            Current time.
         """
         self.update_worker(profile, now)
         worker = self._state.worker_by_id[profile.worker_id]
@@ -170,43 +170,44 @@
         worker.has_published_profile = False
 
     def unlist_worker(self, worker_id: str) -> None:
-        """Record that a worker's entry is gone; what runs there is waited for."""
+        """Record that a worker's entry was removed; its runs are kept until they end."""
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None:
             worker.is_listed = False
             worker.has_readable_entry = True
 
     def suspend_worker(self, worker_id: str) -> None:
-        """Record that a worker's entry can't be read: it gets nothing new until one can."""
+        """Record that a worker's entry can't be read; it gets no starts until a valid entry appears."""
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None:
             worker.has_readable_entry = False
 
     def all_workers_reported(self) -> None:
-        """Record that no worker can run a job of which this owner does not know."""
+        """Record that no unknown run of a previous owner can remain, so that jobs need not wait for silent workers."""
         for job in self._state.job_by_id.values():
             job.known_since_s = 0.0
 
     def worker_silent(self, worker_id: str, now: Moment) -> None:
-        """Record that a worker does not answer."""
+        """Record that a worker has stopped answering."""
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None and worker.silent_since_s is None:
             worker.silent_since_s = now.steady_s
 
     def worker_replaced(self, worker_id: str, successor_id: str, late_until_s: float) -> None:
-        """Record, before an incarnation of a worker is over, that another one has answered.
+        """Record that another incarnation of a worker has answered; call this before ``worker_over``.
 
         Parameters
         ----------
         worker_id, successor_id : str
-            The two incarnations.
+            The previous and the next incarnation.
         late_until_s : float
-            Until when the later one may run what the earlier one was sent, if it does not answer again, steady clock.
+            Steady time until which the next incarnation may carry out orders that were sent to the previous one, if
+            it does not answer again.
         """
         note_successor(self._state, worker_id, successor_id, late_until_s)
 
     def worker_over(self, worker_id: str, now: Moment) -> None:
-        """Record that this incarnation of a worker has ended for certain."""
+        """Record that an incarnation of a worker has certainly ended."""
         self._state.given_up_unacknowledged.discard(worker_id)
         worker = self._state.worker_by_id.pop(worker_id, None)
         if worker is None:
@@ -232,17 +233,17 @@
         self._state.job_by_id[found.key.job_id].mark_begun()
 
     def run_ended(self, end: RunEnd, now: Moment) -> None:
-        """Take in the end of a run; the same report again changes nothing."""
+        """Apply the end of a run; repeated reports have no effect."""
         take_in_end(self._state, end, now)
 
     def advice_given(self, key: StepKey, asked: Sequence[str], tickets: Mapping[str, str], until_s: float) -> None:
-        """Take in which workers the outside policy consents to, until when."""
+        """Record for which of the workers that were asked about the outside policy gave tickets, and until when."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
             step.advice.take_in(asked, tickets, until_s)
 
     def advice_failed(self, key: StepKey, now: Moment) -> None:
-        """Record that the outside policy did not answer."""
+        """Record that the outside policy failed to answer."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
             step.advice.failed(now.steady_s)
@@ -256,7 +257,21 @@
         *,
         lists_ends: bool = False,
     ) -> None:
-        """Take in a worker's list of what runs; one that lists ends lists those that come after, too."""
+        """Apply a worker's list of runs.
+
+        Parameters
+        ----------
+        worker_id : str
+            The worker that was surveyed.
+        running : sequence of RunSeen
+            Runs on the worker; the ends that it listed must have been applied before.
+        begun_s : float
+            Steady time of the request: the list does not cover starts after it.
+        now : Moment
+            Current time.
+        lists_ends : bool
+            Whether the worker is known to list ends of runs; it then lists those of later runs, too.
+        """
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None:
             worker_answered(self._state, worker_id)
@@ -267,7 +282,7 @@
             apply_survey(self._state, worker, running, begun_s, now)
 
     def decide(self, now: Moment) -> list[Effect]:
-        """Decide what to start and stop at this moment."""
+        """Run one scheduling pass and return the resulting orders."""
         state = self._state
         expire_leases(state, now)
         apply_crash_limit(state, now)
@@ -283,29 +298,29 @@
         return effects
 
     def take_notes(self) -> list[Note]:
-        """Return what became of runs and tasks since the last call, for the log."""
+        """Return and clear the notes on runs and tasks since the last call, for the log."""
         notes, self._state.notes = self._state.notes, []
         return notes
 
     def take_dirty_jobs(self) -> set[str]:
-        """Return the jobs whose progress must be kept, and forget that it must."""
+        """Return and clear the set of jobs whose progress has to be stored."""
         dirty = self._state.dirty_jobs
         self._state.dirty_jobs = set()
         return dirty
 
     @property
     def has_dirty_jobs(self) -> bool:
-        """Whether the progress of any job must be kept."""
+        """Whether the progress of any job has to be stored."""
         return bool(self._state.dirty_jobs)
 
     @property
     def has_ends_to_keep(self) -> bool:
-        """Whether the end of any job must be kept."""
+        """Whether the end of any job has to be stored."""
         jobs = self._state.job_by_id
         return any(jobs[job_id].has_ended for job_id in self._state.dirty_jobs if job_id in jobs)
 
     def mark_kept(self, job_id: str) -> bool:
-        """Record that a job's progress is kept; true when its end may be shown from now on."""
+        """Record that a job's progress is stored; return True if its end may now be reported to callers."""
         job = self._state.job_by_id.get(job_id)
         if job is None or job_id in self._state.dirty_jobs:
             return False
@@ -316,15 +331,15 @@
         return True
 
     def mark_dirty(self, job_ids: set[str]) -> None:
-        """Ask for the progress of jobs to be kept, after a write that failed."""
+        """Request that the progress of jobs is stored again after a failed write."""
         self._state.dirty_jobs |= job_ids
 
     def pending_in(self, queue: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return the number of jobs of a queue of which nothing has started."""
         return sum(job.queue.name == queue and not job.has_begun for job in self._state.active_jobs())
 
     def ended_before(self, wall_s: float) -> list[str]:
-        """Return the jobs that ended before a time, seconds since 1970."""
+        """Return the identifiers of jobs that ended before a time, in seconds since 1970."""
         return [
             job_id
             for job_id, job in self._state.job_by_id.items()
