--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -1,8 +1,8 @@
-"""Workers on which runs stall or crawl, and what moves away from them.
+"""Detects slow workers and stops stalled runs so that they restart elsewhere.
 
-Whether a worker is slow shows in all that runs there: how far each run has
-come since it was last reported, against how far it should have come. How much
-that says depends on how well run times of its queue are known.
+The slowness of a worker is estimated from all runs on it, as the ratio of expected
+to reported progress since an earlier report. Each run is weighted by how accurately
+run times of its queue are predicted.
 """
 
 import math
@@ -16,42 +16,42 @@
 from .state import SchedulerState
 from .workers import WorkerState
 
-# A worker this many times slower than expected is avoided; sound ones differ by less.
+# Workers that are slower than expected by this factor are avoided; healthy workers differ by less.
 _SLOW_THRESHOLD = 2.0
-# How certain that must be, in standard deviations.
+# Standard deviations by which the estimated slowness must exceed 1 to count.
 _MIN_Z_SCORE = 2.5
-# Progress that a run should have made for its report to tell, in percent: reports
-# are in whole percent, and a late start weighs less by then.
+# Expected progress below which a report is ignored, in percent: reports are rounded
+# to whole percent, and a delayed start distorts small values more.
 _MIN_EXPECTED_PERCENT = 5.0
-# What a run may make less for a late start or a late report, in seconds.
+# Time subtracted from a report's span for a delayed start or a delayed report, in seconds.
 _START_DELAY_ALLOWANCE_S = 0.15
-# Spread of a run's pace for other reasons than its length, in logarithms.
+# Standard deviation of the logarithm of a run's pace that the prediction of its run time does not explain.
 _RESIDUAL_SPREAD = 0.15
-# Bounds of what one run shows, in logarithms.
+# Bounds of the logarithm of slowness derived from a single run.
 _MIN_LOG_SLOWNESS = math.log(0.5)
 _MAX_LOG_SLOWNESS = math.log(20.0)
-# How much longer a worker that is slow or stalled is expected to be so, in seconds.
+# Minimum time for which a slow or stalled worker is expected to remain degraded, in seconds.
 _MIN_DEGRADATION_S = 4.0
-# A run that is so far behind is moved though its job ends in time without, in
-# seconds: most workers have recovered by then.
+# Delay above which a stalled run is moved even if its job would meet its target without
+# the move, in seconds. Most workers recover sooner.
 _MAX_DELAY_S = 8.0
-# What stopping a run and starting it again takes beside its work, in seconds.
+# Overhead of stopping a run and starting it again, in seconds.
 _RESTART_OVERHEAD_S = 0.6
-# All of a run's work, in percent.
+# Progress of a completed run, in percent.
 _FULL_PERCENT = 100.0
-# Above this share of its work a run is left alone, in percent.
+# Progress above which a run is no longer assessed or moved, in percent.
 _NEARLY_COMPLETE_PERCENT = 97.0
 
 
 class _Evidence(NamedTuple):
-    """What one run shows of its worker.
+    """Slowness of a worker as estimated from one run.
 
     Parameters
     ----------
     log_slowness : float
-        Logarithm of how many times slower than expected it was.
+        Natural logarithm of expected over reported progress.
     spread : float
-        Standard deviation of that.
+        Standard deviation of ``log_slowness``.
     """
 
     log_slowness: float
@@ -59,9 +59,9 @@
 
 
 def watch_progress(state: SchedulerState, now: Moment) -> None:
-    """Move runs that are stalled, and note which workers are slow: those are used last.
+    """Estimate the slowness of workers, which are then used last, and stop stalled runs.
 
-    A worker is assessed once after each of its surveys: nothing else shows it.
+    A worker is assessed once after each survey, since only surveys report progress.
     """
     surveyed, state.surveyed_workers = state.surveyed_workers, set()
     for worker_id in sorted(surveyed):
@@ -87,7 +87,7 @@
 
 
 def _estimate_slowness(evidence: list[_Evidence]) -> float:
-    """Return how many times slower than expected a worker is; 1 unless that is certain."""
+    """Return how many times slower than expected a worker is; 1 unless the deviation is significant."""
     weight = sum(1.0 / (each.spread * each.spread) for each in evidence)
     if not weight:
         return 1.0
@@ -96,7 +96,7 @@
 
 
 def _is_on_several_workers(state: SchedulerState, run: Run) -> bool:
-    """Tell whether a run is of a gang on several workers, any of which may hold it up."""
+    """Return whether a run belongs to a gang on several workers, any of which may delay it."""
     step = state.step_of(run.key)
     if step is None or not step.spec.gang:
         return False
@@ -104,23 +104,23 @@
 
 
 def _evidence(state: SchedulerState, run: Run) -> _Evidence | None:
-    """Return what a run's latest reports tell; nothing while they tell too little."""
+    """Return the slowness that a run's latest reports indicate; None if they are inconclusive."""
     step = state.step_of(run.key)
     if step is None or step.spec.lasting or run.phase is not RunPhase.RUNNING or run.percent > _NEARLY_COMPLETE_PERCENT:
         return None
     expected = (run.report_span_s - _START_DELAY_ALLOWANCE_S) * _FULL_PERCENT / run.work_s
     if expected < _MIN_EXPECTED_PERCENT:
         return None
-    # Half a percent is what rounding hides of the progress.
+    # Rounding to whole percent may hide half a percent of progress.
     log_slowness = math.log(expected / (run.report_gain + 0.5))
     spread = math.hypot(state.times.spread(step.job.queue.name), _RESIDUAL_SPREAD)
     return _Evidence(min(max(log_slowness, _MIN_LOG_SLOWNESS), _MAX_LOG_SLOWNESS), spread)
 
 
 def _stop_if_stalled(state: SchedulerState, step: StepState, run: Run, slowness: float, now: Moment) -> None:
-    """Stop a run that is stalled, if its job gains by that.
+    """Stop a stalled run if a restart elsewhere benefits its job.
 
-    One that crawls stays: its restart costs about what its job would gain.
+    Runs that are slow but still make progress are not stopped: a restart costs about as much as it gains.
     """
     if run.report_gain or not state.settings.has(Mechanism.MOVES_OF_STALLED):
         return
@@ -131,16 +131,16 @@
 
 
 class _MoveEstimate(NamedTuple):
-    """What becomes of a run where it is and elsewhere, all in seconds.
+    """Expected effect of moving a run to another worker, all in seconds.
 
     Parameters
     ----------
-    missed_s : float
-        By how much it is behind.
-    lost_s : float
-        Work that a move throws away.
-    stay_s, moved_s : float
-        Time to its end.
+    delay_s : float
+        How far the run is behind schedule.
+    repeated_s : float
+        Work that has to be repeated after a move.
+    remaining_s, remaining_if_moved_s : float
+        Expected time to the end of the run without and with a move.
     """
 
     delay_s: float
@@ -153,21 +153,21 @@
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     repeated_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
     delay_s = run.seen_s - run.started_s - (run.work_s - left_s)
-    # What has been slow for long will be for long.
+    # A degradation is expected to last at least as long again as it has lasted so far.
     degraded_s = max(_MIN_DEGRADATION_S, delay_s)
     remaining_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
     return _MoveEstimate(delay_s, repeated_s, remaining_s, _RESTART_OVERHEAD_S + left_s + repeated_s)
 
 
 def _is_far_behind(estimate: _MoveEstimate) -> bool:
-    """Tell whether a run is behind for so long that its worker will hardly recover soon."""
+    """Return whether a run is so far behind that its worker is unlikely to recover soon."""
     return (
         estimate.delay_s > _MAX_DELAY_S and estimate.remaining_if_moved_s + estimate.repeated_s < estimate.remaining_s
     )
 
 
 def _meets_target_only_if_moved(state: SchedulerState, step: StepState, estimate: _MoveEstimate, now: Moment) -> bool:
-    """Tell whether a job ends in time by a move alone."""
+    """Return whether a job meets its target time with a move, but not without one."""
     begun_s = begin_s(step.job.spec, step.occurrence)
     left_s = target_s(step.job, state.times) - (now.wall_s - begun_s) - downstream_s(step, state.times)
     return estimate.remaining_if_moved_s <= left_s < estimate.remaining_s
