--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -1,4 +1,4 @@
-"""Workers that leave, or that are given up once their leases have ended."""
+"""Drains workers that are about to leave, and gives up silent workers whose leases have ended."""
 
 from .clock import Moment
 from .crashes import worker_given_up
@@ -8,19 +8,19 @@
 from .successors import note_given_up
 from .workers import WorkerState
 
-# Time kept free when a leaving worker ends, in seconds.
+# Margin between the last possible stop and a worker's departure, in seconds.
 _LEAVE_MARGIN_S = 0.3
 
 
 def expire_leases(state: SchedulerState, now: Moment) -> None:
-    """Give up what ran on silent workers whose leases have ended."""
+    """Give up silent workers whose leases have ended, and remove their runs."""
     for worker in tuple(state.worker_by_id.values()):
         if worker.is_silent and now.steady_s > worker.lease.latest_end_s():
             _give_up(state, worker, now)
 
 
 def drain_leaving_workers(state: SchedulerState, now: Moment) -> None:
-    """Move what will not end before its worker leaves."""
+    """Stop runs that are not expected to end before their workers leave, so that they restart elsewhere."""
     for worker in state.worker_by_id.values():
         if worker.profile.draining and not worker.is_silent:
             _drain(state, worker, now)
@@ -38,8 +38,8 @@
 
 
 def _is_known_idle(state: SchedulerState, worker: WorkerState, now: Moment) -> bool:
-    """Tell whether nothing runs on a worker that was given up, and no late start can begin on its next incarnation."""
-    # One that was never contacted has no lease that could have ended.
+    """Return whether a worker that was given up runs nothing, and no delayed start can run on its next incarnation."""
+    # A worker without a known lease was never contacted: no lease of it has ended.
     if not worker.lease.latest_end_s() or worker.worker_id in state.awaited_incarnations:
         return False
     return not any(sent_s + worker.late_order_s > now.steady_s for sent_s in worker.unanswered_starts.values())
