--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -1,8 +1,9 @@
-"""Tasks that the next incarnation of a worker may have begun, by a start that the incarnation before did not answer.
+"""Holds back tasks that the next incarnation of a worker may run because of an unacknowledged start.
 
-They wait until that incarnation has said what runs there: only then is it known, and only
-from its first answer on does it refuse what was meant for the incarnation before. Where the
-incarnation before was given up in silence, a next one may have begun without having answered.
+A start order that one incarnation did not answer may be carried out by the next one. The task
+waits until the next incarnation has listed its runs: only the list shows whether the task runs
+there, and only after its first answer does that incarnation refuse orders for the previous one.
+If the previous incarnation was given up in silence, the next one may run before it has answered.
 """
 
 from collections.abc import Iterator
@@ -19,11 +20,11 @@
     Parameters
     ----------
     state : SchedulerState
-        What is believed.
+        State of the scheduler, which must still hold the runs of ``worker_id``.
     worker_id, successor_id : str
-        The incarnation that is over, its runs still known, and the one that answered.
+        The incarnation that is over and the one that answered.
     until_s : float
-        Until when a late start may run there if nothing is reported, steady clock.
+        Steady time until which a delayed start may run on the successor if it reports nothing.
     """
     for step in tuple(_steps_with_unacknowledged_starts(state, worker_id)):
         step.awaited_until_by_worker.pop(worker_id, None)
@@ -33,7 +34,10 @@
 
 
 def note_given_up(state: SchedulerState, worker: WorkerState) -> None:
-    """Record that an incarnation was given up in silence, its runs known; what waits for its list already waits on."""
+    """Record that an incarnation was given up in silence, before its runs are removed.
+
+    Steps that already wait for its list continue to wait.
+    """
     worker_id = worker.worker_id
     if not worker.late_order_s or worker_id in state.given_up_unacknowledged:
         return
@@ -44,14 +48,14 @@
 
 
 def wait_for_survey(state: SchedulerState, step: StepState, worker_id: str, until_s: float) -> None:
-    """Let tasks of a step wait for the list of an incarnation; what waits already does so until its own time."""
+    """Make tasks of a step wait until an incarnation has listed its runs; an existing deadline stays in force."""
     step.awaited_until_by_worker.setdefault(worker_id, until_s)
     state.awaited_incarnations.add(worker_id)
     state.unkept_assignments.add(part_of(step.key(0)))
 
 
 def is_waiting_for_survey(state: SchedulerState, step: StepState, now: Moment) -> bool:
-    """Tell whether tasks of a step may run on an incarnation of a worker that has not said what runs there."""
+    """Return whether tasks of a step may run on an incarnation that has not listed its runs yet."""
     awaited = step.awaited_until_by_worker
     if not awaited:
         return False
@@ -64,13 +68,13 @@
 
 
 def _is_survey_pending(state: SchedulerState, worker_id: str) -> bool:
-    """Tell whether an incarnation goes on, as far as is known, and has not said what runs there."""
+    """Return whether an incarnation may still be alive and has not listed its runs yet."""
     worker = state.worker_by_id.get(worker_id)
     return worker_id in state.given_up_unacknowledged or (worker is not None and not worker.is_surveyed)
 
 
 def _steps_with_unacknowledged_starts(state: SchedulerState, worker_id: str) -> Iterator[StepState]:
-    """Yield the steps with a start that an incarnation did not answer, and those that wait for it themselves."""
+    """Yield the steps with a start that an incarnation did not acknowledge, and the steps that wait for its list."""
     worker = state.worker_by_id.get(worker_id)
     for run in worker.run_by_key.values() if worker is not None else ():
         step = state.step_of(run.key)
@@ -82,9 +86,10 @@
 
 
 def _steps_with_unanswered_starts(state: SchedulerState, worker_id: str) -> Iterator[tuple[StepState, float]]:
-    """Yield the steps whose tasks wait, or run on an incarnation that is over, with tries of a start without an answer.
+    """Yield the steps with unanswered attempts to start a task on an incarnation that is over.
 
-    What became of other tries does not matter. Each comes with the time until when such a try may still run.
+    Only tasks that are pending or assigned to that incarnation count; the outcome of other attempts does not matter.
+    Each step comes with the steady time until which such an attempt may still be carried out.
     """
     worker = state.worker_by_id.get(worker_id)
     if worker is None:
