--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -1,4 +1,4 @@
-"""What a worker's list of runs changes: progress, adoption, losses."""
+"""Applies a worker's list of runs: updates progress, adopts runs and detects lost ones."""
 
 from collections.abc import Sequence
 
@@ -13,7 +13,7 @@
 from .state import SchedulerState
 from .workers import WorkerState
 
-# All of a run's work, in percent.
+# Progress of a completed run, in percent.
 _FULL_PERCENT = 100.0
 
 
@@ -24,20 +24,20 @@
     requested_s: float,
     now: Moment,
 ) -> None:
-    """Compare a worker's list of runs with what is believed.
+    """Reconcile the scheduler's state with the runs that a worker lists.
 
     Parameters
     ----------
     state : SchedulerState
-        What is believed.
+        State of the scheduler.
     worker : WorkerState
-        The worker.
+        The worker that was surveyed.
     running : sequence of RunSeen
-        What it lists; ends have been taken in before.
-    begun_s : float
-        When the list was asked for: it says nothing of later starts.
+        Runs on the worker; the ends that it listed must have been applied before.
+    requested_s : float
+        Steady time of the request: the list does not cover starts after it.
     now : Moment
-        The present.
+        Current time.
     """
     worker.is_surveyed = True
     worker.silent_since_s = None
@@ -57,8 +57,8 @@
 
 
 def _is_known_absent(run: Run, requested_s: float) -> bool:
-    """Tell whether a run is not on a worker whose list, asked for at a time, leaves it out."""
-    # A worker that has answered takes no orders of previous owners.
+    """Return whether a run that is missing from a list requested at a given time is certainly not on the worker."""
+    # A worker refuses orders of previous owners once it has answered this one.
     return run.is_inherited or (run.is_confirmed and run.seen_s < requested_s)
 
 
@@ -83,11 +83,11 @@
 
 
 def _adopt(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> Run | None:
-    """Take over a run that a previous owner started, or stop one that is not wanted."""
+    """Adopt a run that a previous owner started, or stop one that is not needed."""
     step = state.step_of(seen.key)
     unexpected = Run(seen.key, seen.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0)
     if worker.is_lapsed:
-        # The next owner may have read that nothing runs there.
+        # The next owner may already have read from the store that nothing runs on this worker.
         state.stop(unexpected, 'lease had ended')
         return None
     if step is None or step.job.has_ended or seen.key.task_index in step.done:
@@ -101,7 +101,7 @@
     started_s = now.steady_s - work_s * seen.percent / _FULL_PERCENT
     run = Run(seen.key, seen.run, worker.worker_id, effective_demand(step), started_s, work_s)
     run.phase = RunPhase.RUNNING
-    # When it began is not known: it tells nothing of its worker.
+    # Its start time is unknown, so the worker's pace can't be learned from it.
     run.has_reported_pace = True
     run.went_on()
     run.rank = rank_of_queue(step.job.queue)
