--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -1,8 +1,8 @@
-"""Run times and paces of workers, learned from what was seen.
+"""Learns run times of queues and paces of workers from observed runs.
 
-Owners' estimates are off by far more than workers differ, so a worker's pace is
-learned from tasks that are alike: tasks of one step do much the same work, and
-what one takes longer than the others is its worker's doing.
+Job owners' estimates are far less accurate than the differences between workers. A worker's
+pace is therefore learned by comparing tasks of the same step: they do much the same work,
+so differences between their run times are attributed to their workers.
 """
 
 import math
@@ -14,22 +14,28 @@
 from .runs import Run
 from .workers import WorkerState
 
-# Expected run time where the owner gave no estimate, in seconds.
+# Run time assumed for tasks without an estimate, in seconds.
 _DEFAULT_ESTIMATE_S = 5.0
-# Share of its work from which a run's pace tells how long it will take, in
-# percent: reports are in whole percent and a second apart.
+# Progress from which a run's pace predicts its run time, in percent: reports are
+# rounded to whole percent and arrive one second apart.
 _CONCLUSIVE_PERCENT = 20.0
-# Other runs of a step that tell what is usual.
+# Minimum number of other runs of a step from which a median run time is taken.
 _MIN_PEERS = 2
-# Place, in the order of their paces, of the worker that counts as sound.
+# Quantile of the workers' paces that serves as the pace of a healthy worker.
 _REFERENCE_QUANTILE = 0.25
 
 
 class RunTimes:
-    """Learned run times, by queue."""
+    """Predicts run times of tasks from estimates and from observed runs of their queues.
+
+    Parameters
+    ----------
+    is_learning : bool
+        Whether observed runs correct the estimates.
+    """
 
     def __init__(self, *, is_learning: bool = True) -> None:
-        """Start by trusting the estimates."""
+        """Start without observations: predictions equal the estimates."""
         self._is_learning = is_learning
         self._model_by_queue: dict[str, EstimateModel] = {}
 
@@ -40,12 +46,12 @@
         return estimate_s if model is None else model.expect_s(estimate_s)
 
     def spread(self, queue: str) -> float:
-        """Return how far run times of a queue spread around what is expected, in logarithms."""
+        """Return the standard deviation of the logarithm of observed over expected run times of a queue."""
         model = self._model_by_queue.get(queue)
         return PRIOR_SPREAD if model is None else model.spread
 
     def observe(self, queue: str, step: StepSpec, ran_s: float) -> None:
-        """Take in a run that succeeded from its beginning."""
+        """Record the run time of a task that succeeded without resuming from a checkpoint."""
         if not self._is_learning or ran_s <= 0:
             return
         model = self._model_by_queue.setdefault(queue, EstimateModel())
@@ -53,11 +59,10 @@
 
 
 def observe_pace(step: StepState, run: Run, worker: WorkerState, elapsed_s: float, share: float) -> None:
-    """Take in that a run has done a share of its work in a time.
+    """Update the pace of a worker from the share of its work that a run did in a time.
 
-    A run tells once, when enough of it is done, and only if it began at the
-    beginning of its work and alone: members of a gang are as fast as the
-    slowest of them.
+    Each run counts once, when enough of its work is done. Runs that resumed from a checkpoint
+    don't count, nor do members of a gang, which are all as fast as the slowest of them.
     """
     if run.has_reported_pace or run.began_from_checkpoint or step.spec.gang or step.spec.lasting:
         return
@@ -72,7 +77,7 @@
 
 
 def update_slowdowns(workers: Collection[WorkerState]) -> None:
-    """Hold each worker's pace against that of a sound one."""
+    """Update each worker's slowdown relative to the pace of a healthy worker."""
     ratios = sorted(worker.pace.log_ratio for worker in workers)
     reference = ratios[int(len(ratios) * _REFERENCE_QUANTILE)] if ratios else 0.0
     for worker in workers:
@@ -80,7 +85,7 @@
 
 
 def _median_log_time(step: StepState) -> float | None:
-    """Return the logarithm of the time that a task of a step usually takes."""
+    """Return the median logarithm of the run times of a step; None if too few are known."""
     ordered = sorted(step.log_times)
     if len(ordered) < _MIN_PEERS:
         return None
