--- a/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/estimates.py
@@ -1,32 +1,32 @@
-"""How far an owner's estimates predict the run times of a queue.
+"""Predicts the run times of a queue from job owners' estimates by online linear regression.
 
-Estimates of some queues are off by 1.2 times, of others by 3 and more: there the
-usual time of the queue predicts more than the estimate. Logarithms of times are
-held against logarithms of estimates; how steep the line through them is says how
-much of an estimate to believe.
+Estimates of some queues are off by a factor of 1.2, those of others by 3 and more. For the
+latter, the mean run time of the queue is a better prediction than the estimate. The logarithm
+of the run time is regressed on the logarithm of the estimate: the slope is the weight that
+the estimate gets.
 """
 
 import math
 
-# Weight of the belief that estimates predict everything, in squared logarithms.
+# Weight of the prior that the slope is 1, as a sum of squared logarithms.
 _PRIOR_SUM_OF_SQUARES = 0.3
-# Weight of the belief that they are right in the mean, in observations.
+# Weight of the prior that estimates are unbiased, in observations.
 _PRIOR_OBSERVATIONS = 3.0
-# Share of what is known that stays with each observation: recent work predicts more.
+# Factor by which older observations decay with each new one: recent runs predict better.
 _DECAY = 0.98
-# Spread of times around what is expected, in logarithms, before any was seen.
+# Standard deviation of the logarithm of observed over expected run times, before any observation.
 PRIOR_SPREAD = 1.0
-# Bounds of one observation, so that a single odd run moves little.
+# Limit of the logarithm of observed over estimated run time, so that an outlier has little effect.
 _MAX_LOG_RATIO = 3.0
 
 
 class EstimateModel:
-    """What is known of one queue's estimates."""
+    """Regression of the run times of one queue on their estimates, both as logarithms."""
 
     __slots__ = ('_mean_x', '_mean_y', '_total_weight', '_sxx', '_sxy', '_syy')
 
     def __init__(self) -> None:
-        """Start by believing every estimate."""
+        """Start without observations: predictions equal the estimates."""
         self._total_weight = 0.0
         self._mean_x = 0.0
         self._mean_y = 0.0
@@ -35,14 +35,14 @@
         self._syy = 0.0
 
     def observe(self, estimate_s: float, ran_s: float, weight: float) -> None:
-        """Take in the run time of a task that was estimated.
+        """Update the regression with the run time of a task.
 
         Parameters
         ----------
         estimate_s, ran_s : float
-            What the owner guessed, and what was seen.
+            Estimated and observed run time.
         weight : float
-            Share of one observation: tasks of a step tell the same.
+            Weight of this observation; all tasks of a step together weigh 1, since they are alike.
         """
         log_x = math.log(estimate_s)
         log_ratio = math.log(ran_s) - log_x
@@ -59,12 +59,12 @@
 
     @property
     def slope(self) -> float:
-        """How much longer tasks take, in logarithms, for each step of the estimate."""
+        """Slope of the logarithm of the run time over the logarithm of the estimate."""
         return (self._sxy + _PRIOR_SUM_OF_SQUARES) / (self._sxx + _PRIOR_SUM_OF_SQUARES)
 
     @property
     def spread(self) -> float:
-        """Spread of times around what is expected, in logarithms."""
+        """Standard deviation of the logarithm of observed over expected run times."""
         slope = self.slope
         residual_squares = self._syy - 2 * slope * self._sxy + slope * slope * self._sxx
         return math.sqrt((max(residual_squares, 0.0) + PRIOR_SPREAD**2) / (self._total_weight + 1.0))
