--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -1,7 +1,7 @@
-"""What one pass of decisions leaves for the next, so that it need not look again.
+"""Caches failed searches for room between scheduling passes, so that they are not repeated.
 
-A step that found no room finds none until some worker has more of it: room
-shrinks by starts and reservations and grows only by what is noted here.
+A step that found no room can't find any until the room of some worker grows. Starts and
+reservations only reduce room; the cache records every event that may increase it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,20 +12,22 @@
 
 
 class SearchKey(NamedTuple):
-    """What steps that need the same places have in common.
+    """Key of a search for room; steps with the same key have the same placement constraints.
 
     Parameters
     ----------
     demand : Resources
-        What one task counts against a worker's room.
+        Resources that one task takes from a worker's room.
     rank : int
         Rank of the step.
-    service, label, data_rack : str
-        Where it may run and where it is fast.
+    service, label : str
+        Service and label of the workers on which tasks may run.
+    data_rack : str
+        Rack of the data, where tasks run fastest.
     is_gang, in_one_rack, may_go_far : bool
-        How its tasks may be spread.
+        Whether tasks start all together, need a single rack, and may run away from their data.
     owner : StepKey or None
-        The step, where its places are its own.
+        The step itself if its constraints can't be shared with other steps.
     """
 
     demand: Resources
@@ -40,18 +42,18 @@
 
 
 class FailedSearches:
-    """Searches that failed, and where room has grown since.
+    """Cache of failed searches for room and for runs to preempt.
 
     Attributes
     ----------
     grown_workers : set of str
-        Workers whose free resources have grown.
-    full_at_s : float
-        When all steps were last considered, steady clock.
+        Workers whose room may have grown since the last pass.
+    last_full_pass_s : float
+        Steady time of the last pass that considered all steps.
     """
 
     def __init__(self) -> None:
-        """Start without any search."""
+        """Start with an empty cache."""
         self.grown_workers: set[str] = set()
         self.last_full_pass_s = float('-inf')
         self._eligible_workers: set[str] = set()
@@ -59,9 +61,10 @@
         self._failed_victim_searches: dict[tuple[SearchKey, int], tuple[int, float]] = {}
 
     def begin_full_pass(self, now_s: float) -> None:
-        """Note that all steps are considered now, and forget what is too old or one step's own.
+        """Record the start of a pass that considers all steps, and discard entries that no longer apply.
 
-        Steps come and go, so that what is kept under their names would grow.
+        Failed searches for victims are outdated by then. Entries of single steps are discarded because
+        they would accumulate as steps come and go.
         """
         self.last_full_pass_s = now_s
         self._failed_victim_searches.clear()
@@ -72,31 +75,31 @@
         }
 
     def is_known_to_lack_room(self, search_key: SearchKey, task_count: int) -> bool:
-        """Tell whether so many tasks, or fewer, found no room."""
+        """Return whether a search for this number of tasks, or for fewer, found no room."""
         return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
     def record_no_room(self, search_key: SearchKey, task_count: int) -> None:
-        """Note that so many tasks found no room."""
+        """Record that a search for this number of tasks found no room."""
         self._failed_placements[search_key] = min(task_count, self._failed_placements.get(search_key, task_count))
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, task_count: int, since_s: float) -> bool:
-        """Tell whether a search for victims failed since a time."""
+        """Return whether a search for victims for this many tasks, or fewer, failed after a given time."""
         failed = self._failed_victim_searches.get((search_key, rank))
         return failed is not None and failed[0] <= task_count and failed[1] > since_s
 
     def record_no_victims(self, search_key: SearchKey, rank: int, task_count: int, now_s: float) -> None:
-        """Note a search for victims that failed."""
+        """Record a failed search for victims."""
         self._failed_victim_searches[search_key, rank] = (task_count, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
-        """Forget failed searches where room has grown since.
+        """Discard failed searches that could succeed because the room of some worker has grown.
 
         Parameters
         ----------
         free_by_id : mapping
-            Free resources of the workers that may take starts now.
+            Free resources by worker, for the workers that currently accept starts.
         freed : iterable of str
-            Workers on which reservations were dropped.
+            Workers on which reservations were released.
         """
         eligible = set(free_by_id)
         grown = (self.grown_workers | set(freed)) & eligible | eligible - self._eligible_workers
