--- a/packages/kernel/dahliaarch_kernel/scheduler/mechanisms.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/mechanisms.py
@@ -1,26 +1,26 @@
-"""Mechanisms that decide, each of which can be switched off to see what it is worth."""
+"""Scheduling mechanisms, each of which can be disabled to measure its effect."""
 
 from enum import StrEnum
 
 
 class Mechanism(StrEnum):
-    """Names of the mechanisms, as settings have them."""
+    """Names of the scheduling mechanisms, as used in settings."""
 
-    #: Room is kept for gangs that wait.
+    #: Reserve room for waiting gangs.
     GANG_RESERVATIONS = 'gang_reservations'
-    #: Room that is kept may be used by more urgent work.
+    #: Let more urgent work use reserved room.
     RESERVATION_RANKS = 'reservation_ranks'
-    #: Workers' paces are learned, and urgent work takes fast workers.
+    #: Learn the paces of workers, and prefer fast workers for urgent work.
     WORKER_PACES = 'worker_paces'
-    #: Owners' estimates are corrected by what was seen.
+    #: Correct job owners' estimates by observed run times.
     LEARNED_TIMES = 'learned_times'
-    #: Runs that are stalled are moved.
+    #: Move stalled runs to other workers.
     MOVES_OF_STALLED = 'moves_of_stalled'
-    #: Workers on which tasks failed or crawled of late are used last.
+    #: Use workers last on which tasks recently failed or were slow.
     SUSPECTS_LAST = 'suspects_last'
-    #: Work waits for a place near its data or in one rack.
+    #: Let work wait for room near its data or within one rack.
     NEAR_FIRST = 'near_first'
-    #: The cheapest runs are stopped for urgent work.
+    #: Preempt the cheapest runs for urgent work.
     CHEAP_VICTIMS = 'cheap_victims'
-    #: Full workers are filled first.
+    #: Fill the fullest workers first.
     PACKING = 'packing'
