--- a/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/objectives.py
@@ -1,4 +1,4 @@
-"""When the owner of a job wants it to end, and how long it may still wait."""
+"""Target times of jobs, and the slack that remains to meet them."""
 
 from ..workload import JobSpec
 from .job_state import JobState, StepState
@@ -6,7 +6,7 @@
 
 
 def critical_path_s(job: JobState, times: RunTimes) -> float:
-    """Return the expected time of the longest chain of steps."""
+    """Return the expected duration of a job's critical path, its longest chain of dependent steps."""
     end_offsets: list[float] = []
     for step in job.spec.steps:
         start_offset_s = max((end_offsets[earlier] for earlier in step.after), default=0.0)
@@ -15,28 +15,28 @@
 
 
 def target_s(job: JobState, times: RunTimes) -> float:
-    """Return the time in which the owner wants an occurrence to end."""
+    """Return the target time in which an occurrence is to end, counted from when it came due."""
     return job.queue.stretch * critical_path_s(job, times) + job.queue.target_latency_s
 
 
 def remaining_s(step: StepState, times: RunTimes) -> float:
-    """Return the expected time from a step's start to its occurrence's end."""
+    """Return the expected time from the start of a step to the end of its occurrence."""
     return max(times.expect_s(step.job.queue.name, step.spec), 0.0) + downstream_s(step, times)
 
 
 def slack_s(step: StepState, times: RunTimes, wall_s: float) -> float:
-    """Return how long a step may still wait and end in time; negative when it is too late."""
+    """Return how long a step can still wait and meet its target; negative if it can't meet it."""
     left_s = target_s(step.job, times) - (wall_s - begin_s(step.job.spec, step.occurrence))
     return left_s - remaining_s(step, times)
 
 
 def begin_s(spec: JobSpec, occurrence: int) -> float:
-    """Return when an occurrence came up, seconds since 1970."""
+    """Return the due time of an occurrence, or else when its job was accepted, in seconds since 1970."""
     return spec.due_s(occurrence) or spec.accepted_s
 
 
 def downstream_s(step: StepState, times: RunTimes) -> float:
-    """Return the longest expected chain of steps that wait for this one."""
+    """Return the expected duration of the longest chain of steps that depend on this one."""
     longest_s = 0.0
     steps = step.job.spec.steps
     end_offset_by_step: dict[int, float] = {step.number: 0.0}
