--- a/packages/kernel/dahliaarch_kernel/scheduler/settings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/settings.py
@@ -1,4 +1,4 @@
-"""Limits and weights of the scheduler."""
+"""Settings of the scheduler."""
 
 from typing import NamedTuple
 
@@ -6,31 +6,31 @@
 
 
 class SchedulerSettings(NamedTuple):
-    """Limits and weights, all times in seconds.
+    """Settings of the scheduler, all times in seconds.
 
     Parameters
     ----------
     far_factor : float
-        How many times as long a task takes away from its data or its gang.
+        Factor by which a task takes longer away from its data or from its gang.
     stop_timeout_s : float
-        Longest time that stopping a run takes.
+        Maximum time that stopping a run takes.
     early_s : float
-        How much before its due time an occurrence may start.
+        How long before its due time an occurrence may start.
     stall_s : float
-        How long a run's progress may stall before it is moved.
+        How long the progress of a run may stall before the run is moved.
     reserve_after_s : float
-        How long a gang waits before room is kept for it.
+        How long a gang waits before room is reserved for it.
     far_after_share : float
-        Share of its own work time that a task waits for the rack of its data
-        before it starts elsewhere.
+        How long a task waits for the rack of its data before it may start
+        elsewhere, as a share of its expected run time.
     reservations : int
-        Gangs for which room is kept at one time.
+        Maximum number of gangs for which room is reserved at one time.
     idle_wait_s : float
-        How long ready work of a job that has nothing running yields to what is
-        reserved for others, and waits for a near place, while less than half of
-        the pool is in use.
+        How long ready work of a job with nothing running respects the reservations of
+        others and waits for room near its data or its gang, while less than half
+        of the pool is in use.
     without : frozenset of Mechanism
-        Mechanisms that are switched off.
+        Mechanisms that are disabled.
     """
 
     far_factor: float = 3.0
@@ -44,5 +44,5 @@
     without: frozenset[Mechanism] = frozenset()
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is switched on."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.without
