--- a/packages/kernel/dahliaarch_kernel/scheduler/variables.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/variables.py
@@ -1,4 +1,4 @@
-"""What policy programs see of the scheduler's beliefs."""
+"""Variables that the scheduler passes to policy programs."""
 
 from ..policies import CandidateVariables, JobVariables, VictimVariables
 from ..workload import Resources, weighted_cores
@@ -9,25 +9,25 @@
 from .standing import Standing
 from .workers import WorkerState
 
-# A worker this many times as slow as expected is used last.
+# Workers that are slower than expected by more than this factor are used last.
 _SUSPECT_SLOWNESS = 2.0
-# A worker on which tasks take this many times as long counts as slow: half way
-# between the sound workers of the users' sites and the 1.3 times slower ones.
+# Slowdown above which a worker counts as slow: half way between the healthy workers
+# of the users' sites and those that are slower by a factor of 1.3.
 _SLOW_FACTOR = 1.12
 
 
 def is_suspect(worker: WorkerState) -> bool:
-    """Tell whether tasks failed or crawled on a worker of late."""
+    """Return whether tasks recently failed or were much slower than expected on a worker."""
     return bool(worker.failed_jobs) or worker.slowness > _SUSPECT_SLOWNESS
 
 
 def is_slow(worker: WorkerState) -> bool:
-    """Tell whether tasks take longer on a worker than on sound ones."""
+    """Return whether tasks take longer on a worker than on healthy ones."""
     return worker.slowdown > _SLOW_FACTOR
 
 
 def job_variables(step: StepState, order: Standing, times: RunTimes, wall_s: float) -> JobVariables:
-    """Return what a priority program sees of a step."""
+    """Return the variables of a step for a priority program."""
     count = len(step.pending)
     return JobVariables(
         urgent=step.job.queue.priority == 0,
@@ -42,7 +42,7 @@
 
 
 def candidate_variables(worker: WorkerState, step: StepState, free: Resources) -> CandidateVariables:
-    """Return what placement programs see of a worker."""
+    """Return the variables of a worker for placement programs."""
     capacity = worker.profile.capacity
     return CandidateVariables(
         free=float(free.accelerators),
@@ -54,7 +54,7 @@
 
 
 def victim_variables(run: Run, step: StepState, members: int, now_s: float) -> VictimVariables:
-    """Return what a reclaim program sees of a run."""
+    """Return the variables of a run for a reclaim program."""
     return VictimVariables(
         ran_s=max(0.0, now_s - run.started_s),
         left_s=run.left_s(now_s),
