--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -1,4 +1,4 @@
-"""Workers, as the scheduler believes them to be."""
+"""Workers, their leases and their state as known to the scheduler."""
 
 from typing import NamedTuple
 
@@ -6,33 +6,34 @@
 from .pace import Pace
 from .runs import Run
 
-# A worker's steady clock may be 2% slow; the rest covers rounding.
+# Bound of how much faster the owner's clock may be: a worker's steady clock may be 2% slow,
+# and the rest covers rounding.
 _MAX_CLOCK_RATIO = 1.03
-# How long a worker gets no starts after it has refused one, in seconds, and the
-# longest such time: it doubles with each refusal in a row.
+# Initial and maximum time without starts after a refusal, in seconds: the time doubles
+# with each consecutive refusal.
 _INITIAL_BACKOFF_S = 1.0
 _MAX_BACKOFF_S = 4.0
 
 
 class WorkerProfile(NamedTuple):
-    """What a worker publishes about itself.
+    """Profile that a worker publishes.
 
     Parameters
     ----------
     worker_id : str
         Identifier of this incarnation of the worker.
     service : str
-        Service that it belongs to.
+        Service to which it belongs.
     domain : str
         Failure domain.
     capacity : Resources
-        What it has in all.
+        Total resources.
     labels : tuple of str
-        Its kind and its rack.
+        Kind and rack.
     draining : bool
         Whether it is about to leave.
     leaves_in_s : float or None
-        Least time left to it while it drains.
+        Minimum time until it leaves, while it is draining.
     """
 
     worker_id: str
@@ -45,7 +46,7 @@
 
 
 class Lease:
-    """Bounds the end of a worker's lease on the owner's clock."""
+    """Computes an upper bound of the end of a worker's lease on the owner's clock."""
 
     def __init__(self) -> None:
         """Start without a reading of the worker's clock."""
@@ -60,7 +61,7 @@
         return self._clock_s is not None
 
     def read(self, clock_s: float, now_s: float) -> None:
-        """Take a reading of the worker's clock, not older than ``now_s``."""
+        """Record a reading of the worker's clock, which shows at least ``clock_s`` at ``now_s``."""
         if self._clock_s is None or clock_s >= self._clock_s:
             self._clock_s = clock_s
             self._read_at_s = now_s
@@ -72,19 +73,19 @@
         return self._clock_s + (now_s - self._read_at_s) + hold_s
 
     def sent(self, until_s: float) -> None:
-        """Record an end that was sent, answered or not: it is never shortened."""
+        """Record a lease end that was sent, whether it was answered or not; the lease is never shortened."""
         self._until_s = max(self._until_s, until_s)
 
     def assume(self, latest_end_s: float) -> None:
-        """Assume a lease given by a previous owner up to ``latest_end_s``."""
+        """Assume that a previous owner granted a lease until ``latest_end_s`` at the latest."""
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
     def assume_held(self, hold_s: float, now_s: float) -> None:
-        """Assume that a previous owner gave a lease of ``hold_s`` until now."""
+        """Assume that a previous owner granted leases of ``hold_s`` until now."""
         self.assume(now_s + hold_s * _MAX_CLOCK_RATIO)
 
     def latest_end_s(self) -> float:
-        """Return the steady time after which nothing runs there any more."""
+        """Return the steady time after which the lease has ended and nothing runs on the worker any more."""
         if self._clock_s is None:
             return self._assumed_until_s
         left_s = max(0.0, self._until_s - self._clock_s)
@@ -92,9 +93,9 @@
 
 
 class RefusalBackoff:
-    """Keeps starts away from a worker that refuses those of several jobs, for longer after each refusal in a row.
+    """Exponential backoff for a worker that refuses starts of several jobs.
 
-    One job alone may be at fault itself.
+    Refusals of a single job don't count, since that job itself may be the cause.
     """
 
     def __init__(self) -> None:
@@ -106,7 +107,7 @@
     def refused(self, job_id: str, now_s: float) -> None:
         """Record that the worker refused a start of a job."""
         self._job_ids.add(job_id)
-        # Starts that were on their way together are refused together.
+        # Starts in flight at the same time are refused together and count as one refusal.
         if now_s < self._until_s or len(self._job_ids) == 1:
             return
         self._refusals += 1
@@ -119,17 +120,17 @@
         self._until_s = float('-inf')
 
     def is_over(self, now_s: float) -> bool:
-        """Tell whether the worker may be asked again."""
+        """Return whether starts may be sent to the worker again."""
         return now_s >= self._until_s
 
 
 class WorkerState:
-    """One incarnation of a worker.
+    """State of one incarnation of a worker.
 
     Parameters
     ----------
     profile : WorkerProfile
-        What it publishes.
+        Its published profile.
 
     Attributes
     ----------
@@ -138,65 +139,67 @@
     """
 
     def __init__(self, profile: WorkerProfile) -> None:
-        """Start empty and not surveyed yet."""
+        """Start without runs, before the first survey."""
         self.profile = profile
         self.worker_id = profile.worker_id
         self.lease = Lease()
         self.run_by_key: dict[TaskKey, Run] = {}
         self.used = NO_RESOURCES
-        # Runs of tasks under which workers crashed: most workers have none.
+        # Runs of tasks under which workers crashed; most workers have none.
         self._suspects: list[Run] = []
         self.is_listed = True
-        # False until it has published what it has: another incarnation may be of another kind.
+        # False until this incarnation has published its profile, which may differ from that of the previous one.
         self.has_published_profile = True
-        # False while its entry is another writer's and names no worker.
+        # False while its entry was overwritten by another writer and describes no worker.
         self.has_readable_entry = True
         self.is_surveyed = False
-        # Whether ends there may never be listed: it gets one start at a time, which is stopped at once, until one is.
+        # Whether the worker may never list ends of runs. Until it has listed one, it gets one start at a time, which is
+        # stopped immediately.
         self.may_hide_ends = False
-        # How long from now a start that got no answer may still run on a later incarnation under its name, in seconds;
-        # 0 where later incarnations have other names, and refuse it.
+        # How long a later incarnation of the same name may still carry out an unanswered start, in seconds, counted
+        # from the last attempt to send it or, if that is unknown, from now. It is 0 if later incarnations have other
+        # names, and so refuse the start.
         self.late_order_s = 0.0
-        # When the last try of a start was sent that got no answer, whatever became of others; steady clock.
+        # Steady time of the last unanswered attempt to send a start, whatever the outcome of other attempts.
         self.unanswered_starts: dict[TaskKey, float] = {}
-        # Since when it does not answer, steady clock.
+        # Steady time since which the worker has not answered.
         self.silent_since_s: float | None = None
-        # Whether its last lease has ended in silence, so that nothing runs there. The next owner may
-        # have been told so: it gets no starts until that is taken back.
+        # Whether its last lease ended while it was silent, so that nothing runs there. The store may already say so to
+        # the next owner: the worker gets no starts until that record is withdrawn.
         self.is_lapsed = False
         self.leaves_at_s: float | None = None
         self.failed_jobs: set[str] = set()
         self.slowness = 1.0
         self.pace = Pace()
         self.refusal_backoff = RefusalBackoff()
-        # Times as long as tasks take here as on a sound worker, as far as known.
+        # Ratio of run times on this worker to those on a healthy worker, as estimated so far.
         self.slowdown = 1.0
 
     @property
     def is_overfull(self) -> bool:
-        """Whether it holds more than it has: its room has shrunk."""
+        """Whether its runs hold more than its capacity, because the capacity has shrunk."""
         return min(self.free) < 0
 
     @property
     def rack(self) -> str:
-        """Rack: the label after the kind."""
+        """Rack, which is the second label; empty if there is none."""
         labels = self.profile.labels
         return labels[1] if len(labels) > 1 else ''
 
     @property
     def free(self) -> Resources:
-        """What no run holds."""
+        """Resources that no run holds."""
         return self.profile.capacity.minus(self.used)
 
     def add_run(self, run: Run) -> None:
-        """Let a run hold its demand."""
+        """Add a run and reserve its demand."""
         self.run_by_key[run.key] = run
         if run.isolation_s:
             self._suspects.append(run)
         self.used = self.used.plus(run.demand)
 
     def remove_run(self, run: Run) -> None:
-        """Free what a run held."""
+        """Remove a run and release its demand."""
         if self.run_by_key.get(run.key) is run:
             del self.run_by_key[run.key]
             self.used = self.used.minus(run.demand)
@@ -204,15 +207,14 @@
                 self._suspects.remove(run)
 
     def count_runs_of_other_jobs(self, run: Run) -> int:
-        """Return how many runs of other jobs are here beside a run."""
+        """Return the number of runs on this worker that belong to other jobs than the given run."""
         return sum(other.job_id != run.key.job_id for other in self.run_by_key)
 
     @property
     def takes_starts(self) -> bool:
-        """Tell whether a start may be ordered here.
+        """Whether starts may be sent to the worker.
 
-        A worker whose entry is missing but which answers is alive: entries
-        lapse while the store is away.
+        A worker that answers is alive even if its entry is missing: entries expire while the store is unavailable.
         """
         if not self.has_published_profile or not self.has_readable_entry or self.profile.draining:
             return False
@@ -220,17 +222,17 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether it does not answer."""
+        """Whether the worker has stopped answering."""
         return self.silent_since_s is not None
 
     @property
     def is_reporting(self) -> bool:
-        """Whether it has reported what runs there, and still answers."""
+        """Whether the worker has listed its runs and still answers."""
         return self.is_surveyed and not self.is_silent
 
     @property
     def has_isolated_run(self) -> bool:
-        """Whether an isolated run is here: nothing starts beside it."""
+        """Whether the worker has an isolated run, beside which nothing may start."""
         return any(run.is_isolated for run in self._suspects)
 
 
