--- a/packages/kernel/dahliaarch_kernel/scheduler/variables.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/variables.py
@@ -28,15 +28,15 @@
 
 def job_variables(step: StepState, standing: Standing, times: RunTimes, wall_s: float) -> JobVariables:
     """Return the variables of a step for a priority program."""
-    count = len(step.pending)
+    pending_count = len(step.pending)
     return JobVariables(
         urgent=step.job.queue.priority == 0,
         guaranteed=standing.rank == 0,
         waited_s=max(0.0, wall_s - standing.begun_s),
         expected_s=times.expect_s(step.job.queue.name, step.spec),
         slack_s=slack_s(step, times, wall_s),
-        slots=float(count * step.spec.demand.accelerators),
-        members=float(count),
+        slots=float(pending_count * step.spec.demand.accelerators),
+        members=float(pending_count),
         gang=step.spec.gang,
     )
 
