--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -14,7 +14,7 @@
 from .settings import SchedulerSettings
 from .standing import Standing
 from .variables import is_slow, victim_variables
-from .workers import by_rack, WorkerState
+from .workers import group_by_rack, WorkerState
 
 # Room that others have reserved is taken, however short the work that asks.
 _FOR_GOOD = float('inf')
@@ -113,7 +113,7 @@
         able = [worker for worker in everywhere if is_near(worker, step)]
         groups = [able]
         if step.spec.gang and step.spec.same_rack:
-            groups = list(by_rack(able).values())
+            groups = list(group_by_rack(able).values())
         search = _Search(step, count, room, standing)
         plans = [self._plan_with_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -236,7 +236,7 @@
         return any(run.is_isolated for run in self._suspects)
 
 
-def by_rack(workers: list[WorkerState]) -> dict[str, list[WorkerState]]:
+def group_by_rack(workers: list[WorkerState]) -> dict[str, list[WorkerState]]:
     """Group workers by rack."""
     workers_by_rack: dict[str, list[WorkerState]] = {}
     for worker in workers:
