--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -334,7 +334,7 @@
         """Request that the progress of jobs is stored again after a failed write."""
         self._state.dirty_jobs |= job_ids
 
-    def pending_in(self, queue: str) -> int:
+    def count_pending_jobs(self, queue: str) -> int:
         """Return the number of jobs of a queue of which nothing has started."""
         return sum(job.queue.name == queue and not job.has_begun for job in self._state.active_jobs())
 
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -109,7 +109,7 @@
     async def _(self, message: AskPending) -> Message | None:
         if self.owner is None or not self.owner.is_ready:
             return PendingReply(is_ready=False)
-        return PendingReply(True, self.owner.scheduler.pending_in(message.queue))
+        return PendingReply(True, self.owner.scheduler.count_pending_jobs(message.queue))
 
     @_reply.register
     async def _(self, message: JobUpdate) -> None:
