--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -338,7 +338,7 @@
         """Return the number of jobs of a queue of which nothing has started."""
         return sum(job.queue.name == queue and not job.has_begun for job in self._state.active_jobs())
 
-    def ended_before(self, wall_s: float) -> list[str]:
+    def jobs_ended_before(self, wall_s: float) -> list[str]:
         """Return the identifiers of jobs that ended before a time, in seconds since 1970."""
         return [
             job_id
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -185,7 +185,7 @@
 
     async def remove_ended(self, before_wall_s: float) -> None:
         """Remove the jobs that ended before a time, many in one transaction."""
-        old = self._scheduler.ended_before(before_wall_s)
+        old = self._scheduler.jobs_ended_before(before_wall_s)
         for first in range(0, len(old), _MOST_REMOVED):
             await self._remove(old[first : first + _MOST_REMOVED])
 
