--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -58,7 +58,7 @@
     spread: float
 
 
-def watch_progress(state: SchedulerState, now: Moment) -> None:
+def assess_workers(state: SchedulerState, now: Moment) -> None:
     """Estimate the slowness of workers, which are then used last, and stop stalled runs.
 
     A worker is assessed once after each survey, since only surveys report progress.
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -11,7 +11,7 @@
 from .effects import Effect
 from .ends import take_in_end
 from .events import EndKind, LossCause, Note, RunEnd, RunSeen
-from .health import watch_progress
+from .health import assess_workers
 from .job_state import ENDED_PHASES, JobPhase, JobState
 from .learning import update_slowdowns
 from .leaving import drain_leaving_workers, expire_leases
@@ -289,7 +289,7 @@
         for job in state.active_jobs():
             job.open_due(now.wall_s)
         drain_leaving_workers(state, now)
-        watch_progress(state, now)
+        assess_workers(state, now)
         if state.settings.has(Mechanism.WORKER_PACES):
             update_slowdowns(state.worker_by_id.values())
         Pass(state, now).run()
