--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -10,7 +10,7 @@
 from .gates import job_gate, step_gate
 from .job_state import StepState
 from .mechanisms import Mechanism
-from .memory import Signature
+from .memory import SearchKey
 from .objectives import begin_s
 from .openings import earliest_reservation
 from .placement import has_near_capacity, place, Placement, PlacementRequest, without_failed
@@ -72,14 +72,14 @@
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
         self._memory = state.memory
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
-        self._is_full = now.steady_s - self._memory.full_at_s >= _FULL_PASS_INTERVAL_S
+        self._is_full = now.steady_s - self._memory.last_full_pass_s >= _FULL_PASS_INTERVAL_S
 
     def run(self) -> None:
         """Place every step that fits, in order of sort keys."""
         self._drop_stale_reservations()
-        self._memory.renew(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
+        self._memory.invalidate(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
         if self._is_full:
-            self._memory.begin_full(self._now.steady_s)
+            self._memory.begin_full_pass(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
             self._state.stalls.update(self._state.active_jobs(), share, self._now.steady_s)
             self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
@@ -121,7 +121,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._memory.is_blocked(self._signature(request), request.min_task_count)
+        return not self._memory.is_known_to_lack_room(self._signature(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's sort key, recomputed periodically."""
@@ -221,18 +221,18 @@
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
-    def _place(self, request: PlacementRequest, signature: Signature) -> Placement:
+    def _place(self, request: PlacementRequest, signature: SearchKey) -> Placement:
         """Return a placement, unless one for an equal signature failed since free capacity last grew."""
         wanted = request.min_task_count
-        if self._memory.is_blocked(signature, wanted):
+        if self._memory.is_known_to_lack_room(signature, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
         # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
-            self._memory.block(signature, wanted)
+            self._memory.record_no_room(signature, wanted)
         return placement
 
-    def _signature(self, request: PlacementRequest) -> Signature:
+    def _signature(self, request: PlacementRequest) -> SearchKey:
         """Return a signature that is equal for all steps with the same placement requirements.
 
         It is unique for steps that failed or were refused on a worker, that are overdue,
@@ -249,7 +249,7 @@
             request.is_overdue,
         )
         is_unique = any(unique_reasons) or self._reservations.has(step)
-        return Signature(
+        return SearchKey(
             effective_demand(step),
             request.rank,
             step.job.queue.service,
@@ -305,13 +305,13 @@
         rank = request.rank
         signature = self._signature(request)
         since_s = self._now.steady_s - _VICTIM_SEARCH_INTERVAL_S
-        if self._memory.lacks_victims(signature, rank, wanted, since_s):
+        if self._memory.is_known_to_lack_victims(signature, rank, wanted, since_s):
             return None
         plan = self._preemption.plan(
             step, wanted, self._free_capacity, request.sort_key, allows_far_workers=request.allows_far_workers
         )
         if plan is None:
-            self._memory.note_no_victims(signature, rank, wanted, self._now.steady_s)
+            self._memory.record_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
     def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/preemption.py
@@ -14,7 +14,7 @@
 from .settings import SchedulerSettings
 from .standing import SortKey
 from .variables import is_slow, victim_variables
-from .workers import by_rack, WorkerState
+from .workers import group_by_rack, WorkerState
 
 # End of the preempting work, for the check against reservations: they are respected
 # however short the work is.
@@ -117,7 +117,7 @@
         near = [worker for worker in candidates if is_near(worker, step)]
         groups = [near]
         if step.spec.gang and step.spec.same_rack:
-            groups = list(by_rack(near).values())
+            groups = list(group_by_rack(near).values())
         search = _Search(step, count, free_capacity, sort_key)
         plans = [self._plan_preferring_fast(search, group) for group in groups]
         found = [plan for plan in plans if plan is not None]
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -10,7 +10,7 @@
 from .job_state import JobPhase, JobState, StepState
 from .learning import RunTimes
 from .mechanisms import Mechanism
-from .memory import PassMemory
+from .memory import FailedSearches
 from .progress import Crash
 from .reservations import Reservations
 from .runs import Run, RunPhase
@@ -142,7 +142,7 @@
         self.unguarded_services: frozenset[str] = frozenset()
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
-        self.memory = PassMemory()
+        self.memory = FailedSearches()
         self.stalls = StallTracker()
         self._runs_started = 0
 
@@ -192,7 +192,9 @@
 
     def note_loss(self, worker: WorkerState, run: Run, cause: LossCause) -> None:
         """Record that a run was lost without a reported end, for the log."""
-        self.notes.append(RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.beside(run)))
+        self.notes.append(
+            RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.count_runs_of_other_jobs(run))
+        )
 
     def start(self, step: StepState, task_index: int, run: Run) -> None:
         """Add a run and order its start."""
