--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -24,7 +24,7 @@
 from .contact import Contact, FAILURES_UNTIL_SILENT
 from .link_settings import LinkContext
 from .messages import RunNever, WorkerSilent, WorkerSurveyed
-from .orders import Asked, WorkerOrders
+from .orders import SurveyStart, WorkerOrders
 
 
 class WorkerLink:
@@ -154,7 +154,7 @@
     async def _survey_once(self) -> None:
         context = self._context
         settings = context.settings
-        begun = Asked(context.clock(), self._contact.clock_s)
+        begun = SurveyStart(context.clock(), self._contact.clock_s)
         wait_s = self._wait_s()
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
@@ -313,7 +313,7 @@
             with anyio.move_on_after(min(pause_s, self._hold_s / _SURVEYS_IN_A_LEASE)):
                 await self.acknowledged_more.wait()
 
-    def _take_in(self, survey: Survey, begun: Asked) -> None:
+    def _take_in(self, survey: Survey, begun: SurveyStart) -> None:
         ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -29,7 +29,7 @@
 _SHORTEST_POLL_S = 0.02
 
 
-class Asked(NamedTuple):
+class SurveyStart(NamedTuple):
     """When a survey was begun.
 
     Parameters
@@ -84,7 +84,7 @@
             return until_s
         return min(max(until_s - clock_s, 0.0) + _SHORTEST_POLL_S, _LONGEST_POLL_S)
 
-    def settle(self, survey: Survey, begun: Asked) -> None:
+    def settle(self, survey: Survey, begun: SurveyStart) -> None:
         """Tell of runs that a survey rules out: they never are there.
 
         Those are runs whose stop was acknowledged before, and starts without an
