--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -154,7 +154,7 @@
     async def _survey_once(self) -> None:
         context = self._context
         settings = context.settings
-        begun = SurveyStart(context.clock(), self._contact.clock_s)
+        survey_start = SurveyStart(context.clock(), self._contact.clock_s)
         wait_s = self._wait_s()
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
@@ -179,7 +179,7 @@
             # Until this answer a previous owner may have given the longest lease.
             self._lease.assume_held(settings.hold_s, context.clock())
         self._contact.read_clock(survey.clock_s)
-        self._take_in(survey, begun)
+        self._take_in(survey, survey_start)
         if until_s is not None or not context.may_order():
             # One that renewed no lease, the first and any after a failure, is followed
             # at once by one that does.
@@ -313,7 +313,7 @@
             with anyio.move_on_after(min(pause_s, self._hold_s / _SURVEYS_IN_A_LEASE)):
                 await self.acknowledged_more.wait()
 
-    def _take_in(self, survey: Survey, begun: SurveyStart) -> None:
+    def _take_in(self, survey: Survey, survey_start: SurveyStart) -> None:
         ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
@@ -322,8 +322,8 @@
         if self._numbers or (self.is_trusted_at_work and survey.running):
             self._contact.may_hide_ends = False
         self._is_idle = not survey.running
-        self._orders.settle(survey, begun)
-        self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, begun.at_s))
+        self._orders.settle(survey, survey_start)
+        self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, survey_start.at_s))
         self.listed = max(self.listed, last_end)
 
     async def _survey_failed(self, error: Exception) -> None:
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -84,7 +84,7 @@
             return until_s
         return min(max(until_s - clock_s, 0.0) + _SHORTEST_POLL_S, _LONGEST_POLL_S)
 
-    def settle(self, survey: Survey, begun: SurveyStart) -> None:
+    def settle(self, survey: Survey, survey_start: SurveyStart) -> None:
         """Tell of runs that a survey rules out: they never are there.
 
         Those are runs whose stop was acknowledged before, and starts without an
@@ -93,14 +93,14 @@
         listed = {(run.key, run.run) for run in survey.running}
         over = {(each.end.key, each.end.run) for each in survey.ended}
         for stopped, at_s in tuple(self._stopped_at_by_run.items()):
-            if at_s > begun.at_s or stopped in listed:
+            if at_s > survey_start.at_s or stopped in listed:
                 continue
             del self._stopped_at_by_run[stopped]
             if stopped not in over:
                 was_unanswered = self._unanswered.discard(stopped)
                 self._tell_never(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
         # Another incarnation of which it is not known begins with a lower reading.
-        asked_at_s = min(begun.clock_s, survey.clock_s)
+        asked_at_s = min(survey_start.clock_s, survey.clock_s)
         for run in self._unanswered.settle(listed | over, asked_at_s):
             self._tell_never(run, EndKind.REFUSED)
 
