--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -303,7 +303,7 @@
         longest_s = settings.idle_wait_s if self._is_idle else settings.wait_s
         if self._contact.may_hide_ends:
             longest_s = _HIDDEN_END_POLL_S
-        return min(longest_s, self._orders.settles_in_s())
+        return min(longest_s, self._orders.max_survey_wait_s())
 
     async def _pause(self, survey: Survey) -> None:
         """Wait until ends are kept: a survey before that lists them again at once."""
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -76,7 +76,7 @@
         """Whether a survey has to tell what became of a run that was stopped."""
         return bool(self._stopped_at_by_run)
 
-    def settles_in_s(self) -> float:
+    def max_survey_wait_s(self) -> float:
         """Return how long the next survey should wait at most, to tell soon what became of unanswered starts."""
         clock_s = self._contact.lease_until(0.0) or 0.0
         until_s = self._unanswered.first_until_s
