--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -322,7 +322,7 @@
         if self._numbers or (self.is_trusted_at_work and survey.running):
             self._contact.may_hide_ends = False
         self._is_idle = not survey.running
-        self._orders.settle(survey, survey_start)
+        self._orders.reconcile(survey, survey_start)
         self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, survey_start.at_s))
         self.listed = max(self.listed, last_end)
 
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -84,7 +84,7 @@
             return until_s
         return min(max(until_s - clock_s, 0.0) + _SHORTEST_POLL_S, _LONGEST_POLL_S)
 
-    def settle(self, survey: Survey, survey_start: SurveyStart) -> None:
+    def reconcile(self, survey: Survey, survey_start: SurveyStart) -> None:
         """Tell of runs that a survey rules out: they never are there.
 
         Those are runs whose stop was acknowledged before, and starts without an
@@ -101,7 +101,7 @@
                 self._tell_never(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
         # Another incarnation of which it is not known begins with a lower reading.
         asked_at_s = min(survey_start.clock_s, survey.clock_s)
-        for run in self._unanswered.settle(listed | over, asked_at_s):
+        for run in self._unanswered.reconcile(listed | over, asked_at_s):
             self._tell_never(run, EndKind.REFUSED)
 
     def _tell_never(self, run: RunId, kind: EndKind) -> None:
--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -44,7 +44,7 @@
         self._late.discard(run)
         return self._until_s_by_run.pop(run, None) is not None
 
-    def settle(self, known: Collection[RunId], asked_at_s: float) -> list[RunId]:
+    def reconcile(self, known: Collection[RunId], asked_at_s: float) -> list[RunId]:
         """Take in a list of runs; return the starts that it rules out.
 
         Parameters
