--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -98,13 +98,13 @@
             del self._stopped_at_by_run[stopped]
             if stopped not in over:
                 was_unanswered = self._unanswered.discard(stopped)
-                self._tell_never(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
+                self._report_never_ran(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
         # Another incarnation of which it is not known begins with a lower reading.
         asked_at_s = min(survey_start.clock_s, survey.clock_s)
         for run in self._unanswered.reconcile(listed | over, asked_at_s):
-            self._tell_never(run, EndKind.REFUSED)
+            self._report_never_ran(run, EndKind.REFUSED)
 
-    def _tell_never(self, run: RunId, kind: EndKind) -> None:
+    def _report_never_ran(self, run: RunId, kind: EndKind) -> None:
         under_way = self._stops_under_way.get(run)
         if under_way is not None:
             under_way.cancel()
