--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -44,7 +44,7 @@
     clock_s: float
 
 
-class _Outcome(Enum):
+class _StartOutcome(Enum):
     """What became of a start."""
 
     BEGUN = auto()
@@ -117,11 +117,11 @@
             log_event('start_unacknowledged', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             self._contact.context.metrics.orders.labels('start', 'unacknowledged').inc()
             await self.stop(effect.key, effect.run)
-        elif outcome is not _Outcome.NEVER and self._contact.may_hide_ends:
+        elif outcome is not _StartOutcome.NEVER and self._contact.may_hide_ends:
             log_event('worker_probed', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             await self.stop(effect.key, effect.run)
 
-    async def _try_starts(self, effect: StartRun, payload: str) -> _Outcome:
+    async def _try_starts(self, effect: StartRun, payload: str) -> _StartOutcome:
         """Order a start until it is answered or known from a survey; tell what became of it."""
         settings = self._contact.context.settings
         run = effect.key, effect.run
@@ -130,7 +130,7 @@
         for number in range(settings.order_tries):
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=number > 0):
-                    return _Outcome.OUTCOME_UNKNOWN if number else _Outcome.NEVER
+                    return _StartOutcome.OUTCOME_UNKNOWN if number else _StartOutcome.NEVER
                 # Later tries carry no later end: a survey after it rules all of them out.
                 until_s = until_s or self._contact.lease_until(settings.start_hold_s) or 0.0
                 if not number:
@@ -141,7 +141,7 @@
             if status is not None:
                 return self._start_answered(effect, status, is_retry=number > 0)
             self._unanswered.note_late(run)
-        return _Outcome.OUTCOME_UNKNOWN
+        return _StartOutcome.OUTCOME_UNKNOWN
 
     def _may_send(self, effect: StartRun, ordered_s: float, *, is_retry: bool) -> bool:
         """Tell whether a try of a start may be sent, now that its turn has come."""
@@ -194,7 +194,7 @@
         except WORKER_FAILURES:
             return None
 
-    def _start_answered(self, effect: StartRun, status: OrderStatus, *, is_retry: bool) -> _Outcome:
+    def _start_answered(self, effect: StartRun, status: OrderStatus, *, is_retry: bool) -> _StartOutcome:
         """Take in the answer to a try of a start; tell what became of the start."""
         context = self._contact.context
         context.metrics.orders.labels('start', status.value).inc()
@@ -202,14 +202,14 @@
             self._unanswered.discard((effect.key, effect.run))
         if status is OrderStatus.DONE:
             context.post(StartAcknowledged(self._contact.worker_id, effect.key, effect.run))
-            return _Outcome.BEGUN
+            return _StartOutcome.BEGUN
         log_event('start_refused', worker=self._contact.worker_id, task=effect.key, run=effect.run, status=status)
         if status is OrderStatus.FENCED:
             context.fenced()
         if is_retry:
-            return _Outcome.OUTCOME_UNKNOWN
+            return _StartOutcome.OUTCOME_UNKNOWN
         context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
-        return _Outcome.NEVER
+        return _StartOutcome.NEVER
 
     async def _start_once(self, order: StartOrder, timeout_s: float) -> OrderStatus:
         self._contact.lease.sent(order.lease_until_s)
