--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -47,7 +47,7 @@
 class _StartOutcome(Enum):
     """What became of a start."""
 
-    BEGUN = auto()
+    STARTED = auto()
     NEVER = auto()
     OUTCOME_UNKNOWN = auto()
 
@@ -202,7 +202,7 @@
             self._unanswered.discard((effect.key, effect.run))
         if status is OrderStatus.DONE:
             context.post(StartAcknowledged(self._contact.worker_id, effect.key, effect.run))
-            return _StartOutcome.BEGUN
+            return _StartOutcome.STARTED
         log_event('start_refused', worker=self._contact.worker_id, task=effect.key, run=effect.run, status=status)
         if status is OrderStatus.FENCED:
             context.fenced()
