--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -48,7 +48,7 @@
     """What became of a start."""
 
     STARTED = auto()
-    NEVER = auto()
+    NOT_STARTED = auto()
     OUTCOME_UNKNOWN = auto()
 
 
@@ -117,7 +117,7 @@
             log_event('start_unacknowledged', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             self._contact.context.metrics.orders.labels('start', 'unacknowledged').inc()
             await self.stop(effect.key, effect.run)
-        elif outcome is not _StartOutcome.NEVER and self._contact.may_hide_ends:
+        elif outcome is not _StartOutcome.NOT_STARTED and self._contact.may_hide_ends:
             log_event('worker_probed', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             await self.stop(effect.key, effect.run)
 
@@ -130,7 +130,7 @@
         for number in range(settings.order_tries):
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=number > 0):
-                    return _StartOutcome.OUTCOME_UNKNOWN if number else _StartOutcome.NEVER
+                    return _StartOutcome.OUTCOME_UNKNOWN if number else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
                 until_s = until_s or self._contact.lease_until(settings.start_hold_s) or 0.0
                 if not number:
@@ -209,7 +209,7 @@
         if is_retry:
             return _StartOutcome.OUTCOME_UNKNOWN
         context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
-        return _StartOutcome.NEVER
+        return _StartOutcome.NOT_STARTED
 
     async def _start_once(self, order: StartOrder, timeout_s: float) -> OrderStatus:
         self._contact.lease.sent(order.lease_until_s)
