--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -49,7 +49,7 @@
 
     STARTED = auto()
     NOT_STARTED = auto()
-    OUTCOME_UNKNOWN = auto()
+    UNKNOWN = auto()
 
 
 class WorkerOrders:
@@ -130,7 +130,7 @@
         for number in range(settings.order_tries):
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=number > 0):
-                    return _StartOutcome.OUTCOME_UNKNOWN if number else _StartOutcome.NOT_STARTED
+                    return _StartOutcome.UNKNOWN if number else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
                 until_s = until_s or self._contact.lease_until(settings.start_hold_s) or 0.0
                 if not number:
@@ -141,7 +141,7 @@
             if status is not None:
                 return self._start_answered(effect, status, is_retry=number > 0)
             self._unanswered.note_late(run)
-        return _StartOutcome.OUTCOME_UNKNOWN
+        return _StartOutcome.UNKNOWN
 
     def _may_send(self, effect: StartRun, ordered_s: float, *, is_retry: bool) -> bool:
         """Tell whether a try of a start may be sent, now that its turn has come."""
@@ -207,7 +207,7 @@
         if status is OrderStatus.FENCED:
             context.fenced()
         if is_retry:
-            return _StartOutcome.OUTCOME_UNKNOWN
+            return _StartOutcome.UNKNOWN
         context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
         return _StartOutcome.NOT_STARTED
 
