--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -26,7 +26,7 @@
 # How long a survey waits at a worker at most while a start has no answer, in seconds.
 _MAX_POLL_S = 0.5
 # The same at least, and how much later than the end of a lease it is answered.
-_SHORTEST_POLL_S = 0.02
+_MIN_POLL_S = 0.02
 
 
 class SurveyStart(NamedTuple):
@@ -82,7 +82,7 @@
         until_s = self._unanswered.first_until_s
         if until_s == math.inf:
             return until_s
-        return min(max(until_s - clock_s, 0.0) + _SHORTEST_POLL_S, _MAX_POLL_S)
+        return min(max(until_s - clock_s, 0.0) + _MIN_POLL_S, _MAX_POLL_S)
 
     def reconcile(self, survey: Survey, survey_start: SurveyStart) -> None:
         """Tell of runs that a survey rules out: they never are there.
