--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -69,7 +69,7 @@
         # Runs whose stop was acknowledged, by the time of that: once a later
         # survey does not list them they are certainly not there.
         self._stopped_at_by_run: dict[RunId, float] = {}
-        self._stops_under_way: dict[RunId, anyio.CancelScope] = {}
+        self._pending_stops: dict[RunId, anyio.CancelScope] = {}
 
     @property
     def has_unresolved_stops(self) -> bool:
@@ -105,7 +105,7 @@
             self._report_never_ran(run, EndKind.REFUSED)
 
     def _report_never_ran(self, run: RunId, kind: EndKind) -> None:
-        under_way = self._stops_under_way.get(run)
+        under_way = self._pending_stops.get(run)
         if under_way is not None:
             under_way.cancel()
         self._contact.context.post(RunNever(self._contact.worker_id, *run, kind))
@@ -161,7 +161,7 @@
         takes_none = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
         if self._queue.leaves_unanswered and waited_s > self._contact.context.settings.turn_wait_s:
             takes_none = True
-        if not takes_none and (effect.key, effect.run) not in self._stops_under_way:
+        if not takes_none and (effect.key, effect.run) not in self._pending_stops:
             return False
         kind = EndKind.REFUSED if takes_none else EndKind.STOPPED
         self._contact.context.post(RunNever(self._contact.worker_id, effect.key, effect.run, kind))
@@ -219,14 +219,14 @@
 
     async def stop(self, key: TaskKey, run: int) -> None:
         """Order a stop until it is acknowledged; the run can't start there after."""
-        if (key, run) in self._stops_under_way:
+        if (key, run) in self._pending_stops:
             return
         with anyio.CancelScope() as scope:
-            self._stops_under_way[key, run] = scope
+            self._pending_stops[key, run] = scope
             try:
                 await self._stop_until_acknowledged(key, run)
             finally:
-                del self._stops_under_way[key, run]
+                del self._pending_stops[key, run]
 
     async def _stop_until_acknowledged(self, key: TaskKey, run: int) -> None:
         while not await self._try_stop(key, run):
