--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -112,7 +112,7 @@
 
     async def start(self, effect: StartRun, payload: str) -> None:
         """Order a start until it is answered; take it back when it stays unacknowledged."""
-        outcome = await self._try_starts(effect, payload)
+        outcome = await self._start_with_retries(effect, payload)
         if (effect.key, effect.run) in self._unanswered:
             log_event('start_unacknowledged', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             self._contact.context.metrics.orders.labels('start', 'unacknowledged').inc()
@@ -121,7 +121,7 @@
             log_event('worker_probed', worker=self._contact.worker_id, task=effect.key, run=effect.run)
             await self.stop(effect.key, effect.run)
 
-    async def _try_starts(self, effect: StartRun, payload: str) -> _StartOutcome:
+    async def _start_with_retries(self, effect: StartRun, payload: str) -> _StartOutcome:
         """Order a start until it is answered or known from a survey; tell what became of it."""
         settings = self._contact.context.settings
         run = effect.key, effect.run
