--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -148,7 +148,7 @@
         context = self._contact.context
         if is_retry:
             return (effect.key, effect.run) in self._unanswered and context.may_order()
-        if self._is_needless(effect, context.clock() - ordered_s):
+        if self._is_obsolete(effect, context.clock() - ordered_s):
             return False
         if not context.may_order():
             # Another instance may own the pool.
@@ -156,7 +156,7 @@
             return False
         return True
 
-    def _is_needless(self, effect: StartRun, waited_s: float) -> bool:
+    def _is_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Tell whether a start need not be sent any more since it waited for its turn: it never runs then."""
         takes_none = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
         if self._queue.leaves_unanswered and waited_s > self._contact.context.settings.turn_wait_s:
