--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -158,12 +158,12 @@
 
     def _is_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Tell whether a start need not be sent any more since it waited for its turn: it never runs then."""
-        takes_none = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
+        is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
         if self._queue.leaves_unanswered and waited_s > self._contact.context.settings.turn_wait_s:
-            takes_none = True
-        if not takes_none and (effect.key, effect.run) not in self._pending_stops:
+            is_unavailable = True
+        if not is_unavailable and (effect.key, effect.run) not in self._pending_stops:
             return False
-        kind = EndKind.REFUSED if takes_none else EndKind.STOPPED
+        kind = EndKind.REFUSED if is_unavailable else EndKind.STOPPED
         self._contact.context.post(RunNever(self._contact.worker_id, effect.key, effect.run, kind))
         return True
 
