--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -139,7 +139,7 @@
                 status = await self._note_try(order, settings.answer_s if number else settings.order_s)
             self._queue.leaves_unanswered = status is None
             if status is not None:
-                return self._start_answered(effect, status, is_retry=number > 0)
+                return self._handle_start_reply(effect, status, is_retry=number > 0)
             self._unanswered.note_late(run)
         return _StartOutcome.UNKNOWN
 
@@ -194,7 +194,7 @@
         except WORKER_FAILURES:
             return None
 
-    def _start_answered(self, effect: StartRun, status: OrderStatus, *, is_retry: bool) -> _StartOutcome:
+    def _handle_start_reply(self, effect: StartRun, status: OrderStatus, *, is_retry: bool) -> _StartOutcome:
         """Take in the answer to a try of a start; tell what became of the start."""
         context = self._contact.context
         context.metrics.orders.labels('start', status.value).inc()
