--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -127,19 +127,19 @@
         run = effect.key, effect.run
         ordered_s = self._contact.context.clock()
         until_s = 0.0
-        for number in range(settings.order_tries):
+        for attempt in range(settings.order_tries):
             async with self._queue.turn(effect):
-                if not self._may_send(effect, ordered_s, is_retry=number > 0):
-                    return _StartOutcome.UNKNOWN if number else _StartOutcome.NOT_STARTED
+                if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
+                    return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
                 until_s = until_s or self._contact.lease_until(settings.start_hold_s) or 0.0
-                if not number:
+                if not attempt:
                     self._unanswered.add(run, until_s)
                 order = StartOrder(effect.key, effect.run, payload, until_s, effect.checkpoint, effect.ticket)
-                status = await self._note_try(order, settings.answer_s if number else settings.order_s)
+                status = await self._note_try(order, settings.answer_s if attempt else settings.order_s)
             self._queue.leaves_unanswered = status is None
             if status is not None:
-                return self._handle_start_reply(effect, status, is_retry=number > 0)
+                return self._handle_start_reply(effect, status, is_retry=attempt > 0)
             self._unanswered.note_late(run)
         return _StartOutcome.UNKNOWN
 
