--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -91,17 +91,17 @@
         answer whose lease had ended.
         """
         listed = {(run.key, run.run) for run in survey.running}
-        over = {(each.end.key, each.end.run) for each in survey.ended}
+        ended = {(each.end.key, each.end.run) for each in survey.ended}
         for stopped, at_s in tuple(self._stopped_at_by_run.items()):
             if at_s > survey_start.at_s or stopped in listed:
                 continue
             del self._stopped_at_by_run[stopped]
-            if stopped not in over:
+            if stopped not in ended:
                 was_unanswered = self._unanswered.discard(stopped)
                 self._report_never_ran(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
         # Another incarnation of which it is not known begins with a lower reading.
         asked_at_s = min(survey_start.clock_s, survey.clock_s)
-        for run in self._unanswered.reconcile(listed | over, asked_at_s):
+        for run in self._unanswered.reconcile(listed | ended, asked_at_s):
             self._report_never_ran(run, EndKind.REFUSED)
 
     def _report_never_ran(self, run: RunId, kind: EndKind) -> None:
