--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -79,7 +79,7 @@
         answer, self.answer = self.answer, anyio.Event()
         answer.set()
 
-    def over(self, error: WorkerReplacedError) -> None:
+    def report_ended(self, error: WorkerReplacedError) -> None:
         """Tell that this incarnation of the worker has ended for certain, and who answered in its place."""
         if error.successor is None:
             self.context.post(WorkerOver(self.worker_id))
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -328,7 +328,7 @@
 
     async def _survey_failed(self, error: Exception) -> None:
         if isinstance(error, WorkerReplacedError):
-            self._contact.over(error)
+            self._contact.report_ended(error)
             return
         self._contact.failures += 1
         if self._contact.failures == 1:
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -187,7 +187,7 @@
         try:
             return await self._start_once(order, timeout_s)
         except WorkerReplacedError as error:
-            self._contact.over(error)
+            self._contact.report_ended(error)
             return OrderStatus.UNHEALTHY
         except WorkerUnreachableError:
             return OrderStatus.UNHEALTHY
@@ -243,7 +243,7 @@
         try:
             reply = await self._contact.session.stop(key, run, timeout_s=context.settings.answer_s)
         except WorkerReplacedError as error:
-            self._contact.over(error)
+            self._contact.report_ended(error)
             return True
         except WORKER_FAILURES:
             return False
