--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -71,7 +71,7 @@
         """Whether surveys have failed often enough."""
         return self.failures >= FAILURES_UNTIL_SILENT
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Note that a survey was answered."""
         if self.is_silent:
             log_event('worker_answers_again', worker=self.worker_id, failures=self.failures)
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -173,7 +173,7 @@
         if isinstance(survey, OrderStatus):
             await self._survey_refused(survey)
             return
-        self._contact.answered()
+        self._contact.record_answer()
         self.last_contact_s = context.clock()
         if not self._lease.has_reading:
             # Until this answer a previous owner may have given the longest lease.
