--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -93,7 +93,7 @@
             return None
         return self.lease.until(hold_s, self.context.clock())
 
-    def read_clock(self, clock_s: float | None) -> None:
+    def record_clock(self, clock_s: float | None) -> None:
         """Take a reading of the worker's clock from an answer."""
         if clock_s is not None:
             self.clock_s = clock_s
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -178,7 +178,7 @@
         if not self._lease.has_reading:
             # Until this answer a previous owner may have given the longest lease.
             self._lease.assume_held(settings.hold_s, context.clock())
-        self._contact.read_clock(survey.clock_s)
+        self._contact.record_clock(survey.clock_s)
         self._take_in(survey, survey_start)
         if until_s is not None or not context.may_order():
             # One that renewed no lease, the first and any after a failure, is followed
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -214,7 +214,7 @@
     async def _start_once(self, order: StartOrder, timeout_s: float) -> OrderStatus:
         self._contact.lease.sent(order.lease_until_s)
         reply = await self._contact.session.start(order, timeout_s=timeout_s)
-        self._contact.read_clock(reply.clock_s)
+        self._contact.record_clock(reply.clock_s)
         return reply.status
 
     async def stop(self, key: TaskKey, run: int) -> None:
@@ -248,7 +248,7 @@
         except WORKER_FAILURES:
             return False
         context.metrics.orders.labels('stop', reply.status.value).inc()
-        self._contact.read_clock(reply.clock_s)
+        self._contact.record_clock(reply.clock_s)
         if reply.status is OrderStatus.FENCED:
             context.fenced()
         if reply.status is OrderStatus.UNHEALTHY:
