--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -87,7 +87,7 @@
             self.context.post(WorkerReplaced(self.worker_id, error.successor))
         self.scope.cancel()
 
-    def lease_until(self, hold_s: float) -> float | None:
+    def lease_end(self, hold_s: float) -> float | None:
         """Return the end, on the worker's clock, of a lease from now; nothing before its clock was read."""
         if not self.lease.has_reading:
             return None
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -159,7 +159,7 @@
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
         may_renew = context.may_order() and not self._contact.failures
-        until_s = self._contact.lease_until(self._hold_s) if may_renew else None
+        until_s = self._contact.lease_end(self._hold_s) if may_renew else None
         try:
             survey = await self._ask(until_s, wait_s)
         except WorkerUnreachableError as error:
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -78,7 +78,7 @@
 
     def max_survey_wait_s(self) -> float:
         """Return how long the next survey should wait at most, to tell soon what became of unanswered starts."""
-        clock_s = self._contact.lease_until(0.0) or 0.0
+        clock_s = self._contact.lease_end(0.0) or 0.0
         until_s = self._unanswered.first_until_s
         if until_s == math.inf:
             return until_s
@@ -132,7 +132,7 @@
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
-                until_s = until_s or self._contact.lease_until(settings.start_hold_s) or 0.0
+                until_s = until_s or self._contact.lease_end(settings.start_hold_s) or 0.0
                 if not attempt:
                     self._unanswered.add(run, until_s)
                 order = StartOrder(effect.key, effect.run, payload, until_s, effect.checkpoint, effect.ticket)
