--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -159,17 +159,17 @@
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
         may_renew = context.may_order() and not self._contact.failures
-        until_s = self._contact.lease_end(self._hold_s) if may_renew else None
+        lease_end_s = self._contact.lease_end(self._hold_s) if may_renew else None
         try:
-            survey = await self._ask(until_s, wait_s)
+            survey = await self._ask(lease_end_s, wait_s)
         except WorkerUnreachableError as error:
             await self._survey_failed(error)
             return
         except WORKER_FAILURES as error:
-            self._lease.sent(until_s or 0.0)
+            self._lease.sent(lease_end_s or 0.0)
             await self._survey_failed(error)
             return
-        self._lease.sent(until_s or 0.0)
+        self._lease.sent(lease_end_s or 0.0)
         if isinstance(survey, OrderStatus):
             await self._survey_refused(survey)
             return
@@ -180,7 +180,7 @@
             self._lease.assume_held(settings.hold_s, context.clock())
         self._contact.record_clock(survey.clock_s)
         self._take_in(survey, survey_start)
-        if until_s is not None or not context.may_order():
+        if lease_end_s is not None or not context.may_order():
             # One that renewed no lease, the first and any after a failure, is followed
             # at once by one that does.
             await self._pause(survey)
@@ -200,7 +200,7 @@
         settings = self._context.settings
         return settings.draining_hold_s if self.is_draining else settings.hold_s
 
-    async def _ask(self, until_s: float | None, wait_s: float) -> Survey | OrderStatus:
+    async def _ask(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
         """Ask what runs, and ask again beside that when the answer is late; tell of a second late one."""
         context = self._context
         late_s = wait_s + context.settings.answer_s
@@ -221,7 +221,7 @@
         try:
             survey = await self._session.survey(
                 acknowledged=acknowledged,
-                lease_until_s=until_s,
+                lease_until_s=lease_end_s,
                 wait_s=wait_s,
                 timeout_s=wait_s + self._answer_s(),
                 given_up=self._given_up,
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -79,10 +79,10 @@
     def max_survey_wait_s(self) -> float:
         """Return how long the next survey should wait at most, to tell soon what became of unanswered starts."""
         clock_s = self._contact.lease_end(0.0) or 0.0
-        until_s = self._unanswered.first_until_s
-        if until_s == math.inf:
-            return until_s
-        return min(max(until_s - clock_s, 0.0) + _MIN_POLL_S, _MAX_POLL_S)
+        lease_end_s = self._unanswered.first_until_s
+        if lease_end_s == math.inf:
+            return lease_end_s
+        return min(max(lease_end_s - clock_s, 0.0) + _MIN_POLL_S, _MAX_POLL_S)
 
     def reconcile(self, survey: Survey, survey_start: SurveyStart) -> None:
         """Tell of runs that a survey rules out: they never are there.
@@ -126,16 +126,16 @@
         settings = self._contact.context.settings
         run = effect.key, effect.run
         ordered_s = self._contact.context.clock()
-        until_s = 0.0
+        lease_end_s = 0.0
         for attempt in range(settings.order_tries):
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
-                until_s = until_s or self._contact.lease_end(settings.start_hold_s) or 0.0
+                lease_end_s = lease_end_s or self._contact.lease_end(settings.start_hold_s) or 0.0
                 if not attempt:
-                    self._unanswered.add(run, until_s)
-                order = StartOrder(effect.key, effect.run, payload, until_s, effect.checkpoint, effect.ticket)
+                    self._unanswered.add(run, lease_end_s)
+                order = StartOrder(effect.key, effect.run, payload, lease_end_s, effect.checkpoint, effect.ticket)
                 status = await self._note_try(order, settings.answer_s if attempt else settings.order_s)
             self._queue.leaves_unanswered = status is None
             if status is not None:
--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -30,9 +30,9 @@
         """When the first lease of those ends whose answer is late, on the worker's clock; infinite without any."""
         return min((self._until_s_by_run[run] for run in self._late), default=math.inf)
 
-    def add(self, run: RunId, until_s: float) -> None:
+    def add(self, run: RunId, lease_end_s: float) -> None:
         """Note that a start is sent, and when its lease ends."""
-        self._until_s_by_run[run] = until_s
+        self._until_s_by_run[run] = lease_end_s
 
     def note_late(self, run: RunId) -> None:
         """Note that a start got no answer in time."""
@@ -56,7 +56,7 @@
         """
         for run in known:
             self.discard(run)
-        ruled_out = [run for run, until_s in self._until_s_by_run.items() if asked_at_s > until_s]
+        ruled_out = [run for run, lease_end_s in self._until_s_by_run.items() if asked_at_s > lease_end_s]
         for run in ruled_out:
             self.discard(run)
         return ruled_out
