--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -64,7 +64,7 @@
         self.may_hide_ends = False
         self.unanswered_starts: dict[TaskKey, float] = {}
         self.answer = anyio.Event()
-        self.scope = anyio.CancelScope()
+        self.cancel_scope = anyio.CancelScope()
 
     @property
     def is_silent(self) -> bool:
@@ -85,7 +85,7 @@
             self.context.post(WorkerOver(self.worker_id))
         else:
             self.context.post(WorkerReplaced(self.worker_id, error.successor))
-        self.scope.cancel()
+        self.cancel_scope.cancel()
 
     def lease_end(self, hold_s: float) -> float | None:
         """Return the end, on the worker's clock, of a lease from now; nothing before its clock was read."""
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -114,17 +114,17 @@
     async def run(self) -> None:
         """Survey until closed."""
         try:
-            with self._contact.scope:
+            with self._contact.cancel_scope:
                 async with anyio.create_task_group() as tasks:
                     self._tasks = tasks
-                    while not self._contact.scope.cancel_called:
+                    while not self._contact.cancel_scope.cancel_called:
                         await self._survey_once()
         finally:
             self._session.close()
 
     def close(self) -> None:
         """Stop surveying."""
-        self._contact.scope.cancel()
+        self._contact.cancel_scope.cancel()
 
     def look_again(self) -> None:
         """Survey at once: the worker may have started again."""
@@ -140,7 +140,7 @@
 
     def start(self, effect: StartRun, payload: str) -> None:
         """Order a start; one that comes after the incarnation has ended never runs."""
-        if self._tasks is None or self._contact.scope.cancel_called:
+        if self._tasks is None or self._contact.cancel_scope.cancel_called:
             self._context.post(RunNever(self._worker_id, effect.key, effect.run))
             return
         self._is_idle = False
@@ -249,10 +249,10 @@
             self._hedges = anyio.CancelScope()
             self._tasks.start_soon(self._ask_beside, self._hedges, left_s)
 
-    async def _ask_beside(self, scope: anyio.CancelScope, left_s: float) -> None:
+    async def _ask_beside(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Ask what runs, and nothing else, until an answer comes in some time."""
         answer_s = self._hedge_s
-        with scope:
+        with cancel_scope:
             while left_s > 0:
                 try:
                     self._hedged = await self._session.survey(
