--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -63,7 +63,7 @@
         self.is_overfull = False
         self.may_hide_ends = False
         self.unanswered_starts: dict[TaskKey, float] = {}
-        self.answer = anyio.Event()
+        self.survey_answered = anyio.Event()
         self.cancel_scope = anyio.CancelScope()
 
     @property
@@ -76,7 +76,7 @@
         if self.is_silent:
             log_event('worker_answers_again', worker=self.worker_id, failures=self.failures)
         self.failures = 0
-        answer, self.answer = self.answer, anyio.Event()
+        answer, self.survey_answered = self.survey_answered, anyio.Event()
         answer.set()
 
     def report_ended(self, error: WorkerReplacedError) -> None:
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -230,12 +230,12 @@
 
     async def _stop_until_acknowledged(self, key: TaskKey, run: int) -> None:
         while not await self._try_stop(key, run):
-            answer = self._contact.answer
+            survey_answered = self._contact.survey_answered
             await anyio.sleep(self._contact.context.settings.retry_s)
             if self._contact.failures:
                 # Surveys tell when it answers again: hundreds of stops that are
                 # repeated meanwhile would fill a slow link for good.
-                await answer.wait()
+                await survey_answered.wait()
 
     async def _try_stop(self, key: TaskKey, run: int) -> bool:
         """Order a stop once; tell whether it was acknowledged or has no object any more."""
