--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -43,7 +43,7 @@
         """Start empty."""
         self.leaves_unanswered = False
         self._contact = contact
-        self._own = StartTurns(_turns_of_one(), _turns_of_one())
+        self._worker_limits = StartTurns(_turns_of_one(), _turns_of_one())
         self._alone = anyio.Semaphore(1)
         self._logged_s = float('-inf')
         self._late_starts = 0
@@ -65,7 +65,7 @@
 
     async def _take(self, held: ExitStack, *, is_urgent: bool) -> None:
         shared = self._contact.context.turns.of(is_urgent=is_urgent)
-        await _acquire(held, self._own.of(is_urgent=is_urgent))
+        await _acquire(held, self._worker_limits.of(is_urgent=is_urgent))
         await shared.acquire()
         if self.leaves_unanswered:
             shared.release()
