--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -44,7 +44,7 @@
         self.leaves_unanswered = False
         self._contact = contact
         self._worker_limits = StartTurns(_turns_of_one(), _turns_of_one())
-        self._alone = anyio.Semaphore(1)
+        self._single_try_limit = anyio.Semaphore(1)
         self._logged_s = float('-inf')
         self._late_starts = 0
 
@@ -69,7 +69,7 @@
         await shared.acquire()
         if self.leaves_unanswered:
             shared.release()
-            await _acquire(held, self._alone)
+            await _acquire(held, self._single_try_limit)
             await shared.acquire()
         held.callback(shared.release)
 
