--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -43,7 +43,7 @@
         """Start empty."""
         self.leaves_unanswered = False
         self._contact = contact
-        self._worker_limits = StartTurns(_turns_of_one(), _turns_of_one())
+        self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
         self._single_try_limit = anyio.Semaphore(1)
         self._logged_s = float('-inf')
         self._late_starts = 0
@@ -98,5 +98,5 @@
     held.callback(semaphore.release)
 
 
-def _turns_of_one() -> anyio.Semaphore:
+def _worker_limit() -> anyio.Semaphore:
     return anyio.Semaphore(_MOST_PER_WORKER, fast_acquire=True)
