--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -15,7 +15,7 @@
 
 # Tries under way at one worker: with more of them a few workers that answer
 # nothing would take the turns of all others.
-_MOST_PER_WORKER = 4
+_MAX_TRIES_PER_WORKER = 4
 # How long a try counts as under way, in seconds: a link has carried it by then,
 # whether it is answered or not.
 _UNDER_WAY_S = 0.3
@@ -99,4 +99,4 @@
 
 
 def _worker_limit() -> anyio.Semaphore:
-    return anyio.Semaphore(_MOST_PER_WORKER, fast_acquire=True)
+    return anyio.Semaphore(_MAX_TRIES_PER_WORKER, fast_acquire=True)
