--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -18,7 +18,7 @@
 _MAX_TRIES_PER_WORKER = 4
 # How long a try counts as under way, in seconds: a link has carried it by then,
 # whether it is answered or not.
-_UNDER_WAY_S = 0.3
+_TRY_SLOT_S = 0.3
 # A start that waits longer for its turn is logged, in seconds.
 _LATE_S = 1.0
 # Shortest time between two such lines about one worker, in seconds.
@@ -58,7 +58,7 @@
         with ExitStack() as held:
             with context.metrics.waiting_starts.labels(queue).track_inprogress():
                 await self._take(held, is_urgent=is_urgent)
-            timer = asyncio.get_running_loop().call_later(_UNDER_WAY_S, held.close)
+            timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, held.close)
             held.callback(timer.cancel)
             self._note_wait(effect, queue, asked_s, context.clock())
             yield
