--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -20,7 +20,7 @@
 # whether it is answered or not.
 _TRY_SLOT_S = 0.3
 # A start that waits longer for its turn is logged, in seconds.
-_LATE_S = 1.0
+_LOG_THRESHOLD_S = 1.0
 # Shortest time between two such lines about one worker, in seconds.
 _LOG_EVERY_S = 1.0
 
@@ -76,7 +76,7 @@
     def _note_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
         waited_s = now_s - asked_s
         self._contact.context.metrics.start_turn_s.labels(queue).observe(waited_s)
-        if waited_s <= _LATE_S:
+        if waited_s <= _LOG_THRESHOLD_S:
             return
         self._late_starts += 1
         if now_s - self._logged_s < _LOG_EVERY_S:
