--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -22,7 +22,7 @@
 # A start that waits longer for its turn is logged, in seconds.
 _LOG_THRESHOLD_S = 1.0
 # Shortest time between two such lines about one worker, in seconds.
-_LOG_EVERY_S = 1.0
+_LOG_INTERVAL_S = 1.0
 
 
 class TurnQueue:
@@ -79,7 +79,7 @@
         if waited_s <= _LOG_THRESHOLD_S:
             return
         self._late_starts += 1
-        if now_s - self._logged_s < _LOG_EVERY_S:
+        if now_s - self._logged_s < _LOG_INTERVAL_S:
             return
         log_event(
             'start_turn_late',
