--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -57,13 +57,13 @@
         asked_s = context.clock()
         with ExitStack() as held:
             with context.metrics.waiting_starts.labels(queue).track_inprogress():
-                await self._take(held, is_urgent=is_urgent)
+                await self._acquire_slot(held, is_urgent=is_urgent)
             timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, held.close)
             held.callback(timer.cancel)
             self._note_wait(effect, queue, asked_s, context.clock())
             yield
 
-    async def _take(self, held: ExitStack, *, is_urgent: bool) -> None:
+    async def _acquire_slot(self, held: ExitStack, *, is_urgent: bool) -> None:
         shared = self._contact.context.turns.of(is_urgent=is_urgent)
         await _acquire(held, self._worker_limits.of(is_urgent=is_urgent))
         await shared.acquire()
