--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -60,7 +60,7 @@
                 await self._acquire_slot(held, is_urgent=is_urgent)
             timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, held.close)
             held.callback(timer.cancel)
-            self._note_wait(effect, queue, asked_s, context.clock())
+            self._record_wait(effect, queue, asked_s, context.clock())
             yield
 
     async def _acquire_slot(self, held: ExitStack, *, is_urgent: bool) -> None:
@@ -73,7 +73,7 @@
             await shared.acquire()
         held.callback(shared.release)
 
-    def _note_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
+    def _record_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
         waited_s = now_s - asked_s
         self._contact.context.metrics.start_turn_s.labels(queue).observe(waited_s)
         if waited_s <= _LOG_THRESHOLD_S:
