--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -45,7 +45,7 @@
         self._contact = contact
         self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
         self._single_try_limit = anyio.Semaphore(1)
-        self._logged_s = float('-inf')
+        self._last_log_s = float('-inf')
         self._late_starts = 0
 
     @asynccontextmanager
@@ -79,7 +79,7 @@
         if waited_s <= _LOG_THRESHOLD_S:
             return
         self._late_starts += 1
-        if now_s - self._logged_s < _LOG_INTERVAL_S:
+        if now_s - self._last_log_s < _LOG_INTERVAL_S:
             return
         log_event(
             'start_turn_late',
@@ -89,7 +89,7 @@
             waited_s=round(waited_s, 2),
             late_starts=self._late_starts,
         )
-        self._logged_s = now_s
+        self._last_log_s = now_s
         self._late_starts = 0
 
 
