--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -41,7 +41,7 @@
 
     def __init__(self, contact: Contact) -> None:
         """Start empty."""
-        self.leaves_unanswered = False
+        self.is_last_try_unanswered = False
         self._contact = contact
         self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
         self._single_try_limit = anyio.Semaphore(1)
@@ -67,7 +67,7 @@
         shared = self._contact.context.turns.of(is_urgent=is_urgent)
         await _acquire(held, self._worker_limits.of(is_urgent=is_urgent))
         await shared.acquire()
-        if self.leaves_unanswered:
+        if self.is_last_try_unanswered:
             shared.release()
             await _acquire(held, self._single_try_limit)
             await shared.acquire()
