--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -55,23 +55,23 @@
         is_urgent = effect.rank <= RANK_URGENT
         queue = 'urgent' if is_urgent else 'other'
         asked_s = context.clock()
-        with ExitStack() as held:
+        with ExitStack() as slots:
             with context.metrics.waiting_starts.labels(queue).track_inprogress():
-                await self._acquire_slot(held, is_urgent=is_urgent)
-            timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, held.close)
-            held.callback(timer.cancel)
+                await self._acquire_slot(slots, is_urgent=is_urgent)
+            timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, slots.close)
+            slots.callback(timer.cancel)
             self._record_wait(effect, queue, asked_s, context.clock())
             yield
 
-    async def _acquire_slot(self, held: ExitStack, *, is_urgent: bool) -> None:
+    async def _acquire_slot(self, slots: ExitStack, *, is_urgent: bool) -> None:
         shared = self._contact.context.turns.of(is_urgent=is_urgent)
-        await _acquire(held, self._worker_limits.of(is_urgent=is_urgent))
+        await _acquire(slots, self._worker_limits.of(is_urgent=is_urgent))
         await shared.acquire()
         if self.is_last_try_unanswered:
             shared.release()
-            await _acquire(held, self._single_try_limit)
+            await _acquire(slots, self._single_try_limit)
             await shared.acquire()
-        held.callback(shared.release)
+        slots.callback(shared.release)
 
     def _record_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
         waited_s = now_s - asked_s
@@ -93,9 +93,9 @@
         self._late_starts = 0
 
 
-async def _acquire(held: ExitStack, semaphore: anyio.Semaphore) -> None:
+async def _acquire(slots: ExitStack, semaphore: anyio.Semaphore) -> None:
     await semaphore.acquire()
-    held.callback(semaphore.release)
+    slots.callback(semaphore.release)
 
 
 def _worker_limit() -> anyio.Semaphore:
