--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -79,7 +79,7 @@
     urgent: anyio.Semaphore
     other: anyio.Semaphore
 
-    def of(self, *, is_urgent: bool) -> anyio.Semaphore:
+    def limit_for(self, *, is_urgent: bool) -> anyio.Semaphore:
         """Return what bounds tries of a rank."""
         return self.urgent if is_urgent else self.other
 
