--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -118,7 +118,7 @@
     settings: LinkSettings
     metrics: Metrics
     post: Callable[[OwnerMessage], None]
-    fenced: Callable[[], None]
+    on_fenced: Callable[[], None]
     clock: Callable[[], float]
     turns: StartTurns
     may_order: Callable[[], bool] = _always
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -344,7 +344,7 @@
     async def _survey_refused(self, status: OrderStatus) -> None:
         log_event('survey_refused', worker=self._worker_id, status=status)
         if status is OrderStatus.FENCED:
-            self._context.fenced()
+            self._context.on_fenced()
         self._contact.failures += 1
         if self._contact.is_silent:
             self._context.post(WorkerSilent(self._worker_id))
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -205,7 +205,7 @@
             return _StartOutcome.STARTED
         log_event('start_refused', worker=self._contact.worker_id, task=effect.key, run=effect.run, status=status)
         if status is OrderStatus.FENCED:
-            context.fenced()
+            context.on_fenced()
         if is_retry:
             return _StartOutcome.UNKNOWN
         context.post(RunNever(self._contact.worker_id, effect.key, effect.run))
@@ -250,7 +250,7 @@
         context.metrics.orders.labels('stop', reply.status.value).inc()
         self._contact.record_clock(reply.clock_s)
         if reply.status is OrderStatus.FENCED:
-            context.fenced()
+            context.on_fenced()
         if reply.status is OrderStatus.UNHEALTHY:
             return False
         self._stopped_at_by_run[key, run] = context.clock()
