--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -18,31 +18,31 @@
     def __init__(self) -> None:
         """Begin with none."""
         # Ends of their leases, on the worker's clock.
-        self._until_s_by_run: dict[RunId, float] = {}
+        self._lease_end_by_run: dict[RunId, float] = {}
         self._late: set[RunId] = set()
 
     def __contains__(self, run: RunId) -> bool:
         """Tell whether it is not known what became of a start."""
-        return run in self._until_s_by_run
+        return run in self._lease_end_by_run
 
     @property
     def first_until_s(self) -> float:
         """When the first lease of those ends whose answer is late, on the worker's clock; infinite without any."""
-        return min((self._until_s_by_run[run] for run in self._late), default=math.inf)
+        return min((self._lease_end_by_run[run] for run in self._late), default=math.inf)
 
     def add(self, run: RunId, lease_end_s: float) -> None:
         """Note that a start is sent, and when its lease ends."""
-        self._until_s_by_run[run] = lease_end_s
+        self._lease_end_by_run[run] = lease_end_s
 
     def note_late(self, run: RunId) -> None:
         """Note that a start got no answer in time."""
-        if run in self._until_s_by_run:
+        if run in self._lease_end_by_run:
             self._late.add(run)
 
     def discard(self, run: RunId) -> bool:
         """Note that it is known what became of a start; tell whether it was not."""
         self._late.discard(run)
-        return self._until_s_by_run.pop(run, None) is not None
+        return self._lease_end_by_run.pop(run, None) is not None
 
     def reconcile(self, known: Collection[RunId], asked_at_s: float) -> list[RunId]:
         """Take in a list of runs; return the starts that it rules out.
@@ -56,7 +56,7 @@
         """
         for run in known:
             self.discard(run)
-        ruled_out = [run for run, lease_end_s in self._until_s_by_run.items() if asked_at_s > lease_end_s]
+        ruled_out = [run for run, lease_end_s in self._lease_end_by_run.items() if asked_at_s > lease_end_s]
         for run in ruled_out:
             self.discard(run)
         return ruled_out
