--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -26,7 +26,7 @@
         return run in self._lease_end_by_run
 
     @property
-    def first_until_s(self) -> float:
+    def earliest_overdue_end_s(self) -> float:
         """When the first lease of those ends whose answer is late, on the worker's clock; infinite without any."""
         return min((self._lease_end_by_run[run] for run in self._late), default=math.inf)
 
