--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -140,7 +140,7 @@
             self._queue.is_last_try_unanswered = status is None
             if status is not None:
                 return self._handle_start_reply(effect, status, is_retry=attempt > 0)
-            self._unanswered.note_late(run)
+            self._unanswered.mark_overdue(run)
         return _StartOutcome.UNKNOWN
 
     def _may_send(self, effect: StartRun, ordered_s: float, *, is_retry: bool) -> bool:
--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -34,7 +34,7 @@
         """Note that a start is sent, and when its lease ends."""
         self._lease_end_by_run[run] = lease_end_s
 
-    def note_late(self, run: RunId) -> None:
+    def mark_overdue(self, run: RunId) -> None:
         """Note that a start got no answer in time."""
         if run in self._lease_end_by_run:
             self._late.add(run)
