--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -19,7 +19,7 @@
         """Begin with none."""
         # Ends of their leases, on the worker's clock.
         self._lease_end_by_run: dict[RunId, float] = {}
-        self._late: set[RunId] = set()
+        self._overdue: set[RunId] = set()
 
     def __contains__(self, run: RunId) -> bool:
         """Tell whether it is not known what became of a start."""
@@ -28,7 +28,7 @@
     @property
     def earliest_overdue_end_s(self) -> float:
         """When the first lease of those ends whose answer is late, on the worker's clock; infinite without any."""
-        return min((self._lease_end_by_run[run] for run in self._late), default=math.inf)
+        return min((self._lease_end_by_run[run] for run in self._overdue), default=math.inf)
 
     def add(self, run: RunId, lease_end_s: float) -> None:
         """Note that a start is sent, and when its lease ends."""
@@ -37,11 +37,11 @@
     def mark_overdue(self, run: RunId) -> None:
         """Note that a start got no answer in time."""
         if run in self._lease_end_by_run:
-            self._late.add(run)
+            self._overdue.add(run)
 
     def discard(self, run: RunId) -> bool:
         """Note that it is known what became of a start; tell whether it was not."""
-        self._late.discard(run)
+        self._overdue.discard(run)
         return self._lease_end_by_run.pop(run, None) is not None
 
     def reconcile(self, known: Collection[RunId], asked_at_s: float) -> list[RunId]:
