--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -63,7 +63,7 @@
         self.last_contact_s = -math.inf
         # The ends that the latest answer listed.
         self._numbers: tuple[int, ...] = ()
-        self.acknowledged_more = anyio.Event()
+        self._acknowledgement_event = anyio.Event()
         self._worker_id = incarnation.worker_id
         self._lease = lease
         self._context = context
@@ -135,7 +135,7 @@
         """Let ends up to a number be acknowledged: they are kept."""
         if number > self.acknowledged:
             self.acknowledged = number
-            more, self.acknowledged_more = self.acknowledged_more, anyio.Event()
+            more, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
             more.set()
 
     def start(self, effect: StartRun, payload: str) -> None:
@@ -311,7 +311,7 @@
             settings = self._context.settings
             pause_s = max(settings.unacknowledged_s, settings.listed_again_s * len(survey.ended))
             with anyio.move_on_after(min(pause_s, self._hold_s / _SURVEYS_IN_A_LEASE)):
-                await self.acknowledged_more.wait()
+                await self._acknowledgement_event.wait()
 
     def _take_in(self, survey: Survey, survey_start: SurveyStart) -> None:
         ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
