--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -62,7 +62,7 @@
         # When a survey was answered last.
         self.last_contact_s = -math.inf
         # The ends that the latest answer listed.
-        self._numbers: tuple[int, ...] = ()
+        self._listed_numbers: tuple[int, ...] = ()
         self._acknowledgement_event = anyio.Event()
         self._worker_id = incarnation.worker_id
         self._lease = lease
@@ -192,7 +192,7 @@
         What was acknowledged already is not again: an acknowledgement that gets no
         answer may be carried out late, by another incarnation.
         """
-        return max((number for number in self._numbers if number <= self.acknowledged), default=0)
+        return max((number for number in self._listed_numbers if number <= self.acknowledged), default=0)
 
     @property
     def _hold_s(self) -> float:
@@ -317,9 +317,9 @@
         ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
-        self._numbers = tuple(listed.number for listed in survey.ended)
-        last_end = max(self._numbers, default=0)
-        if self._numbers or (self.is_trusted_at_work and survey.running):
+        self._listed_numbers = tuple(listed.number for listed in survey.ended)
+        last_end = max(self._listed_numbers, default=0)
+        if self._listed_numbers or (self.is_trusted_at_work and survey.running):
             self._contact.may_hide_ends = False
         self._is_idle = not survey.running
         self._orders.reconcile(survey, survey_start)
