--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -72,7 +72,7 @@
         self._session = context.client.session(address, incarnation, fence)
         self._contact = Contact(self._session, incarnation.worker_id, lease, context)
         # Ends the survey that is under way, when there are updates of the worker.
-        self._given_up: asyncio.Future[None] | None = None
+        self._survey_abort: asyncio.Future[None] | None = None
         # An answer to a hedge of the survey that is under way.
         self._hedged: Survey | OrderStatus | None = None
         self._hedges = anyio.CancelScope()
@@ -128,8 +128,8 @@
 
     def look_again(self) -> None:
         """Survey at once: the worker may have started again."""
-        if self._given_up is not None and not self._given_up.done():
-            self._given_up.set_result(None)
+        if self._survey_abort is not None and not self._survey_abort.done():
+            self._survey_abort.set_result(None)
 
     def acknowledge(self, number: int) -> None:
         """Let ends up to a number be acknowledged: they are kept."""
@@ -209,7 +209,7 @@
             loop.call_later(late_s, self._answer_is_late),
             loop.call_later(wait_s + self._hedge_s, self._hedge, self._answer_s() - self._hedge_s),
         ]
-        self._given_up = loop.create_future()
+        self._survey_abort = loop.create_future()
         self._hedged = None
         acknowledged = self._to_acknowledge
         # An acknowledgement that got no answer has the worker's next incarnation probed: its own is waited for.
@@ -224,7 +224,7 @@
                 lease_until_s=lease_end_s,
                 wait_s=wait_s,
                 timeout_s=wait_s + self._answer_s(),
-                given_up=self._given_up,
+                given_up=self._survey_abort,
             )
         except WorkerReplacedError:
             self.unanswered_at_s = earlier_s
