--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -74,7 +74,7 @@
         # Ends the survey that is under way, when there are updates of the worker.
         self._survey_abort: asyncio.Future[None] | None = None
         # An answer to a hedge of the survey that is under way.
-        self._hedged: Survey | OrderStatus | None = None
+        self._hedge_answer: Survey | OrderStatus | None = None
         self._hedges = anyio.CancelScope()
         self._acknowledging = False
         self._orders = WorkerOrders(self._contact)
@@ -210,7 +210,7 @@
             loop.call_later(wait_s + self._hedge_s, self._hedge, self._answer_s() - self._hedge_s),
         ]
         self._survey_abort = loop.create_future()
-        self._hedged = None
+        self._hedge_answer = None
         acknowledged = self._to_acknowledge
         # An acknowledgement that got no answer has the worker's next incarnation probed: its own is waited for.
         self._acknowledging = bool(acknowledged)
@@ -233,9 +233,9 @@
             if isinstance(error, WorkerUnreachableError):
                 # It was never sent: a worker is asked first which incarnation it is.
                 self.unanswered_at_s = earlier_s
-            if self._hedged is None:
+            if self._hedge_answer is None:
                 raise
-            return self._hedged
+            return self._hedge_answer
         finally:
             for timer in timers:
                 timer.cancel()
@@ -255,7 +255,7 @@
         with cancel_scope:
             while left_s > 0:
                 try:
-                    self._hedged = await self._session.survey(
+                    self._hedge_answer = await self._session.survey(
                         acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_s, left_s)
                     )
                 except (WorkerUnansweredError, WorkerUngreetedError):
