--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -75,7 +75,7 @@
         self._survey_abort: asyncio.Future[None] | None = None
         # An answer to a hedge of the survey that is under way.
         self._hedge_answer: Survey | OrderStatus | None = None
-        self._hedges = anyio.CancelScope()
+        self._hedge_scope = anyio.CancelScope()
         self._acknowledging = False
         self._orders = WorkerOrders(self._contact)
 
@@ -239,15 +239,15 @@
         finally:
             for timer in timers:
                 timer.cancel()
-            self._hedges.cancel()
+            self._hedge_scope.cancel()
         self.unanswered_at_s = earlier_s
         return survey
 
     def _hedge(self, left_s: float) -> None:
         """Ask again beside a survey whose answer is late: where answers are lost it never comes."""
         if self._tasks is not None:
-            self._hedges = anyio.CancelScope()
-            self._tasks.start_soon(self._ask_beside, self._hedges, left_s)
+            self._hedge_scope = anyio.CancelScope()
+            self._tasks.start_soon(self._ask_beside, self._hedge_scope, left_s)
 
     async def _ask_beside(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Ask what runs, and nothing else, until an answer comes in some time."""
