--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -76,7 +76,7 @@
         # An answer to a hedge of the survey that is under way.
         self._hedge_answer: Survey | OrderStatus | None = None
         self._hedge_scope = anyio.CancelScope()
-        self._acknowledging = False
+        self._is_acknowledging = False
         self._orders = WorkerOrders(self._contact)
 
     @property
@@ -213,7 +213,7 @@
         self._hedge_answer = None
         acknowledged = self._to_acknowledge
         # An acknowledgement that got no answer has the worker's next incarnation probed: its own is waited for.
-        self._acknowledging = bool(acknowledged)
+        self._is_acknowledging = bool(acknowledged)
         earlier_s = self.unanswered_at_s
         if acknowledged:
             # Other calls may close this link before it is answered.
@@ -266,7 +266,7 @@
                     # The survey itself fails likewise, or its answer comes.
                     log_event('hedge_failed', worker=self._worker_id, why=str(error))
                     return
-                if not self._acknowledging:
+                if not self._is_acknowledging:
                     self.look_again()
                 return
 
