--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -207,7 +207,7 @@
         loop = asyncio.get_running_loop()
         timers = [
             loop.call_later(late_s, self._answer_is_late),
-            loop.call_later(wait_s + self._hedge_s, self._hedge, self._answer_s() - self._hedge_s),
+            loop.call_later(wait_s + self._hedge_s, self._start_hedge, self._answer_s() - self._hedge_s),
         ]
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
@@ -243,7 +243,7 @@
         self.unanswered_at_s = earlier_s
         return survey
 
-    def _hedge(self, left_s: float) -> None:
+    def _start_hedge(self, left_s: float) -> None:
         """Ask again beside a survey whose answer is late: where answers are lost it never comes."""
         if self._tasks is not None:
             self._hedge_scope = anyio.CancelScope()
