--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -161,7 +161,7 @@
         may_renew = context.may_order() and not self._contact.failures
         lease_end_s = self._contact.lease_end(self._hold_s) if may_renew else None
         try:
-            survey = await self._ask(lease_end_s, wait_s)
+            survey = await self._survey_with_hedge(lease_end_s, wait_s)
         except WorkerUnreachableError as error:
             await self._survey_failed(error)
             return
@@ -200,7 +200,7 @@
         settings = self._context.settings
         return settings.draining_hold_s if self.is_draining else settings.hold_s
 
-    async def _ask(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
+    async def _survey_with_hedge(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
         """Ask what runs, and ask again beside that when the answer is late; tell of a second late one."""
         context = self._context
         late_s = wait_s + context.settings.answer_s
