--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -247,9 +247,9 @@
         """Ask again beside a survey whose answer is late: where answers are lost it never comes."""
         if self._tasks is not None:
             self._hedge_scope = anyio.CancelScope()
-            self._tasks.start_soon(self._ask_beside, self._hedge_scope, left_s)
+            self._tasks.start_soon(self._run_hedge, self._hedge_scope, left_s)
 
-    async def _ask_beside(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
+    async def _run_hedge(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Ask what runs, and nothing else, until an answer comes in some time."""
         answer_s = self._hedge_s
         with cancel_scope:
