--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -155,7 +155,7 @@
         context = self._context
         settings = context.settings
         survey_start = SurveyStart(context.clock(), self._contact.clock_s)
-        wait_s = self._wait_s()
+        wait_s = self._survey_wait_s()
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
         may_renew = context.may_order() and not self._contact.failures
@@ -291,7 +291,7 @@
         doublings = min(self._contact.failures, _MOST_DOUBLINGS)
         return min(settings.answer_s * (1 << doublings), settings.longest_answer_s)
 
-    def _wait_s(self) -> float:
+    def _survey_wait_s(self) -> float:
         """Return how long the next survey waits at the worker for an end."""
         has_updates = self.listed > self.acknowledged or not self._lease.has_reading
         # An acknowledgement is not under way for longer than it has to be.
