--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -207,7 +207,7 @@
         loop = asyncio.get_running_loop()
         timers = [
             loop.call_later(late_s, self._answer_is_late),
-            loop.call_later(wait_s + self._hedge_s, self._start_hedge, self._answer_s() - self._hedge_s),
+            loop.call_later(wait_s + self._hedge_s, self._start_hedge, self._answer_timeout_s() - self._hedge_s),
         ]
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
@@ -223,7 +223,7 @@
                 acknowledged=acknowledged,
                 lease_until_s=lease_end_s,
                 wait_s=wait_s,
-                timeout_s=wait_s + self._answer_s(),
+                timeout_s=wait_s + self._answer_timeout_s(),
                 given_up=self._survey_abort,
             )
         except WorkerReplacedError:
@@ -280,7 +280,7 @@
         if self._contact.failures:
             self._context.post(WorkerSilent(self._worker_id))
 
-    def _answer_s(self) -> float:
+    def _answer_timeout_s(self) -> float:
         """Return how long the answer to the next survey is waited for.
 
         It doubles with each failure: where answers come late, from the worker or to
