--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -159,7 +159,7 @@
         # A worker that does not answer is not given more time: its lease must end
         # at some point for its runs to start elsewhere.
         may_renew = context.may_order() and not self._contact.failures
-        lease_end_s = self._contact.lease_end(self._hold_s) if may_renew else None
+        lease_end_s = self._contact.lease_end(self._lease_duration_s) if may_renew else None
         try:
             survey = await self._survey_with_hedge(lease_end_s, wait_s)
         except WorkerUnreachableError as error:
@@ -195,7 +195,7 @@
         return max((number for number in self._listed_numbers if number <= self.acknowledged), default=0)
 
     @property
-    def _hold_s(self) -> float:
+    def _lease_duration_s(self) -> float:
         """Lease that a survey gives."""
         settings = self._context.settings
         return settings.draining_hold_s if self.is_draining else settings.hold_s
@@ -310,7 +310,7 @@
         if self.listed > self.acknowledged:
             settings = self._context.settings
             pause_s = max(settings.unacknowledged_s, settings.listed_again_s * len(survey.ended))
-            with anyio.move_on_after(min(pause_s, self._hold_s / _SURVEYS_IN_A_LEASE)):
+            with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_IN_A_LEASE)):
                 await self._acknowledgement_event.wait()
 
     def _take_in(self, survey: Survey, survey_start: SurveyStart) -> None:
