--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -207,7 +207,9 @@
         loop = asyncio.get_running_loop()
         timers = [
             loop.call_later(late_s, self._answer_is_late),
-            loop.call_later(wait_s + self._hedge_s, self._start_hedge, self._answer_timeout_s() - self._hedge_s),
+            loop.call_later(
+                wait_s + self._hedge_delay_s, self._start_hedge, self._answer_timeout_s() - self._hedge_delay_s
+            ),
         ]
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
@@ -251,7 +253,7 @@
 
     async def _run_hedge(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Ask what runs, and nothing else, until an answer comes in some time."""
-        answer_s = self._hedge_s
+        answer_s = self._hedge_delay_s
         with cancel_scope:
             while left_s > 0:
                 try:
@@ -271,7 +273,7 @@
                 return
 
     @property
-    def _hedge_s(self) -> float:
+    def _hedge_delay_s(self) -> float:
         """How long an answer is late before the worker is asked again, beside."""
         settings = self._context.settings
         return settings.hedge_s if self._lease.has_reading else settings.first_hedge_s
