--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -206,7 +206,7 @@
         late_s = wait_s + context.settings.answer_s
         loop = asyncio.get_running_loop()
         timers = [
-            loop.call_later(late_s, self._answer_is_late),
+            loop.call_later(late_s, self._report_late_answer),
             loop.call_later(
                 wait_s + self._hedge_delay_s, self._start_hedge, self._answer_timeout_s() - self._hedge_delay_s
             ),
@@ -278,7 +278,7 @@
         settings = self._context.settings
         return settings.hedge_s if self._lease.has_reading else settings.first_hedge_s
 
-    def _answer_is_late(self) -> None:
+    def _report_late_answer(self) -> None:
         if self._contact.failures:
             self._context.post(WorkerSilent(self._worker_id))
 
