--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -179,7 +179,7 @@
             # Until this answer a previous owner may have given the longest lease.
             self._lease.assume_held(settings.hold_s, context.clock())
         self._contact.record_clock(survey.clock_s)
-        self._take_in(survey, survey_start)
+        self._process_survey(survey, survey_start)
         if lease_end_s is not None or not context.may_order():
             # One that renewed no lease, the first and any after a failure, is followed
             # at once by one that does.
@@ -315,7 +315,7 @@
             with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_IN_A_LEASE)):
                 await self._acknowledgement_event.wait()
 
-    def _take_in(self, survey: Survey, survey_start: SurveyStart) -> None:
+    def _process_survey(self, survey: Survey, survey_start: SurveyStart) -> None:
         ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
