--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -183,7 +183,7 @@
         if lease_end_s is not None or not context.may_order():
             # One that renewed no lease, the first and any after a failure, is followed
             # at once by one that does.
-            await self._pause(survey)
+            await self._await_acknowledgement(survey)
 
     @property
     def _to_acknowledge(self) -> int:
@@ -307,7 +307,7 @@
             longest_s = _HIDDEN_END_POLL_S
         return min(longest_s, self._orders.max_survey_wait_s())
 
-    async def _pause(self, survey: Survey) -> None:
+    async def _await_acknowledgement(self, survey: Survey) -> None:
         """Wait until ends are kept: a survey before that lists them again at once."""
         if self.listed > self.acknowledged:
             settings = self._context.settings
