--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -163,11 +163,11 @@
         try:
             survey = await self._survey_with_hedge(lease_end_s, wait_s)
         except WorkerUnreachableError as error:
-            await self._survey_failed(error)
+            await self._handle_failed_survey(error)
             return
         except WORKER_FAILURES as error:
             self._lease.sent(lease_end_s or 0.0)
-            await self._survey_failed(error)
+            await self._handle_failed_survey(error)
             return
         self._lease.sent(lease_end_s or 0.0)
         if isinstance(survey, OrderStatus):
@@ -328,7 +328,7 @@
         self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, survey_start.at_s))
         self.listed = max(self.listed, last_end)
 
-    async def _survey_failed(self, error: Exception) -> None:
+    async def _handle_failed_survey(self, error: Exception) -> None:
         if isinstance(error, WorkerReplacedError):
             self._contact.report_ended(error)
             return
