--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -171,7 +171,7 @@
             return
         self._lease.sent(lease_end_s or 0.0)
         if isinstance(survey, OrderStatus):
-            await self._survey_refused(survey)
+            await self._handle_refused_survey(survey)
             return
         self._contact.record_answer()
         self.last_contact_s = context.clock()
@@ -343,7 +343,7 @@
         if self._lease.has_reading or not isinstance(error, WorkerUnansweredError):
             await anyio.sleep(self._context.settings.retry_s)
 
-    async def _survey_refused(self, status: OrderStatus) -> None:
+    async def _handle_refused_survey(self, status: OrderStatus) -> None:
         log_event('survey_refused', worker=self._worker_id, status=status)
         if status is OrderStatus.FENCED:
             self._context.on_fenced()
