--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -186,7 +186,7 @@
             await self._await_acknowledgement(survey)
 
     @property
-    def _to_acknowledge(self) -> int:
+    def _last_acknowledgeable(self) -> int:
         """Number of the last end that is kept and still listed.
 
         What was acknowledged already is not again: an acknowledgement that gets no
@@ -213,7 +213,7 @@
         ]
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
-        acknowledged = self._to_acknowledge
+        acknowledged = self._last_acknowledgeable
         # An acknowledgement that got no answer has the worker's next incarnation probed: its own is waited for.
         self._is_acknowledging = bool(acknowledged)
         earlier_s = self.unanswered_at_s
@@ -297,7 +297,7 @@
         """Return how long the next survey waits at the worker for an end."""
         has_updates = self.listed > self.acknowledged or not self._lease.has_reading
         # An acknowledgement is not under way for longer than it has to be.
-        if has_updates or self._contact.failures or self._to_acknowledge:
+        if has_updates or self._contact.failures or self._last_acknowledgeable:
             return 0.0
         if self._orders.has_unresolved_stops:
             return _STOP_POLL_S
