--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -290,7 +290,7 @@
         none of them, and what they listed runs again elsewhere.
         """
         settings = self._context.settings
-        doublings = min(self._contact.failures, _MOST_DOUBLINGS)
+        doublings = min(self._contact.failures, _MAX_DOUBLINGS)
         return min(settings.answer_s * (1 << doublings), settings.longest_answer_s)
 
     def _survey_wait_s(self) -> float:
@@ -354,7 +354,7 @@
 
 
 # Doublings of a wait after which only its bound counts.
-_MOST_DOUBLINGS = 8
+_MAX_DOUBLINGS = 8
 # Surveys in the duration of a lease, however seldom: one or two may be lost.
 _SURVEYS_IN_A_LEASE = 3
 # How long a survey waits at a worker while a stop there is not over, in seconds: it is
