--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -312,7 +312,7 @@
         if self.listed > self.acknowledged:
             settings = self._context.settings
             pause_s = max(settings.unacknowledged_s, settings.listed_again_s * len(survey.ended))
-            with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_IN_A_LEASE)):
+            with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_PER_LEASE)):
                 await self._acknowledgement_event.wait()
 
     def _process_survey(self, survey: Survey, survey_start: SurveyStart) -> None:
@@ -356,7 +356,7 @@
 # Doublings of a wait after which only its bound counts.
 _MAX_DOUBLINGS = 8
 # Surveys in the duration of a lease, however seldom: one or two may be lost.
-_SURVEYS_IN_A_LEASE = 3
+_SURVEYS_PER_LEASE = 3
 # How long a survey waits at a worker while a stop there is not over, in seconds: it is
 # answered at once when that ends. Asked as often without waiting, workers told of the
 # end 0.08 s later in the mean, and urgent work that waited for it began that late.
