--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -65,7 +65,7 @@
     longest_answer_s: float = 2.4
     hedge_s: float = 0.2
     first_hedge_s: float = 0.1
-    order_s: float = 0.3
+    start_timeout_s: float = 0.3
     order_tries: int = 3
     turn_wait_s: float = 0.4
     retry_s: float = 0.25
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -136,7 +136,7 @@
                 if not attempt:
                     self._unanswered.add(run, lease_end_s)
                 order = StartOrder(effect.key, effect.run, payload, lease_end_s, effect.checkpoint, effect.ticket)
-                status = await self._note_try(order, settings.answer_s if attempt else settings.order_s)
+                status = await self._note_try(order, settings.answer_s if attempt else settings.start_timeout_s)
             self._queue.is_last_try_unanswered = status is None
             if status is not None:
                 return self._handle_start_reply(effect, status, is_retry=attempt > 0)
