--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -67,7 +67,7 @@
     first_hedge_s: float = 0.1
     start_timeout_s: float = 0.3
     max_start_tries: int = 3
-    turn_wait_s: float = 0.4
+    max_turn_wait_s: float = 0.4
     retry_s: float = 0.25
     unacknowledged_s: float = 0.4
     listed_again_s: float = 0.04
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -159,7 +159,7 @@
     def _is_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Tell whether a start need not be sent any more since it waited for its turn: it never runs then."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
-        if self._queue.is_last_try_unanswered and waited_s > self._contact.context.settings.turn_wait_s:
+        if self._queue.is_last_try_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
             is_unavailable = True
         if not is_unavailable and (effect.key, effect.run) not in self._pending_stops:
             return False
