--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -69,7 +69,7 @@
     max_start_tries: int = 3
     max_turn_wait_s: float = 0.4
     retry_s: float = 0.25
-    unacknowledged_s: float = 0.4
+    max_acknowledgement_wait_s: float = 0.4
     listed_again_s: float = 0.04
 
 
