--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -70,7 +70,7 @@
     max_turn_wait_s: float = 0.4
     retry_s: float = 0.25
     max_acknowledgement_wait_s: float = 0.4
-    listed_again_s: float = 0.04
+    acknowledgement_wait_per_end_s: float = 0.04
 
 
 class StartTurns(NamedTuple):
