--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -63,7 +63,7 @@
     idle_wait_s: float = 2.0
     answer_s: float = 0.6
     longest_answer_s: float = 2.4
-    hedge_s: float = 0.2
+    hedge_delay_s: float = 0.2
     first_hedge_s: float = 0.1
     start_timeout_s: float = 0.3
     max_start_tries: int = 3
