--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -64,7 +64,7 @@
     answer_s: float = 0.6
     longest_answer_s: float = 2.4
     hedge_delay_s: float = 0.2
-    first_hedge_s: float = 0.1
+    first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
     max_start_tries: int = 3
     max_turn_wait_s: float = 0.4
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -276,7 +276,7 @@
     def _hedge_delay_s(self) -> float:
         """How long an answer is late before the worker is asked again, beside."""
         settings = self._context.settings
-        return settings.hedge_delay_s if self._lease.has_reading else settings.first_hedge_s
+        return settings.hedge_delay_s if self._lease.has_reading else settings.first_hedge_delay_s
 
     def _report_late_answer(self) -> None:
         if self._contact.failures:
