--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -62,7 +62,7 @@
     wait_s: float = 1.0
     idle_wait_s: float = 2.0
     answer_s: float = 0.6
-    longest_answer_s: float = 2.4
+    max_answer_s: float = 2.4
     hedge_delay_s: float = 0.2
     first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -291,7 +291,7 @@
         """
         settings = self._context.settings
         doublings = min(self._contact.failures, _MAX_DOUBLINGS)
-        return min(settings.answer_s * (1 << doublings), settings.longest_answer_s)
+        return min(settings.answer_s * (1 << doublings), settings.max_answer_s)
 
     def _survey_wait_s(self) -> float:
         """Return how long the next survey waits at the worker for an end."""
