--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -58,7 +58,7 @@
 
     hold_s: float = 6.0
     draining_hold_s: float = 2.0
-    start_hold_s: float = 2.0
+    start_lease_s: float = 2.0
     wait_s: float = 1.0
     idle_wait_s: float = 2.0
     answer_s: float = 0.6
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -132,7 +132,7 @@
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Later tries carry no later end: a survey after it rules all of them out.
-                lease_end_s = lease_end_s or self._contact.lease_end(settings.start_hold_s) or 0.0
+                lease_end_s = lease_end_s or self._contact.lease_end(settings.start_lease_s) or 0.0
                 if not attempt:
                     self._unanswered.add(run, lease_end_s)
                 order = StartOrder(effect.key, effect.run, payload, lease_end_s, effect.checkpoint, effect.ticket)
