--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -57,7 +57,7 @@
     """
 
     hold_s: float = 6.0
-    draining_hold_s: float = 2.0
+    draining_lease_s: float = 2.0
     start_lease_s: float = 2.0
     wait_s: float = 1.0
     idle_wait_s: float = 2.0
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -198,7 +198,7 @@
     def _lease_duration_s(self) -> float:
         """Lease that a survey gives."""
         settings = self._context.settings
-        return settings.draining_hold_s if self.is_draining else settings.hold_s
+        return settings.draining_lease_s if self.is_draining else settings.hold_s
 
     async def _survey_with_hedge(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
         """Ask what runs, and ask again beside that when the answer is late; tell of a second late one."""
