--- a/packages/node/dahliaarch_node/owner/committing.py
+++ b/packages/node/dahliaarch_node/owner/committing.py
@@ -16,7 +16,7 @@
 from ..logs import log_event
 
 # Other instances that are tried with one transaction, at most.
-_MOST_RELAYS = 2
+_MAX_RELAYS = 2
 
 
 class Commit(Protocol):
@@ -74,7 +74,7 @@
             return await self._store.commit(conditions, writes, removals, timeout_s=timeout_s)
         except (StoreRefusedError, StoreUnreachableError) as error:
             refusal = error
-        for relay in islice(self._relays(), _MOST_RELAYS):
+        for relay in islice(self._relays(), _MAX_RELAYS):
             try:
                 made = await relay(conditions, writes, removals, timeout_s=timeout_s)
             except (StoreRefusedError, StoreUnreachableError):
