--- a/packages/node/dahliaarch_node/owner/committing.py
+++ b/packages/node/dahliaarch_node/owner/committing.py
@@ -76,9 +76,9 @@
             refusal = error
         for relay in islice(self._relays(), _MAX_RELAYS):
             try:
-                made = await relay(conditions, writes, removals, timeout_s=timeout_s)
+                result = await relay(conditions, writes, removals, timeout_s=timeout_s)
             except (StoreRefusedError, StoreUnreachableError):
                 continue
-            log_event('commit_relayed', why=str(refusal), writes=len(writes), status=made.status)
-            return made
+            log_event('commit_relayed', why=str(refusal), writes=len(writes), status=result.status)
+            return result
         raise refusal
