--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -15,7 +15,7 @@
 from .messages import AdviceFailed, AdviceGiven, OwnerMessage
 
 # Longest wait beside the time that the policy says it takes, in seconds.
-_ANSWER_S = 1.0
+_EXTRA_WAIT_S = 1.0
 # Calls that may wait here: more are failed at once, and asked again later.
 _MOST_WAITING = 32
 # Calls under way at one time.
@@ -93,7 +93,7 @@
         # A ticket is for the incarnation that the worker has when the policy is asked.
         id_by_name = {self._name_of(worker_id): worker_id for worker_id in question.worker_ids}
         try:
-            ticket_by_name = await ask(step, tuple(id_by_name), takes_s + _ANSWER_S)
+            ticket_by_name = await ask(step, tuple(id_by_name), takes_s + _EXTRA_WAIT_S)
         except ADVICE_FAILURES as error:
             self._failed(question, str(error))
             return
