--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -17,7 +17,7 @@
 # Longest wait beside the time that the policy says it takes, in seconds.
 _EXTRA_WAIT_S = 1.0
 # Calls that may wait here: more are failed at once, and asked again later.
-_MOST_WAITING = 32
+_MAX_QUEUED = 32
 # Calls under way at one time.
 _MOST_CALLS = 8
 # How often it is looked whether there are more instances to ask through, in seconds.
@@ -55,7 +55,7 @@
         self._post = post
         self._name_of = name_of
         self._clock = clock
-        self._send, self._receive = anyio.create_memory_object_stream[AskAdvice](_MOST_WAITING)
+        self._send, self._receive = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
 
     def ask(self, question: AskAdvice) -> None:
         """Queue a question."""
