--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -19,7 +19,7 @@
 # Calls that may wait here: more are failed at once, and asked again later.
 _MAX_QUEUED = 32
 # Calls under way at one time.
-_MOST_CALLS = 8
+_MAX_CALLS = 8
 # How often it is looked whether there are more instances to ask through, in seconds.
 _ASKERS_EVERY_S = 0.5
 
@@ -67,7 +67,7 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for number in range(_MOST_CALLS):
+            for number in range(_MAX_CALLS):
                 tasks.start_soon(self._ask_in_turn, number)
 
     async def _ask_in_turn(self, number: int) -> None:
