--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -21,7 +21,7 @@
 # Calls under way at one time.
 _MAX_CALLS = 8
 # How often it is looked whether there are more instances to ask through, in seconds.
-_ASKERS_EVERY_S = 0.5
+_ASKERS_POLL_S = 0.5
 
 Ask = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
@@ -78,7 +78,7 @@
         """
         while True:
             while number >= max(1, len(self._askers())):
-                await anyio.sleep(_ASKERS_EVERY_S)
+                await anyio.sleep(_ASKERS_POLL_S)
             question = await self._receive.receive()
             askers = self._askers()
             if askers:
