--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -68,9 +68,9 @@
         """Ask until cancelled."""
         async with anyio.create_task_group() as tasks:
             for number in range(_MAX_CALLS):
-                tasks.start_soon(self._ask_in_turn, number)
+                tasks.start_soon(self._process_questions, number)
 
-    async def _ask_in_turn(self, number: int) -> None:
+    async def _process_questions(self, number: int) -> None:
         """Ask through one of the instances, one question at a time.
 
         Two at a time through one instance would wait in turn at the policy, which
