--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -82,11 +82,11 @@
             question = await self._receive.receive()
             askers = self._askers()
             if askers:
-                await self._ask(question, askers[number % len(askers)])
+                await self._request_advice(question, askers[number % len(askers)])
             else:
                 self._failed(question, 'the settings name no policy')
 
-    async def _ask(self, question: AskAdvice, ask: Ask) -> None:
+    async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
         terms = question.terms
         takes_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
         step = '.'.join(str(part) for part in question.step)
