--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -62,7 +62,7 @@
         try:
             self._send.send_nowait(question)
         except anyio.WouldBlock:
-            self._failed(question, 'too many questions wait')
+            self._report_failure(question, 'too many questions wait')
 
     async def run(self) -> None:
         """Ask until cancelled."""
@@ -84,7 +84,7 @@
             if askers:
                 await self._request_advice(question, askers[number % len(askers)])
             else:
-                self._failed(question, 'the settings name no policy')
+                self._report_failure(question, 'the settings name no policy')
 
     async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
         terms = question.terms
@@ -95,13 +95,13 @@
         try:
             ticket_by_name = await ask(step, tuple(id_by_name), takes_s + _EXTRA_WAIT_S)
         except ADVICE_FAILURES as error:
-            self._failed(question, str(error))
+            self._report_failure(question, str(error))
             return
         tickets = {id_by_name[name]: ticket for name, ticket in ticket_by_name.items() if name in id_by_name}
         log_event('advice_given', step=question.step, asked=len(question.worker_ids), consents=len(tickets))
         until_s = self._clock() + terms.valid_s
         self._post(AdviceGiven(question.step, question.worker_ids, tickets, until_s))
 
-    def _failed(self, question: AskAdvice, why: str) -> None:
+    def _report_failure(self, question: AskAdvice, why: str) -> None:
         log_event('advice_failed', step=question.step, asked=len(question.worker_ids), why=why)
         self._post(AdviceFailed(question.step))
