--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -88,12 +88,12 @@
 
     async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
         terms = question.terms
-        takes_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
+        decision_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
         step = '.'.join(str(part) for part in question.step)
         # A ticket is for the incarnation that the worker has when the policy is asked.
         id_by_name = {self._name_of(worker_id): worker_id for worker_id in question.worker_ids}
         try:
-            ticket_by_name = await ask(step, tuple(id_by_name), takes_s + _EXTRA_WAIT_S)
+            ticket_by_name = await ask(step, tuple(id_by_name), decision_s + _EXTRA_WAIT_S)
         except ADVICE_FAILURES as error:
             self._report_failure(question, str(error))
             return
