--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -55,12 +55,12 @@
         self._post = post
         self._name_of = name_of
         self._clock = clock
-        self._send, self._receive = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
+        self._question_sender, self._receive = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
 
     def ask(self, question: AskAdvice) -> None:
         """Queue a question."""
         try:
-            self._send.send_nowait(question)
+            self._question_sender.send_nowait(question)
         except anyio.WouldBlock:
             self._report_failure(question, 'too many questions wait')
 
