--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -55,7 +55,7 @@
         self._post = post
         self._name_of = name_of
         self._clock = clock
-        self._question_sender, self._receive = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
+        self._question_sender, self._question_receiver = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
 
     def ask(self, question: AskAdvice) -> None:
         """Queue a question."""
@@ -79,7 +79,7 @@
         while True:
             while number >= max(1, len(self._askers())):
                 await anyio.sleep(_ASKERS_POLL_S)
-            question = await self._receive.receive()
+            question = await self._question_receiver.receive()
             askers = self._askers()
             if askers:
                 await self._request_advice(question, askers[number % len(askers)])
