--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -48,7 +48,7 @@
         now: Callable[[], Moment],
     ) -> None:
         """Keep whom decisions are handed to."""
-        self.held_starts = HeldStarts(self._send)
+        self.held_starts = HeldStarts(self._send_start)
         self._now = now
         self._metrics = metrics
         self._scheduler = scheduler
@@ -79,7 +79,7 @@
     def _(self, effect: AskAdvice) -> None:
         self._adviser.ask(effect)
 
-    def _send(self, held: HeldStart) -> None:
+    def _send_start(self, held: HeldStart) -> None:
         """Send a start whose assignment is kept."""
         start = held.start
         now = self._now()
