--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -105,9 +105,9 @@
             self._report_never_ran(run, EndKind.REFUSED)
 
     def _report_never_ran(self, run: RunId, kind: EndKind) -> None:
-        under_way = self._pending_stops.get(run)
-        if under_way is not None:
-            under_way.cancel()
+        pending_stop = self._pending_stops.get(run)
+        if pending_stop is not None:
+            pending_stop.cancel()
         self._contact.context.post(RunNever(self._contact.worker_id, *run, kind))
 
     async def start(self, effect: StartRun, payload: str) -> None:
