--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -135,8 +135,8 @@
         """Let ends up to a number be acknowledged: they are kept."""
         if number > self.acknowledged:
             self.acknowledged = number
-            more, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
-            more.set()
+            acknowledgement_event, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
+            acknowledgement_event.set()
 
     def start(self, effect: StartRun, payload: str) -> None:
         """Order a start; one that comes after the incarnation has ended never runs."""
