--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -1,4 +1,4 @@
-"""The owner's side of one worker: surveys and leases."""
+"""Client side of one worker: periodic surveys, lease renewal and orders."""
 
 import asyncio
 import math
@@ -28,40 +28,42 @@
 
 
 class WorkerLink:
-    """Keeps in touch with one incarnation of a worker.
+    """Surveys one incarnation of a worker, renews its lease and sends it orders.
 
     Parameters
     ----------
     incarnation : WorkerIncarnation
-        Which incarnation of the worker is meant.
+        Incarnation of the worker to survey.
     address : Address
-        Where it takes orders.
+        Address at which the worker accepts orders.
     lease : Lease
-        Its lease, shared with the scheduler.
+        Lease of the worker, shared with the scheduler.
     context : LinkContext
-        What every link uses.
+        Client, settings and callbacks shared by all links.
     fence : int
-        Number that its orders carry; above those of the incarnations before.
+        Fencing token sent with orders; greater than those of previous incarnations.
     """
 
     def __init__(
         self, incarnation: WorkerIncarnation, address: Address, lease: Lease, context: LinkContext, fence: int = 0
     ) -> None:
-        """Start without having asked anything."""
+        """Initialize the link without contacting the worker."""
         self.incarnation = incarnation
         self.address = address
         self.acknowledged = 0
         self.listed = 0
         self.processed = 0
-        # When the last acknowledgement was sent that got no answer; it may be carried out late.
+        # When the last unanswered acknowledgement was sent; the worker may still process it later.
         self.unanswered_at_s = -math.inf
-        # When it was taken over from the previous owner, which may have sent it an acknowledgement without an answer.
+        # When the worker was inherited from the previous owner, which may have sent it an acknowledgement
+        # that was never answered.
         self.inherited_at_s = -math.inf
-        # Whether ends are taken to be listed where something runs: the previous owner had tried the worker then.
+        # Whether a survey that lists running tasks shows that the worker lists ends too: the previous owner
+        # had probed it before it started anything there.
         self.is_trusted_at_work = False
-        # When a survey was answered last.
+        # When the last survey was answered.
         self.last_contact_s = -math.inf
-        # The ends that the latest answer listed.
+        # Numbers of the ends listed in the latest answer.
         self._listed_numbers: tuple[int, ...] = ()
         self._acknowledgement_event = anyio.Event()
         self._worker_id = incarnation.worker_id
@@ -71,9 +73,9 @@
         self._is_idle = False
         self._session = context.client.session(address, incarnation, fence)
         self._contact = Contact(self._session, incarnation.worker_id, lease, context)
-        # Ends the survey that is under way, when there are updates of the worker.
+        # Aborts the pending survey when completed: the worker may have restarted, or a hedge was answered.
         self._survey_abort: asyncio.Future[None] | None = None
-        # An answer to a hedge of the survey that is under way.
+        # Answer to a hedge of the pending survey.
         self._hedge_answer: Survey | OrderStatus | None = None
         self._hedge_scope = anyio.CancelScope()
         self._is_acknowledging = False
@@ -81,7 +83,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the worker has said that it leaves."""
+        """Whether the worker has announced that it is shutting down."""
         return self._contact.is_draining
 
     @is_draining.setter
@@ -90,7 +92,7 @@
 
     @property
     def is_overfull(self) -> bool:
-        """Whether the worker holds more than it says it has."""
+        """Whether the running tasks exceed the capacity that the worker reports."""
         return self._contact.is_overfull
 
     @is_overfull.setter
@@ -99,7 +101,7 @@
 
     @property
     def may_hide_ends(self) -> bool:
-        """Whether the worker may never list ends that are yet to come."""
+        """Whether the worker may fail to list future ends."""
         return self._contact.may_hide_ends
 
     @may_hide_ends.setter
@@ -108,11 +110,11 @@
 
     @property
     def unanswered_starts(self) -> dict[TaskKey, float]:
-        """When the last try of a start was sent that got no answer, by task."""
+        """Time at which the last unanswered start request was sent, by task."""
         return self._contact.unanswered_starts
 
     async def run(self) -> None:
-        """Survey until closed."""
+        """Survey the worker until the link is closed."""
         try:
             with self._contact.cancel_scope:
                 async with anyio.create_task_group() as tasks:
@@ -123,23 +125,23 @@
             self._session.close()
 
     def close(self) -> None:
-        """Stop surveying."""
+        """Cancel the surveys and all pending orders."""
         self._contact.cancel_scope.cancel()
 
     def look_again(self) -> None:
-        """Survey at once: the worker may have started again."""
+        """Abort the pending survey and start a new one, e.g. because the worker may have restarted."""
         if self._survey_abort is not None and not self._survey_abort.done():
             self._survey_abort.set_result(None)
 
     def acknowledge(self, number: int) -> None:
-        """Let ends up to a number be acknowledged: they are kept."""
+        """Acknowledge ends up to a number in the next survey: the store holds them."""
         if number > self.acknowledged:
             self.acknowledged = number
             acknowledgement_event, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
             acknowledgement_event.set()
 
     def start(self, effect: StartRun, payload: str) -> None:
-        """Order a start; one that comes after the incarnation has ended never runs."""
+        """Send a start order; once the incarnation has ended, report that the run will never start."""
         if self._tasks is None or self._contact.cancel_scope.cancel_called:
             self._context.post(RunNever(self._worker_id, effect.key, effect.run))
             return
@@ -147,7 +149,7 @@
         self._tasks.start_soon(self._orders.start, effect, payload)
 
     def stop(self, effect: StopRun) -> None:
-        """Order a stop."""
+        """Send a stop order."""
         assert self._tasks is not None  # noqa: S101
         self._tasks.start_soon(self._orders.stop, effect.key, effect.run)
 
@@ -156,8 +158,8 @@
         settings = context.settings
         survey_start = SurveyStart(context.clock(), self._contact.clock_s)
         wait_s = self._survey_wait_s()
-        # A worker that does not answer is not given more time: its lease must end
-        # at some point for its runs to start elsewhere.
+        # The lease of a worker that does not answer is not renewed: it has to expire
+        # before its runs can start elsewhere.
         may_renew = context.may_order() and not self._contact.failures
         lease_end_s = self._contact.lease_end(self._lease_duration_s) if may_renew else None
         try:
@@ -176,32 +178,35 @@
         self._contact.record_answer()
         self.last_contact_s = context.clock()
         if not self._lease.has_reading:
-            # Until this answer a previous owner may have given the longest lease.
+            # Before this answer a previous owner may have granted the longest possible lease.
             self._lease.assume_held(settings.hold_s, context.clock())
         self._contact.record_clock(survey.clock_s)
         self._process_survey(survey, survey_start)
         if lease_end_s is not None or not context.may_order():
-            # One that renewed no lease, the first and any after a failure, is followed
-            # at once by one that does.
+            # The first survey and any after a failure renew no lease, so the next one
+            # follows immediately to renew it.
             await self._await_acknowledgement(survey)
 
     @property
     def _last_acknowledgeable(self) -> int:
-        """Number of the last end that is kept and still listed.
+        """Number of the last end that the store holds and the worker still lists.
 
-        What was acknowledged already is not again: an acknowledgement that gets no
-        answer may be carried out late, by another incarnation.
+        Ends that the worker no longer lists are not acknowledged again: an unanswered
+        acknowledgement may be processed late, by another incarnation.
         """
         return max((number for number in self._listed_numbers if number <= self.acknowledged), default=0)
 
     @property
     def _lease_duration_s(self) -> float:
-        """Lease that a survey gives."""
+        """Duration of the lease that a survey grants."""
         settings = self._context.settings
         return settings.draining_lease_s if self.is_draining else settings.hold_s
 
     async def _survey_with_hedge(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
-        """Ask what runs, and ask again beside that when the answer is late; tell of a second late one."""
+        """Survey the worker, with a hedged request when the answer is late.
+
+        The worker is reported silent when the answer is late after an earlier failure.
+        """
         context = self._context
         late_s = wait_s + context.settings.answer_s
         loop = asyncio.get_running_loop()
@@ -214,11 +219,12 @@
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
         acknowledged = self._last_acknowledgeable
-        # An acknowledgement that got no answer has the worker's next incarnation probed: its own is waited for.
+        # After an unanswered acknowledgement the worker's next incarnation has to be probed, so a survey
+        # that acknowledges is not aborted when a hedge is answered.
         self._is_acknowledging = bool(acknowledged)
         earlier_s = self.unanswered_at_s
         if acknowledged:
-            # Other calls may close this link before it is answered.
+            # Set before sending: other calls may close this link before the answer arrives.
             self.unanswered_at_s = context.clock()
         try:
             survey = await self._session.survey(
@@ -233,7 +239,7 @@
             raise
         except (WorkerUnansweredError, WorkerUnreachableError) as error:
             if isinstance(error, WorkerUnreachableError):
-                # It was never sent: a worker is asked first which incarnation it is.
+                # The survey was never sent: the handshake that identifies the incarnation comes first.
                 self.unanswered_at_s = earlier_s
             if self._hedge_answer is None:
                 raise
@@ -246,13 +252,13 @@
         return survey
 
     def _start_hedge(self, left_s: float) -> None:
-        """Ask again beside a survey whose answer is late: where answers are lost it never comes."""
+        """Start a hedge of a survey whose answer is late and may have been lost."""
         if self._tasks is not None:
             self._hedge_scope = anyio.CancelScope()
             self._tasks.start_soon(self._run_hedge, self._hedge_scope, left_s)
 
     async def _run_hedge(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
-        """Ask what runs, and nothing else, until an answer comes in some time."""
+        """Send surveys without lease or acknowledgement until one is answered or the time is used up."""
         answer_s = self._hedge_delay_s
         with cancel_scope:
             while left_s > 0:
@@ -265,7 +271,7 @@
                     answer_s += answer_s
                     continue
                 except WORKER_FAILURES as error:
-                    # The survey itself fails likewise, or its answer comes.
+                    # The hedged survey either fails in the same way or is answered.
                     log_event('hedge_failed', worker=self._worker_id, why=str(error))
                     return
                 if not self._is_acknowledging:
@@ -274,7 +280,7 @@
 
     @property
     def _hedge_delay_s(self) -> float:
-        """How long an answer is late before the worker is asked again, beside."""
+        """Delay after which a survey without an answer is hedged."""
         settings = self._context.settings
         return settings.hedge_delay_s if self._lease.has_reading else settings.first_hedge_delay_s
 
@@ -283,20 +289,20 @@
             self._context.post(WorkerSilent(self._worker_id))
 
     def _answer_timeout_s(self) -> float:
-        """Return how long the answer to the next survey is waited for.
+        """Return the answer timeout of the next survey.
 
-        It doubles with each failure: where answers come late, from the worker or to
-        an owner that has little processor time, a wait that stays the same gets
-        none of them, and what they listed runs again elsewhere.
+        It doubles with each failure. With a constant timeout, a worker that is slow to
+        answer, or an owner short of processor time, would miss every answer, and the
+        tasks listed in them would be run again elsewhere.
         """
         settings = self._context.settings
         doublings = min(self._contact.failures, _MAX_DOUBLINGS)
         return min(settings.answer_s * (1 << doublings), settings.max_answer_s)
 
     def _survey_wait_s(self) -> float:
-        """Return how long the next survey waits at the worker for an end."""
+        """Return how long the worker may delay its answer to the next survey until a run ends."""
         has_updates = self.listed > self.acknowledged or not self._lease.has_reading
-        # An acknowledgement is not under way for longer than it has to be.
+        # Acknowledgements are sent without a wait to keep the time in which they are unanswered short.
         if has_updates or self._contact.failures or self._last_acknowledgeable:
             return 0.0
         if self._orders.has_unresolved_stops:
@@ -308,7 +314,7 @@
         return min(longest_s, self._orders.max_survey_wait_s())
 
     async def _await_acknowledgement(self, survey: Survey) -> None:
-        """Wait until ends are kept: a survey before that lists them again at once."""
+        """Wait until the listed ends are stored: a survey before that would list them again immediately."""
         if self.listed > self.acknowledged:
             settings = self._context.settings
             pause_s = max(
@@ -339,8 +345,8 @@
             return
         if self._contact.failures == FAILURES_UNTIL_SILENT:
             log_event('worker_silent', worker=self._worker_id, why=str(error))
-        # A missing entry and a closed port do not tell that a worker is gone: both
-        # are seen of one behind a cut, which runs on until its lease ends.
+        # A missing entry or a closed port does not prove that a worker is gone: both
+        # also occur during a network partition, where it runs on until its lease ends.
         self._context.post(WorkerSilent(self._worker_id))
         if self._lease.has_reading or not isinstance(error, WorkerUnansweredError):
             await anyio.sleep(self._context.settings.retry_s)
@@ -355,13 +361,13 @@
         await anyio.sleep(self._context.settings.retry_s)
 
 
-# Doublings of a wait after which only its bound counts.
+# Maximum number of doublings of the answer timeout; by then max_answer_s applies.
 _MAX_DOUBLINGS = 8
-# Surveys in the duration of a lease, however seldom: one or two may be lost.
+# Minimum number of surveys per lease duration, so that one or two may be lost.
 _SURVEYS_PER_LEASE = 3
-# How long a survey waits at a worker while a stop there is not over, in seconds: it is
-# answered at once when that ends. Asked as often without waiting, workers told of the
-# end 0.08 s later in the mean, and urgent work that waited for it began that late.
+# Longest wait of a survey at a worker while a stop is unresolved, in seconds. The worker
+# answers as soon as the run ends. Polling at the same interval without a wait reported
+# the end 0.08 s later on average, and delayed the urgent work waiting for it by as much.
 _STOP_POLL_S = 0.15
-# The same where an end may come of which the worker does not tell, in seconds.
+# Longest wait of a survey at a worker that may not report ends, in seconds.
 _HIDDEN_END_POLL_S = 0.4
