--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -1,4 +1,4 @@
-"""What all links to workers share: times, turns and whom they tell."""
+"""Settings and context shared by all links to workers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,48 +12,51 @@
 
 
 class LinkSettings(NamedTuple):
-    """Times in seconds.
+    """Timeouts and intervals of a link to a worker, in seconds.
 
     Parameters
     ----------
     hold_s : float
-        Lease given by each survey: the longest that workers allow, so that
-        work outlasts a takeover and an outage.
-    draining_hold_s : float
-        Lease on a worker that leaves: once it is gone its runs start
-        elsewhere soon.
-    start_hold_s : float
-        Lease that a start carries: a start that is carried out later than
-        this is refused by the worker as late.
+        Duration of the lease granted by each survey: the maximum that workers
+        allow, so that runs survive a takeover or an outage.
+    draining_lease_s : float
+        Lease duration on a draining worker: short, so that its runs start
+        elsewhere soon after it is gone.
+    start_lease_s : float
+        Lease duration carried by a start order: a worker that processes the
+        order after its end refuses it as late.
     wait_s : float
-        How long a survey waits for an end; also how old progress may be.
+        How long a worker delays the answer to a survey until a run ends; also
+        the maximum age of reported progress.
     idle_wait_s : float
-        The same where nothing runs: the longest that workers allow.
+        The same for a worker on which nothing runs: the maximum that workers allow.
     answer_s : float
-        Longest wait for an answer beside that: a lost packet is sent again
-        within it.
-    longest_answer_s : float
-        The same after waits that were too short. A worker that answers later than
-        this counts as silent, and its runs start elsewhere once its lease has ended.
-    hedge_s, first_hedge_s : float
-        After how long a survey whose answer is late is asked again, beside it, and
-        the same before the worker's first answer; twice as long after each time.
-    order_s : float
-        Longest wait for the answer to the first try of a start: a worker
-        answers in milliseconds, and the same start may be ordered again.
-    order_tries : int
-        Tries of a start before it is taken back.
-    turn_wait_s : float
-        Longest wait of a start for its turn at a worker that leaves starts
-        unanswered: its task may start elsewhere meanwhile.
+        Answer timeout in addition to that wait: long enough for a lost packet
+        to be retransmitted.
+    max_answer_s : float
+        Upper bound of the answer timeout, which grows after failures. A worker that
+        takes longer counts as silent, and its runs start elsewhere once its lease
+        has ended.
+    hedge_delay_s, first_hedge_delay_s : float
+        Delay after which a late survey is hedged, and the same before the worker's
+        first answer. It doubles with each hedge of a survey.
+    start_timeout_s : float
+        Answer timeout of the first try of a start: a worker answers within
+        milliseconds, and the order can be repeated safely.
+    max_start_tries : int
+        Maximum number of tries of a start before it is revoked.
+    max_turn_wait_s : float
+        Maximum time that a start waits for its turn at a worker that leaves starts
+        unanswered; a start that waits longer is dropped, as its task may start
+        elsewhere.
     retry_s : float
-        Pause after a survey that failed.
-    unacknowledged_s : float
-        Longest wait for ends to be kept before the next survey, which lists
-        them again.
-    listed_again_s : float
-        The same for each of them, where that is longer: after a minute without
-        the store thirty on each of 176 workers were 0.7 MB/s.
+        Pause after a failed survey.
+    max_acknowledgement_wait_s : float
+        Maximum wait for listed ends to be stored before the next survey, which
+        lists them again.
+    acknowledgement_wait_per_end_s : float
+        The same per listed end, where that is longer: after a minute without the
+        store, relisting thirty ends on each of 176 workers took 0.7 MB/s.
     """
 
     hold_s: float = 6.0
@@ -74,13 +77,13 @@
 
 
 class StartTurns(NamedTuple):
-    """Tries of starts that may be under way at one time: urgent ones wait for none but their like."""
+    """Concurrency limits of start requests; urgent ones have their own, so that others never delay them."""
 
     urgent: anyio.Semaphore
     other: anyio.Semaphore
 
     def limit_for(self, *, is_urgent: bool) -> anyio.Semaphore:
-        """Return what bounds tries of a rank."""
+        """Return the limit for urgent or for other starts."""
         return self.urgent if is_urgent else self.other
 
 
@@ -89,28 +92,28 @@
 
 
 class LinkContext(NamedTuple):
-    """What every link uses.
+    """Client, settings and callbacks shared by all links to workers.
 
     Parameters
     ----------
     client : WorkerClient
-        Calls of workers.
+        Client for requests to workers.
     epoch : int
-        Epoch of the owner.
+        Epoch of this owner.
     settings : LinkSettings
-        Times.
+        Timeouts and intervals.
     metrics : Metrics
-        Counters.
+        Metrics of this instance.
     post : callable
-        Hands a message to the task that decides.
-    fenced : callable
-        Called when a worker has seen a newer owner.
+        Passes a message to the scheduling task.
+    on_fenced : callable
+        Called when a worker refuses a request because it has seen a newer owner.
     clock : callable
         Steady clock.
     turns : StartTurns
-        Bounds the starts under way on all links together.
+        Limits of concurrent start requests over all links.
     may_order : callable
-        Tells whether this instance surely owns the pool now.
+        Returns whether this instance is certain to own the pool now.
     """
 
     client: WorkerClient
