--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -1,4 +1,4 @@
-"""What is known of the contact with one incarnation of a worker."""
+"""Connection state of one incarnation of a worker."""
 
 import math
 
@@ -13,46 +13,46 @@
 from .link_settings import LinkContext
 from .messages import WorkerOver, WorkerReplaced
 
-# Failed surveys in a row after which a worker counts as silent.
+# Number of consecutive failed surveys after which a worker counts as silent.
 FAILURES_UNTIL_SILENT = 2
 
 
 class Contact:
-    """Shared by the surveys of a worker and the orders to it.
+    """Connection state shared by the surveys of a worker and the orders to it.
 
     Parameters
     ----------
     session : WorkerSession
-        Calls of this incarnation.
+        Session with this incarnation.
     worker_id : str
         Identifier of this incarnation.
     lease : Lease
-        Its lease, shared with the scheduler.
+        Lease of the worker, shared with the scheduler.
     context : LinkContext
-        What every link uses.
+        Client, settings and callbacks shared by all links.
 
     Attributes
     ----------
     clock_s : float
-        Latest reading of its clock.
+        Latest reading of the worker's clock.
     failures : int
-        Surveys in a row that failed.
-    answer : Event
-        Set when a survey is answered, and then replaced.
+        Number of consecutive failed surveys.
+    survey_answered : Event
+        Set and replaced by a new event each time a survey is answered.
     is_draining : bool
-        Whether the worker has said that it leaves.
+        Whether the worker has announced that it is shutting down.
     is_overfull : bool
-        Whether it holds more than it says it has: its room has shrunk.
+        Whether running tasks exceed the capacity that the worker reports, because it has shrunk.
     may_hide_ends : bool
-        Whether ends may never be listed; until one is, a run is stopped as soon as it has started.
+        Whether the worker may fail to list ends. Until it lists one, each run is stopped right after its start.
     unanswered_starts : dict
-        When the last try of a start was sent that got no answer, by task, whatever became of others.
-    scope : CancelScope
-        Ends all that is under way with this incarnation.
+        Time at which the last unanswered start request was sent, by task, regardless of later answered ones.
+    cancel_scope : CancelScope
+        Cancels all surveys and orders of this incarnation.
     """
 
     def __init__(self, session: WorkerSession, worker_id: str, lease: Lease, context: LinkContext) -> None:
-        """Start without an answer."""
+        """Initialize the state of a worker that has not answered yet."""
         self.session = session
         self.worker_id = worker_id
         self.lease = lease
@@ -68,11 +68,11 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether surveys have failed often enough."""
+        """Whether enough consecutive surveys have failed for the worker to count as silent."""
         return self.failures >= FAILURES_UNTIL_SILENT
 
     def record_answer(self) -> None:
-        """Note that a survey was answered."""
+        """Reset the count of failures and wake the tasks that wait for an answered survey."""
         if self.is_silent:
             log_event('worker_answers_again', worker=self.worker_id, failures=self.failures)
         self.failures = 0
@@ -80,7 +80,7 @@
         answer.set()
 
     def report_ended(self, error: WorkerReplacedError) -> None:
-        """Tell that this incarnation of the worker has ended for certain, and who answered in its place."""
+        """Report that this incarnation has certainly ended, with its successor if known, and cancel its tasks."""
         if error.successor is None:
             self.context.post(WorkerOver(self.worker_id))
         else:
@@ -88,13 +88,13 @@
         self.cancel_scope.cancel()
 
     def lease_end(self, hold_s: float) -> float | None:
-        """Return the end, on the worker's clock, of a lease from now; nothing before its clock was read."""
+        """Return the end of a lease that begins now, on the worker's clock; None before the first reading of it."""
         if not self.lease.has_reading:
             return None
         return self.lease.until(hold_s, self.context.clock())
 
     def record_clock(self, clock_s: float | None) -> None:
-        """Take a reading of the worker's clock from an answer."""
+        """Record a reading of the worker's clock from an answer, if it has one."""
         if clock_s is not None:
             self.clock_s = clock_s
             self.lease.read(clock_s, self.context.clock())
