--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -1,4 +1,4 @@
-"""How starts wait for their turns, and for how long they did."""
+"""Concurrency limits of start requests, with metrics and log lines on the wait for them."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -13,34 +13,34 @@
 from .contact import Contact
 from .link_settings import StartTurns
 
-# Tries under way at one worker: with more of them a few workers that answer
-# nothing would take the turns of all others.
+# Maximum number of concurrent tries at one worker, for urgent and for other starts each:
+# with more, a few unresponsive workers would occupy the turns of all others.
 _MAX_TRIES_PER_WORKER = 4
-# How long a try counts as under way, in seconds: a link has carried it by then,
-# whether it is answered or not.
+# Longest time for which a try holds its turn, in seconds: the request has crossed
+# the network by then, whether or not it is answered.
 _TRY_SLOT_S = 0.3
-# A start that waits longer for its turn is logged, in seconds.
+# Wait for a turn above which a start is logged, in seconds.
 _LOG_THRESHOLD_S = 1.0
-# Shortest time between two such lines about one worker, in seconds.
+# Minimum interval between two such lines about one worker, in seconds.
 _LOG_INTERVAL_S = 1.0
 
 
 class TurnQueue:
-    """The starts to one worker that wait for their turn among those to all workers.
+    """Limits the concurrent start requests to one worker and, with the other queues, to all workers.
 
     Parameters
     ----------
     contact : Contact
-        The worker.
+        Connection state of the worker.
 
     Attributes
     ----------
-    leaves_unanswered : bool
-        Whether the last try got no answer: one at a time is sent then.
+    is_last_try_unanswered : bool
+        Whether the last try got no answer; tries are then sent one at a time.
     """
 
     def __init__(self, contact: Contact) -> None:
-        """Start empty."""
+        """Initialize an empty queue."""
         self.is_last_try_unanswered = False
         self._contact = contact
         self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
@@ -50,7 +50,7 @@
 
     @asynccontextmanager
     async def turn(self, effect: StartRun) -> AsyncGenerator[None, None]:
-        """Wait for the turn of a try, and hold it until the block ends or the try no longer counts as under way."""
+        """Wait for the turn of a try and hold it until the block ends, at most for ``_TRY_SLOT_S``."""
         context = self._contact.context
         is_urgent = effect.rank <= RANK_URGENT
         queue = 'urgent' if is_urgent else 'other'
