--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -1,4 +1,4 @@
-"""Starts of one worker that have got no answer yet."""
+"""Unanswered start orders to one worker."""
 
 import math
 from collections.abc import Collection
@@ -9,50 +9,51 @@
 
 
 class UnansweredStarts:
-    """Tells which starts without an answer may still be carried out.
+    """Tracks unanswered starts that the worker may still process.
 
-    Each carries the end of its lease, after which the worker refuses it. So a list
-    of runs that was asked for once the worker's clock was past that rules it out.
+    Each start carries the end of its lease, after which the worker refuses it. A list
+    of runs that was requested when the worker's clock had passed that end therefore
+    rules out the starts that it does not contain.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
-        # Ends of their leases, on the worker's clock.
+        """Initialize without unanswered starts."""
+        # Lease ends of the starts, on the worker's clock.
         self._lease_end_by_run: dict[RunId, float] = {}
         self._overdue: set[RunId] = set()
 
     def __contains__(self, run: RunId) -> bool:
-        """Tell whether it is not known what became of a start."""
+        """Return whether the outcome of a start is still unknown."""
         return run in self._lease_end_by_run
 
     @property
     def earliest_overdue_end_s(self) -> float:
-        """When the first lease of those ends whose answer is late, on the worker's clock; infinite without any."""
+        """Earliest lease end of starts with an overdue answer, on the worker's clock; infinite without any."""
         return min((self._lease_end_by_run[run] for run in self._overdue), default=math.inf)
 
     def add(self, run: RunId, lease_end_s: float) -> None:
-        """Note that a start is sent, and when its lease ends."""
+        """Add a start that is about to be sent, with the end of its lease."""
         self._lease_end_by_run[run] = lease_end_s
 
     def mark_overdue(self, run: RunId) -> None:
-        """Note that a start got no answer in time."""
+        """Mark a start as not answered in time."""
         if run in self._lease_end_by_run:
             self._overdue.add(run)
 
     def discard(self, run: RunId) -> bool:
-        """Note that it is known what became of a start; tell whether it was not."""
+        """Remove a start whose outcome is known; return whether it was unknown until now."""
         self._overdue.discard(run)
         return self._lease_end_by_run.pop(run, None) is not None
 
     def reconcile(self, known: Collection[RunId], asked_at_s: float) -> list[RunId]:
-        """Take in a list of runs; return the starts that it rules out.
+        """Resolve starts from a list of the worker's runs; return those that it rules out.
 
         Parameters
         ----------
         known : collection of RunId
-            What it lists, running or ended.
+            Listed runs, running or ended.
         asked_at_s : float
-            A time that the worker's clock had reached when the list was asked for.
+            Lower bound of the worker's clock when the list was requested.
         """
         for run in known:
             self.discard(run)
