--- a/packages/node/dahliaarch_node/owner/committing.py
+++ b/packages/node/dahliaarch_node/owner/committing.py
@@ -1,4 +1,4 @@
-"""Makes the owner's transactions: at the store, or through instances that the store does not turn away."""
+"""Commits the owner's transactions to the store, directly or relayed by other instances."""
 
 from collections.abc import Callable, Sequence
 from itertools import islice
@@ -15,12 +15,12 @@
 
 from ..logs import log_event
 
-# Other instances that are tried with one transaction, at most.
+# Maximum number of other instances through which one transaction is tried.
 _MAX_RELAYS = 2
 
 
 class Commit(Protocol):
-    """Makes a transaction, or tells by its failure whether it may have been made."""
+    """Commits a transaction; the error raised tells whether it may have been applied."""
 
     async def __call__(
         self,
@@ -30,26 +30,26 @@
         *,
         timeout_s: float,
     ) -> CommitResult:
-        """Apply a change under conditions, all of it or nothing."""
+        """Apply a conditional change atomically."""
 
 
 class Committer:
-    """Makes transactions where that is possible.
+    """Commits transactions to the store, or through other instances if it refuses or can't be reached.
 
-    A store may turn the owner away and serve other instances. Until its lease ends and
-    one of them owns the pool, the owner goes on through them: the conditions of its
-    transactions hold whoever makes them.
+    The store may refuse the owner and still serve other instances. Until its lease ends
+    and another instance owns the pool, the owner relays its transactions through them.
+    This is safe because the conditions of a transaction apply whichever instance commits it.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     relays : callable
-        Returns the ways to have a transaction made by other instances now.
+        Returns functions that commit through the other instances available now.
     """
 
     def __init__(self, store: StoreClient, relays: Callable[[], Sequence[Commit]]) -> None:
-        """Start with the store alone."""
+        """Initialize with the client of the store and the source of relays."""
         self._store = store
         self._relays = relays
 
@@ -61,14 +61,14 @@
         *,
         timeout_s: float,
     ) -> CommitResult:
-        """Apply a change under conditions, all of it or nothing.
+        """Apply a conditional change atomically.
 
         Raises
         ------
         StoreRefusedError, StoreUnreachableError
-            When it was certainly not made.
+            If the change was certainly not applied.
         StoreUnansweredError
-            When it may have been made.
+            If the change may have been applied.
         """
         try:
             return await self._store.commit(conditions, writes, removals, timeout_s=timeout_s)
