--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what the scheduler decided."""
+"""Executes the decisions of the scheduler."""
 
 from collections.abc import Callable
 from functools import singledispatchmethod
@@ -15,27 +15,27 @@
 
 
 class Effects:
-    """Hands each decision to the link or the adviser that it is for, with a log line.
+    """Dispatches each decision to the worker link or the adviser concerned, and logs it.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Knows the jobs.
+        Scheduler, which holds the jobs and assignments.
     links : Links
         Links to workers.
     adviser : Adviser
-        Asks the outside policy.
+        Client of the external policy.
     post : callable
-        Hands a message to the task that decides.
+        Passes a message to the scheduling task.
     metrics : Metrics
-        Counters.
+        Metrics of this instance.
     now : callable
-        Returns the present time.
+        Returns the current time.
 
     Attributes
     ----------
     held_starts : HeldStarts
-        Starts whose assignments are not kept yet.
+        Starts whose assignments the store does not hold yet.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         metrics: Metrics,
         now: Callable[[], Moment],
     ) -> None:
-        """Keep whom decisions are handed to."""
+        """Initialize without held starts."""
         self.held_starts = HeldStarts(self._send_start)
         self._now = now
         self._metrics = metrics
@@ -58,7 +58,7 @@
 
     @singledispatchmethod
     def carry_out(self, effect: object) -> None:
-        """Carry out one decision."""
+        """Execute one decision."""
         raise NotImplementedError(type(effect).__name__)
 
     @carry_out.register
@@ -80,7 +80,7 @@
         self._adviser.ask(effect)
 
     def _send_start(self, held: HeldStart) -> None:
-        """Send a start whose assignment is kept."""
+        """Send a start whose assignment is stored."""
         start = held.start
         now = self._now()
         self._metrics.start_hold_s.observe(now.steady_s - held.since_s)
@@ -104,7 +104,7 @@
 
     @singledispatchmethod
     def tell(self, note: object) -> None:
-        """Log what became of a run or a task."""
+        """Log an event of a run, a task or a waiting step."""
         raise NotImplementedError(type(note).__name__)
 
     @tell.register
