--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -1,7 +1,7 @@
-"""Asks the outside policy for workers, on several instances at a time.
+"""Requests advice on workers from the external policy, through several instances concurrently.
 
-The policy works on one call of an instance at a time, each for half a second or
-so. The others have nothing to ask it, so that the owner asks through them too.
+The policy processes one call per instance at a time and takes about half a second
+for each. Other instances make no calls of their own, so the owner also asks through them.
 """
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -14,31 +14,31 @@
 from ..logs import log_event
 from .messages import AdviceFailed, AdviceGiven, OwnerMessage
 
-# Longest wait beside the time that the policy says it takes, in seconds.
+# Timeout of a call in addition to the decision time stated by the policy, in seconds.
 _EXTRA_WAIT_S = 1.0
-# Calls that may wait here: more are failed at once, and asked again later.
+# Maximum number of queued questions; further ones fail immediately and are asked again later.
 _MAX_QUEUED = 32
-# Calls under way at one time.
+# Maximum number of concurrent calls.
 _MAX_CALLS = 8
-# How often it is looked whether there are more instances to ask through, in seconds.
+# Interval of checks for further instances to ask through, in seconds.
 _ASKERS_POLL_S = 0.5
 
 Ask = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
 
 class Adviser:
-    """Hands questions to the instances that can ask the policy, each in turn.
+    """Distributes questions over the instances that can reach the policy, one at a time to each.
 
     Parameters
     ----------
     askers : callable
-        Returns the ways to ask now, this instance's own first: each takes the
-        step's name, the workers and the longest wait in seconds, returns tickets
-        by worker and raises one of ADVICE_FAILURES.
+        Returns the functions to ask with now, this instance's own first. Each takes
+        the step's name, the workers and a timeout in seconds, returns tickets by
+        worker and raises one of ADVICE_FAILURES.
     post : callable
-        Hands a message to the task that decides.
+        Passes a message to the scheduling task.
     name_of : callable
-        Returns the name that the policy knows a worker by.
+        Returns the name under which the policy knows a worker.
     clock : callable
         Steady clock.
     """
@@ -50,7 +50,7 @@
         name_of: Callable[[str], str],
         clock: Callable[[], float],
     ) -> None:
-        """Start without questions."""
+        """Initialize with an empty queue."""
         self._askers = askers
         self._post = post
         self._name_of = name_of
@@ -58,23 +58,23 @@
         self._question_sender, self._question_receiver = anyio.create_memory_object_stream[AskAdvice](_MAX_QUEUED)
 
     def ask(self, question: AskAdvice) -> None:
-        """Queue a question."""
+        """Queue a question, or report its failure if the queue is full."""
         try:
             self._question_sender.send_nowait(question)
         except anyio.WouldBlock:
             self._report_failure(question, 'too many questions wait')
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Process questions until cancelled."""
         async with anyio.create_task_group() as tasks:
             for number in range(_MAX_CALLS):
                 tasks.start_soon(self._process_questions, number)
 
     async def _process_questions(self, number: int) -> None:
-        """Ask through one of the instances, one question at a time.
+        """Process questions one at a time through one of the instances.
 
-        Two at a time through one instance would wait in turn at the policy, which
-        works on those that were given up too: repeats lengthen its queue.
+        The policy would serialize concurrent questions of one instance. It also processes
+        calls that have timed out, so that retries lengthen its queue.
         """
         while True:
             while number >= max(1, len(self._askers())):
@@ -90,7 +90,7 @@
         terms = question.terms
         decision_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
         step = '.'.join(str(part) for part in question.step)
-        # A ticket is for the incarnation that the worker has when the policy is asked.
+        # A ticket is valid for the worker's incarnation at the time of the question.
         id_by_name = {self._name_of(worker_id): worker_id for worker_id in question.worker_ids}
         try:
             ticket_by_name = await ask(step, tuple(id_by_name), decision_s + _EXTRA_WAIT_S)
