--- a/packages/node/dahliaarch_node/owner/end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/end_notifier.py
@@ -1,23 +1,23 @@
-"""Wakes those who wait for the end of a job."""
+"""Notifies tasks that wait for the end of a job."""
 
 import anyio
 
 
 class EndNotifier:
-    """Events by job, each there only while somebody waits for it."""
+    """Events by job, each kept only while a task waits for it."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Initialize without waiting tasks."""
         self._event_by_job: dict[str, anyio.Event] = {}
 
     def notify(self, job_id: str) -> None:
-        """Wake all who wait for the end of a job."""
+        """Wake all tasks that wait for the end of a job."""
         event = self._event_by_job.pop(job_id, None)
         if event is not None:
             event.set()
 
     async def wait(self, job_id: str, wait_s: float) -> None:
-        """Wait for the end of a job, at most ``wait_s``."""
+        """Wait for the end of a job, at most ``wait_s`` seconds."""
         event = self._event_by_job.setdefault(job_id, anyio.Event())
         with anyio.move_on_after(wait_s) as scope:
             await event.wait()
