--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -62,7 +62,7 @@
         try:
             self._question_sender.send_nowait(question)
         except anyio.WouldBlock:
-            self._report_failure(question, 'too many questions wait')
+            self._report_failure(question, 'question queue is full')
 
     async def run(self) -> None:
         """Process questions until cancelled."""
@@ -84,7 +84,7 @@
             if askers:
                 await self._request_advice(question, askers[number % len(askers)])
             else:
-                self._report_failure(question, 'the settings name no policy')
+                self._report_failure(question, 'no policy is configured')
 
     async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
         terms = question.terms
