--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -15,7 +15,7 @@
 
 # Maximum number of concurrent tries at one worker, for urgent and for other starts each:
 # with more, a few unresponsive workers would occupy the turns of all others.
-_MAX_TRIES_PER_WORKER = 4
+_MAX_ATTEMPTS_PER_WORKER = 4
 # Longest time for which a try holds its turn, in seconds: the request has crossed
 # the network by then, whether or not it is answered.
 _TRY_SLOT_S = 0.3
@@ -99,4 +99,4 @@
 
 
 def _worker_limit() -> anyio.Semaphore:
-    return anyio.Semaphore(_MAX_TRIES_PER_WORKER, fast_acquire=True)
+    return anyio.Semaphore(_MAX_ATTEMPTS_PER_WORKER, fast_acquire=True)
