--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -18,7 +18,7 @@
 _MAX_ATTEMPTS_PER_WORKER = 4
 # Longest time for which a try holds its turn, in seconds: the request has crossed
 # the network by then, whether or not it is answered.
-_TRY_SLOT_S = 0.3
+_ATTEMPT_SLOT_S = 0.3
 # Wait for a turn above which a start is logged, in seconds.
 _LOG_THRESHOLD_S = 1.0
 # Minimum interval between two such lines about one worker, in seconds.
@@ -58,7 +58,7 @@
         with ExitStack() as slots:
             with context.metrics.waiting_starts.labels(queue).track_inprogress():
                 await self._acquire_slot(slots, is_urgent=is_urgent)
-            timer = asyncio.get_running_loop().call_later(_TRY_SLOT_S, slots.close)
+            timer = asyncio.get_running_loop().call_later(_ATTEMPT_SLOT_S, slots.close)
             slots.callback(timer.cancel)
             self._record_wait(effect, queue, asked_s, context.clock())
             yield
