--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -44,7 +44,7 @@
         self.is_last_try_unanswered = False
         self._contact = contact
         self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
-        self._single_try_limit = anyio.Semaphore(1)
+        self._single_attempt_limit = anyio.Semaphore(1)
         self._last_log_s = float('-inf')
         self._late_starts = 0
 
@@ -69,7 +69,7 @@
         await shared.acquire()
         if self.is_last_try_unanswered:
             shared.release()
-            await _acquire(slots, self._single_try_limit)
+            await _acquire(slots, self._single_attempt_limit)
             await shared.acquire()
         slots.callback(shared.release)
 
