--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -137,7 +137,7 @@
                     self._unanswered.add(run, lease_end_s)
                 order = StartOrder(effect.key, effect.run, payload, lease_end_s, effect.checkpoint, effect.ticket)
                 status = await self._note_try(order, settings.answer_s if attempt else settings.start_timeout_s)
-            self._queue.is_last_try_unanswered = status is None
+            self._queue.is_last_attempt_unanswered = status is None
             if status is not None:
                 return self._handle_start_reply(effect, status, is_retry=attempt > 0)
             self._unanswered.mark_overdue(run)
@@ -159,7 +159,7 @@
     def _is_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Return whether a start became obsolete while it waited for its turn, and report that it never runs."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
-        if self._queue.is_last_try_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
+        if self._queue.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
             is_unavailable = True
         if not is_unavailable and (effect.key, effect.run) not in self._pending_stops:
             return False
--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -41,7 +41,7 @@
 
     def __init__(self, contact: Contact) -> None:
         """Initialize an empty queue."""
-        self.is_last_try_unanswered = False
+        self.is_last_attempt_unanswered = False
         self._contact = contact
         self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
         self._single_attempt_limit = anyio.Semaphore(1)
@@ -67,7 +67,7 @@
         shared = self._contact.context.turns.limit_for(is_urgent=is_urgent)
         await _acquire(slots, self._worker_limits.limit_for(is_urgent=is_urgent))
         await shared.acquire()
-        if self.is_last_try_unanswered:
+        if self.is_last_attempt_unanswered:
             shared.release()
             await _acquire(slots, self._single_attempt_limit)
             await shared.acquire()
