--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -69,7 +69,7 @@
     hedge_delay_s: float = 0.2
     first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
-    max_start_tries: int = 3
+    max_start_attempts: int = 3
     max_turn_wait_s: float = 0.4
     retry_s: float = 0.25
     max_acknowledgement_wait_s: float = 0.4
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -127,7 +127,7 @@
         run = effect.key, effect.run
         ordered_s = self._contact.context.clock()
         lease_end_s = 0.0
-        for attempt in range(settings.max_start_tries):
+        for attempt in range(settings.max_start_attempts):
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
