--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -72,7 +72,7 @@
     max_start_attempts: int = 3
     max_turn_wait_s: float = 0.4
     retry_s: float = 0.25
-    max_acknowledgement_wait_s: float = 0.4
+    acknowledgement_wait_s: float = 0.4
     acknowledgement_wait_per_end_s: float = 0.04
 
 
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -317,9 +317,7 @@
         """Wait until the listed ends are stored: a survey before that would list them again immediately."""
         if self.listed > self.acknowledged:
             settings = self._context.settings
-            pause_s = max(
-                settings.max_acknowledgement_wait_s, settings.acknowledgement_wait_per_end_s * len(survey.ended)
-            )
+            pause_s = max(settings.acknowledgement_wait_s, settings.acknowledgement_wait_per_end_s * len(survey.ended))
             with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_PER_LEASE)):
                 await self._acknowledgement_event.wait()
 
