--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -79,7 +79,7 @@
     def max_survey_wait_s(self) -> float:
         """Return the longest wait of the next survey, so that it soon determines the outcome of unanswered starts."""
         clock_s = self._contact.lease_end(0.0) or 0.0
-        lease_end_s = self._unanswered.earliest_overdue_end_s
+        lease_end_s = self._unanswered.earliest_overdue_lease_end_s
         if lease_end_s == math.inf:
             return lease_end_s
         return min(max(lease_end_s - clock_s, 0.0) + _MIN_POLL_S, _MAX_POLL_S)
--- a/packages/node/dahliaarch_node/owner/unanswered.py
+++ b/packages/node/dahliaarch_node/owner/unanswered.py
@@ -27,7 +27,7 @@
         return run in self._lease_end_by_run
 
     @property
-    def earliest_overdue_end_s(self) -> float:
+    def earliest_overdue_lease_end_s(self) -> float:
         """Earliest lease end of starts with an overdue answer, on the worker's clock; infinite without any."""
         return min((self._lease_end_by_run[run] for run in self._overdue), default=math.inf)
 
