--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -188,7 +188,7 @@
             await self._await_acknowledgement(survey)
 
     @property
-    def _last_acknowledgeable(self) -> int:
+    def _last_acknowledgeable_end(self) -> int:
         """Number of the last end that the store holds and the worker still lists.
 
         Ends that the worker no longer lists are not acknowledged again: an unanswered
@@ -218,7 +218,7 @@
         ]
         self._survey_abort = loop.create_future()
         self._hedge_answer = None
-        acknowledged = self._last_acknowledgeable
+        acknowledged = self._last_acknowledgeable_end
         # After an unanswered acknowledgement the worker's next incarnation has to be probed, so a survey
         # that acknowledges is not aborted when a hedge is answered.
         self._is_acknowledging = bool(acknowledged)
@@ -303,7 +303,7 @@
         """Return how long the worker may delay its answer to the next survey until a run ends."""
         has_updates = self.listed > self.acknowledged or not self._lease.has_reading
         # Acknowledgements are sent without a wait to keep the time in which they are unanswered short.
-        if has_updates or self._contact.failures or self._last_acknowledgeable:
+        if has_updates or self._contact.failures or self._last_acknowledgeable_end:
             return 0.0
         if self._orders.has_unresolved_stops:
             return _STOP_POLL_S
