--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -85,7 +85,7 @@
         return min(max(lease_end_s - clock_s, 0.0) + _MIN_POLL_S, _MAX_POLL_S)
 
     def reconcile(self, survey: Survey, survey_start: SurveyStart) -> None:
-        """Report the runs that, according to a survey, neither are nor ever will be on the worker.
+        """Report the runs that, according to a survey, are not on the worker and never will be.
 
         These are runs whose stop was acknowledged before the survey, and unanswered
         starts whose lease had ended by then.
@@ -99,7 +99,7 @@
             if stopped not in ended:
                 was_unanswered = self._unanswered.discard(stopped)
                 self._report_never_ran(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
-        # The answer may come from an unrecognized new incarnation, whose clock starts at a lower reading.
+        # An answer of an unrecognized new incarnation may start from a lower clock reading.
         asked_at_s = min(survey_start.clock_s, survey.clock_s)
         for run in self._unanswered.reconcile(listed | ended, asked_at_s):
             self._report_never_ran(run, EndKind.REFUSED)
@@ -131,7 +131,7 @@
             async with self._queue.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
-                # Retries carry the same lease end, so that one survey after it rules out all tries.
+                # Retries carry the same lease end, so that one survey after it rules out all attempts.
                 lease_end_s = lease_end_s or self._contact.lease_end(settings.start_lease_s) or 0.0
                 if not attempt:
                     self._unanswered.add(run, lease_end_s)
@@ -144,7 +144,7 @@
         return _StartOutcome.UNKNOWN
 
     def _may_send(self, effect: StartRun, ordered_s: float, *, is_retry: bool) -> bool:
-        """Return whether a try of a start may be sent once its turn has come."""
+        """Return whether an attempt of a start may be sent now that its turn has come."""
         context = self._contact.context
         if is_retry:
             return (effect.key, effect.run) in self._unanswered and context.may_order()
@@ -157,7 +157,7 @@
         return True
 
     def _drop_if_obsolete(self, effect: StartRun, waited_s: float) -> bool:
-        """Return whether a start became obsolete while it waited for its turn, and report that it never runs."""
+        """Drop a start that became obsolete while it waited for its turn; return whether it was dropped."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overfull
         if self._queue.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
             is_unavailable = True
@@ -198,7 +198,7 @@
             return None
 
     def _handle_start_reply(self, effect: StartRun, status: OrderStatus, *, is_retry: bool) -> _StartOutcome:
-        """Process the answer to a try of a start; return the outcome of the start."""
+        """Process the answer to an attempt of a start; return the outcome of the start."""
         context = self._contact.context
         context.metrics.orders.labels('start', status.value).inc()
         if status is OrderStatus.DONE or not is_retry:
