--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -13,10 +13,10 @@
 from .contact import Contact
 from .link_settings import StartTurns
 
-# Maximum number of concurrent tries at one worker, for urgent and for other starts each:
+# Maximum number of concurrent attempts at one worker, for urgent and for other starts each:
 # with more, a few unresponsive workers would occupy the turns of all others.
 _MAX_ATTEMPTS_PER_WORKER = 4
-# Longest time for which a try holds its turn, in seconds: the request has crossed
+# Longest time for which an attempt holds its turn, in seconds: the request has crossed
 # the network by then, whether or not it is answered.
 _ATTEMPT_SLOT_S = 0.3
 # Wait for a turn above which a start is logged, in seconds.
@@ -35,8 +35,8 @@
 
     Attributes
     ----------
-    is_last_try_unanswered : bool
-        Whether the last try got no answer; tries are then sent one at a time.
+    is_last_attempt_unanswered : bool
+        Whether the last attempt got no answer; attempts are then sent one at a time.
     """
 
     def __init__(self, contact: Contact) -> None:
@@ -50,7 +50,7 @@
 
     @asynccontextmanager
     async def turn(self, effect: StartRun) -> AsyncGenerator[None, None]:
-        """Wait for the turn of a try and hold it until the block ends, at most for ``_TRY_SLOT_S``."""
+        """Wait for the turn of an attempt and hold it until the block ends, at most for ``_ATTEMPT_SLOT_S``."""
         context = self._contact.context
         is_urgent = effect.rank <= RANK_URGENT
         queue = 'urgent' if is_urgent else 'other'
