--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -46,7 +46,7 @@
     may_hide_ends : bool
         Whether the worker may fail to list ends. Until it lists one, each run is stopped right after its start.
     unanswered_starts : dict
-        Time at which the last unanswered start request was sent, by task, regardless of the outcome of other tries.
+        Time at which the last unanswered start request was sent, by task, regardless of the outcome of other attempts.
     cancel_scope : CancelScope
         Cancels all surveys and orders of this incarnation.
     """
