--- a/packages/node/dahliaarch_node/owner/committing.py
+++ b/packages/node/dahliaarch_node/owner/committing.py
@@ -15,7 +15,7 @@
 
 from ..logs import log_event
 
-# Maximum number of other instances through which one transaction is tried.
+# Maximum number of other instances through which one transaction is attempted.
 _MAX_RELAYS = 2
 
 
