--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -41,17 +41,17 @@
         Delay after which a late survey is hedged, and the same before the worker's
         first answer. It doubles with each hedge of a survey.
     start_timeout_s : float
-        Answer timeout of the first try of a start: a worker answers within
+        Answer timeout of the first attempt of a start: a worker answers within
         milliseconds, and the order can be repeated safely.
-    max_start_tries : int
-        Maximum number of tries of a start before it is revoked.
+    max_start_attempts : int
+        Maximum number of attempts of a start before it is revoked.
     max_turn_wait_s : float
         Maximum time that a start waits for its turn at a worker that leaves starts
         unanswered; a start that waits longer is dropped, as its task may start
         elsewhere.
     retry_s : float
         Pause after a failed survey.
-    max_acknowledgement_wait_s : float
+    acknowledgement_wait_s : float
         Maximum wait for listed ends to be stored before the next survey, which
         lists them again.
     acknowledgement_wait_per_end_s : float
