--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -99,7 +99,7 @@
             if stopped not in ended:
                 was_unanswered = self._unanswered.discard(stopped)
                 self._report_never_ran(stopped, EndKind.REFUSED if was_unanswered else EndKind.STOPPED)
-        # An answer of an unrecognized new incarnation may start from a lower clock reading.
+        # An unrecognized new incarnation of the worker begins with a lower clock reading.
         asked_at_s = min(survey_start.clock_s, survey.clock_s)
         for run in self._unanswered.reconcile(listed | ended, asked_at_s):
             self._report_never_ran(run, EndKind.REFUSED)
