--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -1,4 +1,4 @@
-"""How starts wait for their turns, and for how long they did."""
+"""Concurrency limits of start requests, with metrics and log lines on the wait for them."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -13,73 +13,73 @@
 from .contact import Contact
 from .link_settings import StartTurns
 
-# Tries under way at one worker: with more of them a few workers that answer
-# nothing would take the turns of all others.
-_MOST_PER_WORKER = 4
-# How long a try counts as under way, in seconds: a link has carried it by then,
-# whether it is answered or not.
-_UNDER_WAY_S = 0.3
-# A start that waits longer for its turn is logged, in seconds.
-_LATE_S = 1.0
-# Shortest time between two such lines about one worker, in seconds.
-_LOG_EVERY_S = 1.0
+# Maximum number of concurrent attempts at one worker, for urgent and for other starts each:
+# with more, a few unresponsive workers would occupy the turns of all others.
+_MAX_ATTEMPTS_PER_WORKER = 4
+# Longest time for which an attempt holds its turn, in seconds: the request has crossed
+# the network by then, whether or not it is answered.
+_ATTEMPT_SLOT_S = 0.3
+# Wait for a turn above which a start is logged, in seconds.
+_LOG_THRESHOLD_S = 1.0
+# Minimum interval between two such lines about one worker, in seconds.
+_LOG_INTERVAL_S = 1.0
 
 
 class TurnQueue:
-    """The starts to one worker that wait for their turn among those to all workers.
+    """Limits the concurrent start requests to one worker and, with the other queues, to all workers.
 
     Parameters
     ----------
     contact : Contact
-        The worker.
+        Connection state of the worker.
 
     Attributes
     ----------
-    leaves_unanswered : bool
-        Whether the last try got no answer: one at a time is sent then.
+    is_last_attempt_unanswered : bool
+        Whether the last attempt got no answer; attempts are then sent one at a time.
     """
 
     def __init__(self, contact: Contact) -> None:
-        """Start empty."""
-        self.leaves_unanswered = False
+        """Initialize an empty queue."""
+        self.is_last_attempt_unanswered = False
         self._contact = contact
-        self._own = StartTurns(_turns_of_one(), _turns_of_one())
-        self._alone = anyio.Semaphore(1)
-        self._logged_s = float('-inf')
+        self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
+        self._single_attempt_limit = anyio.Semaphore(1)
+        self._last_log_s = float('-inf')
         self._late_starts = 0
 
     @asynccontextmanager
     async def turn(self, effect: StartRun) -> AsyncGenerator[None, None]:
-        """Wait for the turn of a try, and hold it until the block ends or the try no longer counts as under way."""
+        """Wait for the turn of an attempt and hold it until the block ends, at most for ``_ATTEMPT_SLOT_S``."""
         context = self._contact.context
         is_urgent = effect.rank <= RANK_URGENT
         queue = 'urgent' if is_urgent else 'other'
         asked_s = context.clock()
-        with ExitStack() as held:
+        with ExitStack() as slots:
             with context.metrics.waiting_starts.labels(queue).track_inprogress():
-                await self._take(held, is_urgent=is_urgent)
-            timer = asyncio.get_running_loop().call_later(_UNDER_WAY_S, held.close)
-            held.callback(timer.cancel)
-            self._note_wait(effect, queue, asked_s, context.clock())
+                await self._acquire_slot(slots, is_urgent=is_urgent)
+            timer = asyncio.get_running_loop().call_later(_ATTEMPT_SLOT_S, slots.close)
+            slots.callback(timer.cancel)
+            self._record_wait(effect, queue, asked_s, context.clock())
             yield
 
-    async def _take(self, held: ExitStack, *, is_urgent: bool) -> None:
-        shared = self._contact.context.turns.of(is_urgent=is_urgent)
-        await _acquire(held, self._own.of(is_urgent=is_urgent))
+    async def _acquire_slot(self, slots: ExitStack, *, is_urgent: bool) -> None:
+        shared = self._contact.context.turns.limit_for(is_urgent=is_urgent)
+        await _acquire(slots, self._worker_limits.limit_for(is_urgent=is_urgent))
         await shared.acquire()
-        if self.leaves_unanswered:
+        if self.is_last_attempt_unanswered:
             shared.release()
-            await _acquire(held, self._alone)
+            await _acquire(slots, self._single_attempt_limit)
             await shared.acquire()
-        held.callback(shared.release)
+        slots.callback(shared.release)
 
-    def _note_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
+    def _record_wait(self, effect: StartRun, queue: str, asked_s: float, now_s: float) -> None:
         waited_s = now_s - asked_s
         self._contact.context.metrics.start_turn_s.labels(queue).observe(waited_s)
-        if waited_s <= _LATE_S:
+        if waited_s <= _LOG_THRESHOLD_S:
             return
         self._late_starts += 1
-        if now_s - self._logged_s < _LOG_EVERY_S:
+        if now_s - self._last_log_s < _LOG_INTERVAL_S:
             return
         log_event(
             'start_turn_late',
@@ -89,14 +89,14 @@
             waited_s=round(waited_s, 2),
             late_starts=self._late_starts,
         )
-        self._logged_s = now_s
+        self._last_log_s = now_s
         self._late_starts = 0
 
 
-async def _acquire(held: ExitStack, semaphore: anyio.Semaphore) -> None:
+async def _acquire(slots: ExitStack, semaphore: anyio.Semaphore) -> None:
     await semaphore.acquire()
-    held.callback(semaphore.release)
+    slots.callback(semaphore.release)
 
 
-def _turns_of_one() -> anyio.Semaphore:
-    return anyio.Semaphore(_MOST_PER_WORKER, fast_acquire=True)
+def _worker_limit() -> anyio.Semaphore:
+    return anyio.Semaphore(_MAX_ATTEMPTS_PER_WORKER, fast_acquire=True)
