--- a/packages/kernel/dahliaarch_kernel/codec.py
+++ b/packages/kernel/dahliaarch_kernel/codec.py
@@ -14,7 +14,7 @@
     return msgspec.msgpack.encode(record)
 
 
-def decode(value: bytes, kind: type[Record], what: str) -> Record:
+def decode(value: bytes, record_type: type[Record], what: str) -> Record:
     """Return a record from its form.
 
     Parameters
@@ -32,6 +32,6 @@
         When the value is not a record of that type.
     """
     try:
-        return msgspec.msgpack.decode(value, type=kind)
+        return msgspec.msgpack.decode(value, type=record_type)
     except msgspec.DecodeError as error:
         raise ProtocolError(what, str(error)) from error
