--- a/packages/kernel/dahliaarch_kernel/codec.py
+++ b/packages/kernel/dahliaarch_kernel/codec.py
@@ -14,7 +14,7 @@
     return msgspec.msgpack.encode(record)
 
 
-def decode(value: bytes, record_type: type[Record], what: str) -> Record:
+def decode(value: bytes, record_type: type[Record], description: str) -> Record:
     """Return a record from its form.
 
     Parameters
@@ -34,4 +34,4 @@
     try:
         return msgspec.msgpack.decode(value, type=record_type)
     except msgspec.DecodeError as error:
-        raise ProtocolError(what, str(error)) from error
+        raise ProtocolError(description, str(error)) from error
