--- a/packages/kernel/dahliaarch_kernel/configuration/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/__init__.py
@@ -1,6 +1,6 @@
 """The operators' configuration: queues, client accounts and limits."""
 
-from .changes import apply_change, ChangeMismatchError, ConfigurationChange, difference, EMPTY, NO_VERSION
+from .changes import apply_change, ChangeMismatchError, ConfigurationChange, difference, EMPTY_CONFIGURATION, NO_VERSION
 from .core import (
     Account,
     AdviceTerms,
@@ -14,7 +14,7 @@
 from .lookup import AccessDeniedError, authorize, find_queue, RouteNotFoundError
 
 __all__ = (
-    'EMPTY',
+    'EMPTY_CONFIGURATION',
     'NO_VERSION',
     'AccessDeniedError',
     'Account',
--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -56,7 +56,7 @@
     limits: HttpLimits = HttpLimits()
 
 
-EMPTY = build_configuration(ConfigurationParts(NO_VERSION))
+EMPTY_CONFIGURATION = build_configuration(ConfigurationParts(NO_VERSION))
 
 
 def difference(before: Configuration, after: Configuration) -> ConfigurationChange:
--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -11,7 +11,7 @@
     ChangeMismatchError,
     ConfigurationParts,
     difference,
-    EMPTY,
+    EMPTY_CONFIGURATION,
     find_queue,
     Queue,
     RouteNotFoundError,
@@ -56,7 +56,7 @@
 @given(configurations(3), configurations(8))
 def test_the_difference_leads_from_one_version_to_the_other(before, after):
     assert apply_change(before, difference(before, after)) == after
-    assert apply_change(EMPTY, difference(EMPTY, after)) == after
+    assert apply_change(EMPTY_CONFIGURATION, difference(EMPTY_CONFIGURATION, after)) == after
 
 
 @given(configurations(3), configurations(8))
--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -8,7 +8,7 @@
     Configuration,
     ConfigurationChange,
     difference,
-    EMPTY,
+    EMPTY_CONFIGURATION,
     NO_VERSION,
 )
 from dahliaarch_kernel.errors import ProtocolError
@@ -65,7 +65,7 @@
             return
         if document.version <= self.version:
             return
-        change = difference(self.current or EMPTY, document)
+        change = difference(self.current or EMPTY_CONFIGURATION, document)
         self._put_in_force((change,), revision, 'store', len(text))
 
     def take_update(self, update: Update, source: str, size_bytes: int) -> None:
@@ -106,7 +106,7 @@
 
     def _apply(self, changes: tuple[ConfigurationChange, ...]) -> Configuration:
         is_whole = changes[0].base == NO_VERSION
-        found = EMPTY if is_whole else self.current or EMPTY
+        found = EMPTY_CONFIGURATION if is_whole else self.current or EMPTY_CONFIGURATION
         for change in changes:
             found = apply_change(found, change)
         return found
--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -9,7 +9,7 @@
     build_configuration,
     ConfigurationParts,
     difference,
-    EMPTY,
+    EMPTY_CONFIGURATION,
     NO_VERSION,
     Queue,
 )
@@ -39,7 +39,7 @@
 def follower_at(*configurations):
     """Return a follower that has come to each of some versions in turn."""
     follower = ConfigurationFollower(Metrics())
-    before = EMPTY
+    before = EMPTY_CONFIGURATION
     for after in configurations:
         follower.take_update(Update((difference(before, after),), REVISION), 'test', 0)
         before = after
--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -11,7 +11,13 @@
 from typing import NamedTuple
 
 from dahliaarch_kernel.codec import decode, encode
-from dahliaarch_kernel.configuration import Configuration, ConfigurationChange, difference, EMPTY, NO_VERSION
+from dahliaarch_kernel.configuration import (
+    Configuration,
+    ConfigurationChange,
+    difference,
+    EMPTY_CONFIGURATION,
+    NO_VERSION,
+)
 from dahliaarch_kernel.errors import ProtocolError
 
 from ..peers import AskConfiguration, ConfigurationPart
@@ -102,4 +108,4 @@
             changes = tuple(self._changes)[bases.index(base) :]
             if sum(len(change.queues) for change in changes) < len(current.queue_by_name):
                 return changes
-        return (difference(EMPTY, current),)
+        return (difference(EMPTY_CONFIGURATION, current),)
