--- a/packages/kernel/dahliaarch_kernel/configuration/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/__init__.py
@@ -1,6 +1,13 @@
 """The operators' configuration: queues, client accounts and limits."""
 
-from .changes import apply_change, ChangeMismatchError, ConfigurationChange, difference, EMPTY_CONFIGURATION, NO_VERSION
+from .changes import (
+    apply_change,
+    ChangeMismatchError,
+    ConfigurationChange,
+    diff_configurations,
+    EMPTY_CONFIGURATION,
+    NO_VERSION,
+)
 from .core import (
     Account,
     AdviceTerms,
@@ -30,6 +37,6 @@
     'apply_change',
     'authorize',
     'build_configuration',
-    'difference',
+    'diff_configurations',
     'find_queue',
 )
--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -59,7 +59,7 @@
 EMPTY_CONFIGURATION = build_configuration(ConfigurationParts(NO_VERSION))
 
 
-def difference(before: Configuration, after: Configuration) -> ConfigurationChange:
+def diff_configurations(before: Configuration, after: Configuration) -> ConfigurationChange:
     """Return the change that leads from one configuration to another."""
     return ConfigurationChange(
         base=before.version,
--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -10,7 +10,7 @@
     build_configuration,
     ChangeMismatchError,
     ConfigurationParts,
-    difference,
+    diff_configurations,
     EMPTY_CONFIGURATION,
     find_queue,
     Queue,
@@ -55,19 +55,19 @@
 
 @given(configurations(3), configurations(8))
 def test_the_difference_leads_from_one_version_to_the_other(before, after):
-    assert apply_change(before, difference(before, after)) == after
-    assert apply_change(EMPTY_CONFIGURATION, difference(EMPTY_CONFIGURATION, after)) == after
+    assert apply_change(before, diff_configurations(before, after)) == after
+    assert apply_change(EMPTY_CONFIGURATION, diff_configurations(EMPTY_CONFIGURATION, after)) == after
 
 
 @given(configurations(3), configurations(8))
 def test_a_change_does_not_touch_the_version_that_it_builds_on(before, after):
     kept = dict(before.queue_by_name)
-    apply_change(before, difference(before, after))
+    apply_change(before, diff_configurations(before, after))
     assert before.queue_by_name == kept
 
 
 def test_a_change_of_another_version_is_refused():
-    change = difference(build_configuration(ConfigurationParts(3)), build_configuration(ConfigurationParts(8)))
+    change = diff_configurations(build_configuration(ConfigurationParts(3)), build_configuration(ConfigurationParts(8)))
     with pytest.raises(ChangeMismatchError):
         apply_change(build_configuration(ConfigurationParts(4)), change)
 
@@ -76,7 +76,7 @@
     many = [Queue(f'q{number}', 'a.example', f'/{number}/', 's') for number in range(100)]
     before = build_configuration(ConfigurationParts(3, many))
     after = build_configuration(ConfigurationParts(8, [*many, Queue('new', 'a.example', '/new/', 's')]))
-    assert [queue.name for queue in difference(before, after).queues] == ['new']
+    assert [queue.name for queue in diff_configurations(before, after).queues] == ['new']
 
 
 @given(configurations(3), st.sampled_from(HOSTS), st.sampled_from(('/x/y/1', '/x/1', '/z/', '/', 'w')))
--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -7,7 +7,7 @@
     ChangeMismatchError,
     Configuration,
     ConfigurationChange,
-    difference,
+    diff_configurations,
     EMPTY_CONFIGURATION,
     NO_VERSION,
 )
@@ -65,7 +65,7 @@
             return
         if document.version <= self.version:
             return
-        change = difference(self.current or EMPTY_CONFIGURATION, document)
+        change = diff_configurations(self.current or EMPTY_CONFIGURATION, document)
         self._put_in_force((change,), revision, 'store', len(text))
 
     def take_update(self, update: Update, source: str, size_bytes: int) -> None:
--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -14,7 +14,7 @@
 from dahliaarch_kernel.configuration import (
     Configuration,
     ConfigurationChange,
-    difference,
+    diff_configurations,
     EMPTY_CONFIGURATION,
     NO_VERSION,
 )
@@ -108,4 +108,4 @@
             changes = tuple(self._changes)[bases.index(base) :]
             if sum(len(change.queues) for change in changes) < len(current.queue_by_name):
                 return changes
-        return (difference(EMPTY_CONFIGURATION, current),)
+        return (diff_configurations(EMPTY_CONFIGURATION, current),)
