--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -12,13 +12,13 @@
 from .core import Account, build_configuration, Configuration, ConfigurationParts, HttpLimits, Queue, ServiceSettings
 
 
-class _Named(Protocol):
+class _NamedEntry(Protocol):
     @property
     def name(self) -> str:
         """Name by which an entry is found."""
 
 
-Entry = TypeVar('Entry', bound=_Named)
+Entry = TypeVar('Entry', bound=_NamedEntry)
 
 # Version that a whole configuration builds on.
 NO_VERSION = -1
