--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -64,9 +64,9 @@
     return ConfigurationChange(
         base=before.version,
         version=after.version,
-        queues=_differing(before.queue_by_name, after.queue_by_name),
-        services=_differing(before.service_by_name, after.service_by_name),
-        accounts=_differing(before.account_by_name, after.account_by_name),
+        queues=_changed_entries(before.queue_by_name, after.queue_by_name),
+        services=_changed_entries(before.service_by_name, after.service_by_name),
+        accounts=_changed_entries(before.account_by_name, after.account_by_name),
         gone_queues=_gone(before.queue_by_name, after.queue_by_name),
         gone_services=_gone(before.service_by_name, after.service_by_name),
         gone_accounts=_gone(before.account_by_name, after.account_by_name),
@@ -95,7 +95,7 @@
     )
 
 
-def _differing(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[Entry, ...]:
+def _changed_entries(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[Entry, ...]:
     return tuple(entry for name, entry in after.items() if before.get(name) != entry)
 
 
