--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -67,9 +67,9 @@
         queues=_changed_entries(before.queue_by_name, after.queue_by_name),
         services=_changed_entries(before.service_by_name, after.service_by_name),
         accounts=_changed_entries(before.account_by_name, after.account_by_name),
-        gone_queues=_gone(before.queue_by_name, after.queue_by_name),
-        gone_services=_gone(before.service_by_name, after.service_by_name),
-        gone_accounts=_gone(before.account_by_name, after.account_by_name),
+        gone_queues=_removed_names(before.queue_by_name, after.queue_by_name),
+        gone_services=_removed_names(before.service_by_name, after.service_by_name),
+        gone_accounts=_removed_names(before.account_by_name, after.account_by_name),
         limits=after.limits,
     )
 
@@ -99,7 +99,7 @@
     return tuple(entry for name, entry in after.items() if before.get(name) != entry)
 
 
-def _gone(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[str, ...]:
+def _removed_names(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[str, ...]:
     return tuple(name for name in before if name not in after)
 
 
