--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -103,9 +103,9 @@
     return tuple(name for name in before if name not in after)
 
 
-def _merged(before: Mapping[str, Entry], changed: Iterable[Entry], gone: Iterable[str]) -> Iterable[Entry]:
+def _merged(before: Mapping[str, Entry], changed: Iterable[Entry], removed_names: Iterable[str]) -> Iterable[Entry]:
     merged = dict(before)
-    for name in gone:
+    for name in removed_names:
         merged.pop(name, None)
     merged.update((entry.name, entry) for entry in changed)
     return merged.values()
