--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -87,9 +87,9 @@
     return build_configuration(
         ConfigurationParts(
             version=change.version,
-            queues=_merged(before.queue_by_name, change.queues, change.gone_queues),
-            services=_merged(before.service_by_name, change.services, change.gone_services),
-            accounts=_merged(before.account_by_name, change.accounts, change.gone_accounts),
+            queues=_merge_entries(before.queue_by_name, change.queues, change.gone_queues),
+            services=_merge_entries(before.service_by_name, change.services, change.gone_services),
+            accounts=_merge_entries(before.account_by_name, change.accounts, change.gone_accounts),
             limits=change.limits,
         )
     )
@@ -103,7 +103,9 @@
     return tuple(name for name in before if name not in after)
 
 
-def _merged(before: Mapping[str, Entry], changed: Iterable[Entry], removed_names: Iterable[str]) -> Iterable[Entry]:
+def _merge_entries(
+    before: Mapping[str, Entry], changed: Iterable[Entry], removed_names: Iterable[str]
+) -> Iterable[Entry]:
     merged = dict(before)
     for name in removed_names:
         merged.pop(name, None)
