--- a/packages/kernel/dahliaarch_kernel/configuration/core.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/core.py
@@ -169,7 +169,7 @@
     return Configuration(
         version=parts.version,
         queue_by_name=queue_by_name,
-        queues_by_host=_by_host(queue_by_name.values()),
+        queues_by_host=_group_by_host(queue_by_name.values()),
         service_by_name={service.name: service for service in parts.services},
         account_by_name=account_by_name,
         account_by_key={key: account.name for account in account_by_name.values() for key in account.keys},
@@ -177,7 +177,7 @@
     )
 
 
-def _by_host(queues: Iterable[Queue]) -> dict[str, tuple[Queue, ...]]:
+def _group_by_host(queues: Iterable[Queue]) -> dict[str, tuple[Queue, ...]]:
     found: dict[str, list[Queue]] = {}
     for queue in queues:
         found.setdefault(queue.host, []).append(queue)
