--- a/packages/kernel/dahliaarch_kernel/configuration/core.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/core.py
@@ -178,10 +178,10 @@
 
 
 def _group_by_host(queues: Iterable[Queue]) -> dict[str, tuple[Queue, ...]]:
-    found: dict[str, list[Queue]] = {}
+    grouped: dict[str, list[Queue]] = {}
     for queue in queues:
-        found.setdefault(queue.host, []).append(queue)
+        grouped.setdefault(queue.host, []).append(queue)
     return {
         host: tuple(sorted(of_host, key=lambda queue: (-len(queue.path_prefix), queue.name)))
-        for host, of_host in found.items()
+        for host, of_host in grouped.items()
     }
