--- a/packages/kernel/dahliaarch_kernel/configuration/core.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/core.py
@@ -182,6 +182,6 @@
     for queue in queues:
         grouped.setdefault(queue.host, []).append(queue)
     return {
-        host: tuple(sorted(of_host, key=lambda queue: (-len(queue.path_prefix), queue.name)))
-        for host, of_host in grouped.items()
+        host: tuple(sorted(host_queues, key=lambda queue: (-len(queue.path_prefix), queue.name)))
+        for host, host_queues in grouped.items()
     }
