--- a/packages/kernel/dahliaarch_kernel/configuration/lookup.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/lookup.py
@@ -39,8 +39,8 @@
     """
     account = ''
     # Every key is compared in constant time, so that timing shows nothing.
-    for known, owner in configuration.account_by_key.items():
-        if hmac.compare_digest(known.encode(), key.encode()):
+    for account_key, owner in configuration.account_by_key.items():
+        if hmac.compare_digest(account_key.encode(), key.encode()):
             account = owner
     if account or queue.public:
         return account
