--- a/packages/kernel/dahliaarch_kernel/configuration/lookup.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/lookup.py
@@ -39,9 +39,9 @@
     """
     account = ''
     # Every key is compared in constant time, so that timing shows nothing.
-    for account_key, owner in configuration.account_by_key.items():
+    for account_key, account_name in configuration.account_by_key.items():
         if hmac.compare_digest(account_key.encode(), key.encode()):
-            account = owner
+            account = account_name
     if account or queue.public:
         return account
     raise AccessDeniedError('the key is not in force')
