--- a/packages/kernel/dahliaarch_kernel/errors/core.py
+++ b/packages/kernel/dahliaarch_kernel/errors/core.py
@@ -24,11 +24,11 @@
         What is wrong with it.
     """
 
-    def __init__(self, where: str, why: str) -> None:
+    def __init__(self, location: str, why: str) -> None:
         """Keep both parts and build the message."""
-        self.where = where
+        self.location = location
         self.why = why
-        super().__init__(f'{where}: {why}')
+        super().__init__(f'{location}: {why}')
 
 
 class JobRejectedError(SettingsError):
--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -46,7 +46,7 @@
 def test_each_error_names_its_key(text, key):
     with pytest.raises(SettingsError) as raised:
         parse_own_settings(text)
-    assert raised.value.where == key
+    assert raised.value.location == key
 
 
 def test_a_program_that_does_not_compile_is_refused():
