--- a/packages/kernel/dahliaarch_kernel/errors/core.py
+++ b/packages/kernel/dahliaarch_kernel/errors/core.py
@@ -24,11 +24,11 @@
         What is wrong with it.
     """
 
-    def __init__(self, location: str, why: str) -> None:
+    def __init__(self, location: str, reason: str) -> None:
         """Keep both parts and build the message."""
         self.location = location
-        self.why = why
-        super().__init__(f'{location}: {why}')
+        self.reason = reason
+        super().__init__(f'{location}: {reason}')
 
 
 class JobRejectedError(SettingsError):
