--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -9,7 +9,7 @@
 from .settings import PolicySettings
 from .variables import CandidateVariables, JobVariables, VictimVariables
 
-_LONGEST_PROGRAM = 2000
+_MAX_PROGRAM_LENGTH = 2000
 _MACROS = ('.map(', '.filter(', '.all(', '.exists(', '.exists_one(')
 
 Variables = JobVariables | CandidateVariables | VictimVariables
@@ -128,8 +128,8 @@
 def _compile(text: str, name: str, samples: _Samples, wanted: type) -> Any:
     if not text:
         return None
-    if len(text) > _LONGEST_PROGRAM:
-        raise PolicyError(f'{name}: longer than {_LONGEST_PROGRAM} characters')
+    if len(text) > _MAX_PROGRAM_LENGTH:
+        raise PolicyError(f'{name}: longer than {_MAX_PROGRAM_LENGTH} characters')
     if any(macro in text for macro in _MACROS):
         raise PolicyError(f'{name}: loops over lists are not allowed, so that its cost stays bounded')
     try:
