--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -137,11 +137,11 @@
     except ValueError as error:
         raise PolicyError(f'{name}: {error}') from error
     for sample in samples:
-        _try(program, name, sample, wanted)
+        _check_sample(program, name, sample, wanted)
     return program
 
 
-def _try(program: Any, name: str, sample: Variables, wanted: type) -> None:
+def _check_sample(program: Any, name: str, sample: Variables, wanted: type) -> None:
     try:
         found = program.execute(sample._asdict())
     except (RuntimeError, ValueError, TypeError) as error:
