--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -19,7 +19,7 @@
 class _Samples(NamedTuple):
     """Variables on which a program is tried before it is accepted."""
 
-    ordinary: Variables
+    typical: Variables
     extreme: Variables
 
 
