--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -125,7 +125,7 @@
 
 # The interpreter of programs is imported by the first program only: it is large, and
 # most instances never own the pool.
-def _compile(text: str, name: str, samples: _Samples, wanted: type) -> Any:
+def _compile(text: str, name: str, samples: _Samples, result_type: type) -> Any:
     if not text:
         return None
     if len(text) > _MAX_PROGRAM_LENGTH:
@@ -137,19 +137,19 @@
     except ValueError as error:
         raise PolicyError(f'{name}: {error}') from error
     for sample in samples:
-        _check_sample(program, name, sample, wanted)
+        _check_sample(program, name, sample, result_type)
     return program
 
 
-def _check_sample(program: Any, name: str, sample: Variables, wanted: type) -> None:
+def _check_sample(program: Any, name: str, sample: Variables, result_type: type) -> None:
     try:
         found = program.execute(sample._asdict())
     except (RuntimeError, ValueError, TypeError) as error:
         known = ', '.join(sample._fields)
         raise PolicyError(f'{name}: {error} (variables: {known})') from error
-    if wanted is bool and not isinstance(found, bool):
+    if result_type is bool and not isinstance(found, bool):
         raise PolicyError(f'{name}: yields {type(found).__name__}, not a boolean')
-    if wanted is float and (isinstance(found, bool) or not isinstance(found, int | float)):
+    if result_type is float and (isinstance(found, bool) or not isinstance(found, int | float)):
         raise PolicyError(f'{name}: yields {type(found).__name__}, not a number')
 
 
