--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -102,14 +102,14 @@
 
     def _number(self, name: str, program: Any, variables: Any, fallback: Callable[[Any], float]) -> float:
         try:
-            found = float(program.execute(variables._asdict()))
+            result = float(program.execute(variables._asdict()))
         except (RuntimeError, ValueError, TypeError) as error:
             self._on_failure(name, error)
             return fallback(variables)
-        if math.isnan(found):
+        if math.isnan(result):
             self._on_failure(name, ValueError('not a number'))
             return fallback(variables)
-        return found
+        return result
 
 
 def compile_policy(settings: PolicySettings) -> Policy:
@@ -143,14 +143,14 @@
 
 def _check_sample(program: Any, name: str, sample: Variables, result_type: type) -> None:
     try:
-        found = program.execute(sample._asdict())
+        result = program.execute(sample._asdict())
     except (RuntimeError, ValueError, TypeError) as error:
         known = ', '.join(sample._fields)
         raise PolicyError(f'{name}: {error} (variables: {known})') from error
-    if result_type is bool and not isinstance(found, bool):
-        raise PolicyError(f'{name}: yields {type(found).__name__}, not a boolean')
-    if result_type is float and (isinstance(found, bool) or not isinstance(found, int | float)):
-        raise PolicyError(f'{name}: yields {type(found).__name__}, not a number')
+    if result_type is bool and not isinstance(result, bool):
+        raise PolicyError(f'{name}: yields {type(result).__name__}, not a boolean')
+    if result_type is float and (isinstance(result, bool) or not isinstance(result, int | float)):
+        raise PolicyError(f'{name}: yields {type(result).__name__}, not a number')
 
 
 def _default_priority(job: JobVariables) -> float:
