--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -145,8 +145,8 @@
     try:
         result = program.execute(sample._asdict())
     except (RuntimeError, ValueError, TypeError) as error:
-        known = ', '.join(sample._fields)
-        raise PolicyError(f'{name}: {error} (variables: {known})') from error
+        variable_names = ', '.join(sample._fields)
+        raise PolicyError(f'{name}: {error} (variables: {variable_names})') from error
     if result_type is bool and not isinstance(result, bool):
         raise PolicyError(f'{name}: yields {type(result).__name__}, not a boolean')
     if result_type is float and (isinstance(result, bool) or not isinstance(result, int | float)):
