--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -76,7 +76,7 @@
         """Return the priority of a job; higher goes first."""
         if self._priority is None:
             return _default_priority(job)
-        return self._number('priority', self._priority, job, _default_priority)
+        return self._evaluate_number('priority', self._priority, job, _default_priority)
 
     def admits(self, candidate: CandidateVariables) -> bool:
         """Tell whether the placement filter keeps a worker."""
@@ -92,15 +92,15 @@
         """Return the score of a worker; lower is better."""
         if self._score is None:
             return _default_score(candidate)
-        return self._number('placement_score', self._score, candidate, _default_score)
+        return self._evaluate_number('placement_score', self._score, candidate, _default_score)
 
     def reclaim_cost(self, victim: VictimVariables) -> float:
         """Return the cost of preempting a job; the cheapest go first."""
         if self._reclaim is None:
             return _default_cost(victim)
-        return self._number('reclaim', self._reclaim, victim, _default_cost)
+        return self._evaluate_number('reclaim', self._reclaim, victim, _default_cost)
 
-    def _number(self, name: str, program: Any, variables: Any, fallback: Callable[[Any], float]) -> float:
+    def _evaluate_number(self, name: str, program: Any, variables: Any, fallback: Callable[[Any], float]) -> float:
         try:
             result = float(program.execute(variables._asdict()))
         except (RuntimeError, ValueError, TypeError) as error:
