--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -97,8 +97,8 @@
     def reclaim_cost(self, victim: VictimVariables) -> float:
         """Return the cost of preempting a job; the cheapest go first."""
         if self._reclaim is None:
-            return _default_cost(victim)
-        return self._evaluate_number('reclaim', self._reclaim, victim, _default_cost)
+            return _default_reclaim_cost(victim)
+        return self._evaluate_number('reclaim', self._reclaim, victim, _default_reclaim_cost)
 
     def _evaluate_number(self, name: str, program: Any, variables: Any, fallback: Callable[[Any], float]) -> float:
         try:
@@ -161,7 +161,7 @@
     return candidate.free + candidate.memory_free + (_SUSPECT_LAST if candidate.suspect else 0.0)
 
 
-def _default_cost(victim: VictimVariables) -> float:
+def _default_reclaim_cost(victim: VictimVariables) -> float:
     lost_s = 0.0 if victim.checkpointable else victim.ran_s
     return victim.slots * victim.members * (_RESTART_S + lost_s)
 
