--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -154,7 +154,7 @@
 
 
 def _default_priority(job: JobVariables) -> float:
-    return (_URGENT_FIRST if job.urgent else 0.0) + job.waited_s * _AGEING
+    return (_URGENT_BONUS if job.urgent else 0.0) + job.waited_s * _AGEING
 
 
 def _default_score(candidate: CandidateVariables) -> float:
@@ -167,7 +167,7 @@
 
 
 # Above any priority that a job of another queue reaches.
-_URGENT_FIRST = 1e9
+_URGENT_BONUS = 1e9
 # Added to the priority for each second of waiting where a program failed.
 _AGEING = 1.0
 # Above any score that free accelerators give.
