--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -154,7 +154,7 @@
 
 
 def _default_priority(job: JobVariables) -> float:
-    return (_URGENT_BONUS if job.urgent else 0.0) + job.waited_s * _AGEING
+    return (_URGENT_BONUS if job.urgent else 0.0) + job.waited_s * _PRIORITY_PER_WAITED_S
 
 
 def _default_score(candidate: CandidateVariables) -> float:
@@ -169,7 +169,7 @@
 # Above any priority that a job of another queue reaches.
 _URGENT_BONUS = 1e9
 # Added to the priority for each second of waiting where a program failed.
-_AGEING = 1.0
+_PRIORITY_PER_WAITED_S = 1.0
 # Above any score that free accelerators give.
 _SUSPECT_LAST = 1000.0
 # Cost of any stop in seconds of the run's work: its restart.
