--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -158,7 +158,7 @@
 
 
 def _default_score(candidate: CandidateVariables) -> float:
-    return candidate.free + candidate.memory_free + (_SUSPECT_LAST if candidate.suspect else 0.0)
+    return candidate.free + candidate.memory_free + (_SUSPECT_PENALTY if candidate.suspect else 0.0)
 
 
 def _default_reclaim_cost(victim: VictimVariables) -> float:
@@ -171,6 +171,6 @@
 # Added to the priority for each second of waiting where a program failed.
 _PRIORITY_PER_WAITED_S = 1.0
 # Above any score that free accelerators give.
-_SUSPECT_LAST = 1000.0
+_SUSPECT_PENALTY = 1000.0
 # Cost of any stop in seconds of the run's work: its restart.
 _RESTART_S = 0.5
