--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -163,7 +163,7 @@
 
 def _default_reclaim_cost(victim: VictimVariables) -> float:
     lost_s = 0.0 if victim.checkpointable else victim.ran_s
-    return victim.slots * victim.members * (_RESTART_S + lost_s)
+    return victim.slots * victim.members * (_RESTART_COST_S + lost_s)
 
 
 # Above any priority that a job of another queue reaches.
@@ -173,4 +173,4 @@
 # Above any score that free accelerators give.
 _SUSPECT_PENALTY = 1000.0
 # Cost of any stop in seconds of the run's work: its restart.
-_RESTART_S = 0.5
+_RESTART_COST_S = 0.5
