--- a/packages/kernel/dahliaarch_kernel/policies/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/policies/__init__.py
@@ -2,7 +2,7 @@
 
 from .core import compile_policy, Policy
 from .settings import PolicySettings
-from .shipped import SHIPPED
+from .shipped import SHIPPED_POLICIES
 from .variables import CandidateVariables, JobVariables, VictimVariables
 
 __all__ = (
@@ -10,7 +10,7 @@
     'JobVariables',
     'Policy',
     'PolicySettings',
-    'SHIPPED',
+    'SHIPPED_POLICIES',
     'VictimVariables',
     'compile_policy',
 )
--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -23,4 +23,4 @@
     ),
 )
 
-SHIPPED = {name: POLICIES.named(name) for name in POLICIES.names()}
+SHIPPED_POLICIES = {name: POLICIES.named(name) for name in POLICIES.names()}
--- a/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
+++ b/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
@@ -1,12 +1,12 @@
 import pytest
 
 from dahliaarch_kernel.errors import PolicyError
-from dahliaarch_kernel.policies import compile_policy, JobVariables, Policy, PolicySettings, SHIPPED
+from dahliaarch_kernel.policies import compile_policy, JobVariables, Policy, PolicySettings, SHIPPED_POLICIES
 
 
-@pytest.mark.parametrize('name', SHIPPED)
+@pytest.mark.parametrize('name', SHIPPED_POLICIES)
 def test_shipped_policies_compile_and_put_urgent_work_first(name):
-    policy = compile_policy(SHIPPED[name])
+    policy = compile_policy(SHIPPED_POLICIES[name])
     urgent = JobVariables(urgent=True, expected_s=1e6, slots=128.0)
     assert policy.priority(urgent) > policy.priority(JobVariables(waited_s=1e5, expected_s=1.0, slots=128.0))
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ..configuration import Queue
-from ..policies import compile_policy, Policy, SHIPPED
+from ..policies import compile_policy, Policy, SHIPPED_POLICIES
 from ..workload import JobSpec, StepKey, TaskKey
 from .assignments import Assignments, restore_assignments, StepAssignments
 from .clock import Moment
@@ -47,7 +47,7 @@
 
     def __init__(self, settings: SchedulerSettings, epoch: int, policy: Policy | None = None) -> None:
         """Start without jobs and workers."""
-        self._state = SchedulerState(settings, epoch, policy or compile_policy(SHIPPED['first-come']))
+        self._state = SchedulerState(settings, epoch, policy or compile_policy(SHIPPED_POLICIES['first-come']))
         self.assignments = Assignments(self._state)
 
     @property
--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from dahliaarch_kernel.errors import SettingsError
-from dahliaarch_kernel.policies import compile_policy, PolicySettings, SHIPPED
+from dahliaarch_kernel.policies import compile_policy, PolicySettings, SHIPPED_POLICIES
 from dahliaarch_kernel.scheduler import Mechanism, SchedulerSettings
 
 from .ownership import OwnershipSettings
@@ -52,7 +52,7 @@
         Where metrics are served.
     """
 
-    policy: PolicySettings = SHIPPED['first-come']
+    policy: PolicySettings = SHIPPED_POLICIES['first-come']
     scheduler: SchedulerSettings = SchedulerSettings()
     ownership: OwnershipSettings = OwnershipSettings()
     metrics: MetricsSettings = MetricsSettings()
@@ -102,13 +102,13 @@
 
 def _policy(table: Mapping[str, Any]) -> PolicySettings:
     if not table:
-        return SHIPPED['first-come']
+        return SHIPPED_POLICIES['first-come']
     _refuse_unknown('policy', table, PolicySettings._fields)
     for key, setting in table.items():
         if not isinstance(setting, str):
             raise SettingsError(f'policy.{key}', f'{setting!r} is not a text')
     name = table.get('name', 'own')
-    policy = PolicySettings(**{**SHIPPED.get(name, PolicySettings(name))._asdict(), **table})
+    policy = PolicySettings(**{**SHIPPED_POLICIES.get(name, PolicySettings(name))._asdict(), **table})
     compile_policy(policy)
     return policy
 
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dahliaarch_kernel.codec import decode
-from dahliaarch_kernel.policies import compile_policy, SHIPPED
+from dahliaarch_kernel.policies import compile_policy, SHIPPED_POLICIES
 from dahliaarch_kernel.scheduler import Moment, SchedulerSettings, WorkerState
 from dahliaarch_kernel.scheduler.leaving import expire_leases
 from dahliaarch_kernel.scheduler.state import SchedulerState
@@ -157,7 +157,7 @@
 
 def test_a_worker_is_not_lapsed_while_a_late_start_may_begin_on_its_next_incarnation():
     now = Moment(100.0, 0.0)
-    state = SchedulerState(SchedulerSettings(), 1, compile_policy(SHIPPED['first-come']))
+    state = SchedulerState(SchedulerSettings(), 1, compile_policy(SHIPPED_POLICIES['first-come']))
     worker = WorkerState(decode(roster('w0', is_lapsed=False).value, list[RosterEntry], 'roster')[0].profile)
     state.worker_by_id['w0'] = worker
     worker.silent_since_s = now.steady_s
--- a/packages/standins/dahliaarch_standins/comparison/baselines.py
+++ b/packages/standins/dahliaarch_standins/comparison/baselines.py
@@ -6,7 +6,7 @@
 for other work, and nothing is learned.
 """
 
-from dahliaarch_kernel.policies import compile_policy, SHIPPED
+from dahliaarch_kernel.policies import compile_policy, SHIPPED_POLICIES
 from dahliaarch_kernel.scheduler import Effect, Moment, Scheduler, SchedulerSettings
 from dahliaarch_kernel.scheduler.job_state import StepState
 from dahliaarch_kernel.scheduler.leaving import expire_leases
@@ -32,7 +32,7 @@
     def __init__(self, settings: SchedulerSettings) -> None:
         """Start empty."""
         super().__init__(settings, epoch=1)
-        self._policy = compile_policy(SHIPPED['first-come'])
+        self._policy = compile_policy(SHIPPED_POLICIES['first-come'])
 
     def decide(self, now: Moment) -> list[Effect]:
         """Start what fits, in the order of arrival."""
