--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -8,13 +8,13 @@
 _FULLEST_FIRST = 'free + memory_free + (suspect ? 1000.0 : 0.0)'
 _LEAST_LOST = 'slots * members * (checkpointable ? 0.5 : 0.5 + ran_s)'
 
-POLICIES: Registry[PolicySettings] = Registry('policy')
+POLICY_REGISTRY: Registry[PolicySettings] = Registry('policy')
 
-POLICIES.register('first-come')(PolicySettings(name='first-come'))
-POLICIES.register('completion')(
+POLICY_REGISTRY.register('first-come')(PolicySettings(name='first-come'))
+POLICY_REGISTRY.register('completion')(
     PolicySettings(name='completion', priority=_SMALLEST_WORK, reclaim=_LEAST_LOST),
 )
-POLICIES.register('fragmentation')(
+POLICY_REGISTRY.register('fragmentation')(
     PolicySettings(
         name='fragmentation',
         priority=_LARGEST_GANG,
@@ -23,4 +23,4 @@
     ),
 )
 
-SHIPPED_POLICIES = {name: POLICIES.named(name) for name in POLICIES.names()}
+SHIPPED_POLICIES = {name: POLICY_REGISTRY.named(name) for name in POLICY_REGISTRY.names()}
