--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -3,7 +3,7 @@
 from ..registry import Registry
 from .settings import PolicySettings
 
-_SMALLEST_WORK = '(urgent ? 1e9 : 0.0) + (1.0 + waited_s / expected_s) / (expected_s * slots + 1.0)'
+_LEAST_WORK_PRIORITY = '(urgent ? 1e9 : 0.0) + (1.0 + waited_s / expected_s) / (expected_s * slots + 1.0)'
 _LARGEST_GANG = '(urgent ? 1e9 : 0.0) + (gang ? slots : 0.0) + waited_s / 60.0'
 _FULLEST_FIRST = 'free + memory_free + (suspect ? 1000.0 : 0.0)'
 _LEAST_LOST = 'slots * members * (checkpointable ? 0.5 : 0.5 + ran_s)'
@@ -12,7 +12,7 @@
 
 POLICY_REGISTRY.register('first-come')(PolicySettings(name='first-come'))
 POLICY_REGISTRY.register('completion')(
-    PolicySettings(name='completion', priority=_SMALLEST_WORK, reclaim=_LEAST_LOST),
+    PolicySettings(name='completion', priority=_LEAST_WORK_PRIORITY, reclaim=_LEAST_LOST),
 )
 POLICY_REGISTRY.register('fragmentation')(
     PolicySettings(
