--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -4,7 +4,7 @@
 from .settings import PolicySettings
 
 _LEAST_WORK_PRIORITY = '(urgent ? 1e9 : 0.0) + (1.0 + waited_s / expected_s) / (expected_s * slots + 1.0)'
-_LARGEST_GANG = '(urgent ? 1e9 : 0.0) + (gang ? slots : 0.0) + waited_s / 60.0'
+_LARGEST_GANG_PRIORITY = '(urgent ? 1e9 : 0.0) + (gang ? slots : 0.0) + waited_s / 60.0'
 _FULLEST_FIRST = 'free + memory_free + (suspect ? 1000.0 : 0.0)'
 _LEAST_LOST = 'slots * members * (checkpointable ? 0.5 : 0.5 + ran_s)'
 
@@ -17,7 +17,7 @@
 POLICY_REGISTRY.register('fragmentation')(
     PolicySettings(
         name='fragmentation',
-        priority=_LARGEST_GANG,
+        priority=_LARGEST_GANG_PRIORITY,
         placement_score=_FULLEST_FIRST,
         reclaim=_LEAST_LOST,
     ),
