--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -23,4 +23,4 @@
     ),
 )
 
-SHIPPED_POLICIES = {name: POLICY_REGISTRY.named(name) for name in POLICY_REGISTRY.names()}
+SHIPPED_POLICIES = {name: POLICY_REGISTRY.get(name) for name in POLICY_REGISTRY.names()}
--- a/packages/kernel/dahliaarch_kernel/registry/core.py
+++ b/packages/kernel/dahliaarch_kernel/registry/core.py
@@ -39,7 +39,7 @@
 
         return decorator
 
-    def named(self, name: str) -> Plugin:
+    def get(self, name: str) -> Plugin:
         """Return the plug-in called ``name``.
 
         Raises
