--- a/packages/kernel/dahliaarch_kernel/registry/core.py
+++ b/packages/kernel/dahliaarch_kernel/registry/core.py
@@ -20,7 +20,7 @@
     def __init__(self, kind: str) -> None:
         """Start empty."""
         self._kind = kind
-        self._by_name: dict[str, Plugin] = {}
+        self._plugin_by_name: dict[str, Plugin] = {}
 
     def register(self, name: str) -> Callable[[Plugin], Plugin]:
         """Return a decorator that records a plug-in under ``name``.
@@ -32,9 +32,9 @@
         """
 
         def decorator(plugin: Plugin) -> Plugin:
-            if name in self._by_name:
+            if name in self._plugin_by_name:
                 raise RegistryError(f'{self._kind} {name!r} is registered already')
-            self._by_name[name] = plugin
+            self._plugin_by_name[name] = plugin
             return plugin
 
         return decorator
@@ -47,11 +47,11 @@
         RegistryError
             When there is none.
         """
-        if name not in self._by_name:
+        if name not in self._plugin_by_name:
             known = ', '.join(self.names())
             raise RegistryError(f'unknown {self._kind} {name!r}; known: {known}')
-        return self._by_name[name]
+        return self._plugin_by_name[name]
 
     def names(self) -> tuple[str, ...]:
         """Return the registered names in order."""
-        return tuple(sorted(self._by_name))
+        return tuple(sorted(self._plugin_by_name))
