--- a/packages/kernel/dahliaarch_kernel/registry/core.py
+++ b/packages/kernel/dahliaarch_kernel/registry/core.py
@@ -48,8 +48,8 @@
             When there is none.
         """
         if name not in self._plugin_by_name:
-            known = ', '.join(self.names())
-            raise RegistryError(f'unknown {self._kind} {name!r}; known: {known}')
+            known_names = ', '.join(self.names())
+            raise RegistryError(f'unknown {self._kind} {name!r}; known: {known_names}')
         return self._plugin_by_name[name]
 
     def names(self) -> tuple[str, ...]:
