--- a/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
+++ b/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
@@ -21,8 +21,8 @@
 
 
 def test_a_program_that_fails_while_it_decides_gives_way_to_the_built_in_choice():
-    failed = []
+    failed_programs = []
     settings = PolicySettings('mine', priority='waited_s > 1e7 ? double("x") : waited_s')
-    policy = Policy(settings, lambda name, error: failed.append(name))
+    policy = Policy(settings, lambda name, error: failed_programs.append(name))
     assert policy.priority(JobVariables(waited_s=2e7)) == 2e7
-    assert failed == ['priority']
+    assert failed_programs == ['priority']
