--- a/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
+++ b/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
@@ -20,7 +20,7 @@
         compile_policy(PolicySettings('mine', priority=program))
 
 
-def test_a_program_that_fails_while_it_decides_gives_way_to_the_built_in_choice():
+def test_a_program_that_fails_at_run_time_falls_back_to_the_default():
     failed_programs = []
     settings = PolicySettings('mine', priority='waited_s > 1e7 ? double("x") : waited_s')
     policy = Policy(settings, lambda name, error: failed_programs.append(name))
