--- a/packages/kernel/dahliaarch_kernel/workload/core.py
+++ b/packages/kernel/dahliaarch_kernel/workload/core.py
@@ -40,12 +40,12 @@
         """Return the amount taken ``count`` times."""
         return Resources(self.cpu_millis * count, self.memory_mb * count, self.accelerators * count)
 
-    def covers(self, wanted: 'Resources') -> bool:
+    def covers(self, requested: 'Resources') -> bool:
         """Tell whether ``wanted`` fits into this amount."""
         return (
-            wanted.cpu_millis <= self.cpu_millis
-            and wanted.memory_mb <= self.memory_mb
-            and wanted.accelerators <= self.accelerators
+            requested.cpu_millis <= self.cpu_millis
+            and requested.memory_mb <= self.memory_mb
+            and requested.accelerators <= self.accelerators
         )
 
 
