--- a/packages/kernel/dahliaarch_kernel/workload/demand.py
+++ b/packages/kernel/dahliaarch_kernel/workload/demand.py
@@ -24,7 +24,7 @@
     """Return what decides where a step may run, in one short text for the logs."""
     parts = [f'{step.task_count} x {step.demand.cpu_millis}m {step.demand.memory_mb}MB {step.demand.accelerators}acc']
     parts.append(f'{step.estimate_s:g}s')
-    marks = {
+    constraints = {
         'gang': step.gang,
         'one rack': step.same_rack,
         'checkpoints': step.checkpoints,
@@ -36,5 +36,5 @@
         f'at most {step.max_per_worker} a worker': step.max_per_worker,
         f'after {step.after}': step.after,
     }
-    parts.extend(text for text, holds in marks.items() if holds)
+    parts.extend(text for text, holds in constraints.items() if holds)
     return ', '.join(parts)
