--- a/packages/kernel/dahliaarch_kernel/workload/demand.py
+++ b/packages/kernel/dahliaarch_kernel/workload/demand.py
@@ -36,5 +36,5 @@
         f'at most {step.max_per_worker} a worker': step.max_per_worker,
         f'after {step.after}': step.after,
     }
-    parts.extend(text for text, holds in constraints.items() if holds)
+    parts.extend(text for text, is_set in constraints.items() if is_set)
     return ', '.join(parts)
