--- a/packages/kernel/dahliaarch_kernel/workload/demand.py
+++ b/packages/kernel/dahliaarch_kernel/workload/demand.py
@@ -17,7 +17,7 @@
 def dominant_share(demand: Resources, capacity: Resources) -> float:
     """Return the largest share of a capacity's parts that a demand takes."""
     pairs = zip(demand, capacity, strict=True)
-    return max(demanded / whole if whole else float(bool(demanded)) for demanded, whole in pairs)
+    return max(demanded / available if available else float(bool(demanded)) for demanded, available in pairs)
 
 
 def step_summary(step: StepSpec) -> str:
