--- a/packages/kernel/dahliaarch_kernel/workload/validation.py
+++ b/packages/kernel/dahliaarch_kernel/workload/validation.py
@@ -32,9 +32,9 @@
         ('repeats', job.occurrences, _MAX_OCCURRENCES),
         ('tasks', tasks, MAX_TASKS),
     )
-    for field, size, most in limits:
-        if size > most:
-            raise JobRejectedError(field, f'{size}, at most {most}')
+    for field, size, limit in limits:
+        if size > limit:
+            raise JobRejectedError(field, f'{size}, at most {limit}')
     if not job.steps:
         raise JobRejectedError('steps', 'a job has at least one step')
 
