--- a/packages/kernel/dahliaarch_kernel/workload/validation.py
+++ b/packages/kernel/dahliaarch_kernel/workload/validation.py
@@ -20,8 +20,8 @@
         When it could never run as it stands.
     """
     _check_sizes(job)
-    for number, step in enumerate(job.steps):
-        _check_step(number, step)
+    for index, step in enumerate(job.steps):
+        _check_step(index, step)
 
 
 def _check_sizes(job: JobSpec) -> None:
@@ -39,10 +39,10 @@
         raise JobRejectedError('steps', 'a job has at least one step')
 
 
-def _check_step(number: int, step: StepSpec) -> None:
+def _check_step(index: int, step: StepSpec) -> None:
     if step.task_count < 1:
-        raise JobRejectedError(f'steps.{number}.task_count', 'a step has at least one task')
+        raise JobRejectedError(f'steps.{index}.task_count', 'a step has at least one task')
     if min(step.demand) < 0:
-        raise JobRejectedError(f'steps.{number}', 'resources are not negative')
-    if any(earlier < 0 or earlier >= number for earlier in step.after):
-        raise JobRejectedError(f'steps.{number}.after', 'names a step that does not come earlier')
+        raise JobRejectedError(f'steps.{index}', 'resources are not negative')
+    if any(earlier < 0 or earlier >= index for earlier in step.after):
+        raise JobRejectedError(f'steps.{index}.after', 'names a step that does not come earlier')
