--- a/packages/kernel/dahliaarch_kernel/workload/validation.py
+++ b/packages/kernel/dahliaarch_kernel/workload/validation.py
@@ -44,5 +44,5 @@
         raise JobRejectedError(f'steps.{index}.task_count', 'a step has at least one task')
     if min(step.demand) < 0:
         raise JobRejectedError(f'steps.{index}', 'resources are not negative')
-    if any(earlier < 0 or earlier >= index for earlier in step.after):
+    if any(dependency < 0 or dependency >= index for dependency in step.after):
         raise JobRejectedError(f'steps.{index}.after', 'names a step that does not come earlier')
