--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -36,8 +36,10 @@
 def accounts():
     name = st.sampled_from(('crew', 'desk', 'depot'))
     return name.flatmap(
-        lambda found: st.builds(
-            Account, st.just(found), st.lists(st.sampled_from((found + '1', found + '2')), unique=True).map(tuple)
+        lambda account_name: st.builds(
+            Account,
+            st.just(account_name),
+            st.lists(st.sampled_from((account_name + '1', account_name + '2')), unique=True).map(tuple),
         )
     )
 
