--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -63,9 +63,9 @@
 
 @given(configurations(3), configurations(8))
 def test_a_change_does_not_touch_the_version_that_it_builds_on(before, after):
-    kept = dict(before.queue_by_name)
+    queues_before = dict(before.queue_by_name)
     apply_change(before, diff_configurations(before, after))
-    assert before.queue_by_name == kept
+    assert before.queue_by_name == queues_before
 
 
 def test_a_change_of_another_version_is_refused():
