--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -75,9 +75,9 @@
 
 
 def test_equal_entries_are_not_part_of_a_change():
-    many = [Queue(f'q{number}', 'a.example', f'/{number}/', 's') for number in range(100)]
-    before = build_configuration(ConfigurationParts(3, many))
-    after = build_configuration(ConfigurationParts(8, [*many, Queue('new', 'a.example', '/new/', 's')]))
+    existing_queues = [Queue(f'q{number}', 'a.example', f'/{number}/', 's') for number in range(100)]
+    before = build_configuration(ConfigurationParts(3, existing_queues))
+    after = build_configuration(ConfigurationParts(8, [*existing_queues, Queue('new', 'a.example', '/new/', 's')]))
     assert [queue.name for queue in diff_configurations(before, after).queues] == ['new']
 
 
