--- a/packages/kernel/dahliaarch_kernel/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of the dahliaarch scheduler: no I/O, no clock, no network."""
+"""Pure decision logic of the dahliaarch scheduler: no I/O, no clock, no network."""
