--- a/packages/kernel/dahliaarch_kernel/codec.py
+++ b/packages/kernel/dahliaarch_kernel/codec.py
@@ -1,4 +1,4 @@
-"""Stored and sent forms of records: MessagePack, checked against their types."""
+"""MessagePack serialization of records, with type validation on decoding."""
 
 from typing import TypeVar
 
@@ -10,26 +10,26 @@
 
 
 def encode(record: object) -> bytes:
-    """Return the form of a record that is stored or sent."""
+    """Serialize a record for storage or transmission."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(value: bytes, record_type: type[Record], description: str) -> Record:
-    """Return a record from its form.
+    """Deserialize a record and validate it against its type.
 
     Parameters
     ----------
     value : bytes
-        The form.
-    kind : type
-        Type of the record.
-    what : str
-        What it is called in an error.
+        Serialized record.
+    record_type : type
+        Expected type of the record.
+    description : str
+        Name of the record in error messages.
 
     Raises
     ------
     ProtocolError
-        When the value is not a record of that type.
+        If the value is not a valid record of that type.
     """
     try:
         return msgspec.msgpack.decode(value, type=record_type)
