--- a/packages/kernel/dahliaarch_kernel/configuration/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues, client accounts and limits."""
+"""Configuration set by operators: queues, services, client accounts and request limits."""
 
 from .changes import (
     apply_change,
