--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -1,8 +1,8 @@
-"""The difference between two versions of the configuration.
+"""Incremental changes between versions of the configuration.
 
-A version of a thousand queues differs from the one before it by little; what
-travels between instances, and what a version holds in memory beside another,
-is that difference.
+Consecutive versions of a configuration with a thousand queues differ in few
+entries. Instances therefore send each other only the changed entries, and
+versions held in memory share the unchanged ones.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,34 +15,34 @@
 class _NamedEntry(Protocol):
     @property
     def name(self) -> str:
-        """Name by which an entry is found."""
+        """Unique name of the entry among entries of its type."""
 
 
 Entry = TypeVar('Entry', bound=_NamedEntry)
 
-# Version that a whole configuration builds on.
+# Base version of a change that carries a complete configuration.
 NO_VERSION = -1
 
 
 class ChangeMismatchError(DahliaarchError):
-    """A change builds on another version than the present one."""
+    """The base version of a change is not the current version."""
 
 
 class ConfigurationChange(NamedTuple):
-    """What turns one version into another.
+    """Entries to update and remove to get from one version to another.
 
     Parameters
     ----------
     base : int
-        Version that it builds on; `NO_VERSION` for a whole configuration.
+        Version that the change applies to; `NO_VERSION` for a complete configuration.
     version : int
-        Version that it leads to.
+        Version that results from the change.
     queues, services, accounts : tuple
-        Entries that are new or differ.
+        Added and modified entries.
     gone_queues, gone_services, gone_accounts : tuple of str
-        Names of entries that are left out.
+        Names of removed entries.
     limits : HttpLimits
-        Bounds on requests, whole.
+        Limits on requests; always complete, also when unchanged.
     """
 
     base: int
@@ -60,7 +60,7 @@
 
 
 def diff_configurations(before: Configuration, after: Configuration) -> ConfigurationChange:
-    """Return the change that leads from one configuration to another."""
+    """Return the change that turns ``before`` into ``after``."""
     return ConfigurationChange(
         base=before.version,
         version=after.version,
@@ -75,15 +75,17 @@
 
 
 def apply_change(before: Configuration, change: ConfigurationChange) -> Configuration:
-    """Return the configuration that a change leads to; equal entries are shared.
+    """Return the configuration after a change; unchanged entries are shared with ``before``.
 
     Raises
     ------
     ChangeMismatchError
-        When the change builds on another version.
+        If the base of the change is not the version of ``before``.
     """
     if before.version != change.base:
-        raise ChangeMismatchError(f'version {before.version}, but the change builds on {change.base}')
+        raise ChangeMismatchError(
+            f'current version is {before.version}, but the change applies to version {change.base}'
+        )
     return build_configuration(
         ConfigurationParts(
             version=change.version,
