--- a/packages/kernel/dahliaarch_kernel/configuration/core.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/core.py
@@ -1,20 +1,20 @@
-"""One version of the configuration, whole."""
+"""Data model of one complete version of the configuration."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 
 class AdviceTerms(NamedTuple):
-    """What asking the outside policy for workers costs, times in seconds.
+    """Timing of calls to the external placement policy, in seconds.
 
     Parameters
     ----------
     decision_s : float
-        Time that each call takes.
+        Fixed duration of each call.
     per_worker_s : float
-        Time beside that for each worker that is named.
+        Additional duration for each worker in the call.
     valid_s : float
-        How long the tickets of an answer hold.
+        Validity period of the tickets in a reply.
     """
 
     decision_s: float
@@ -23,32 +23,33 @@
 
 
 class Queue(NamedTuple):
-    """A route of callers to the service whose workers run its jobs.
+    """A route from client requests to the service whose workers run the jobs.
 
     Parameters
     ----------
     name : str
         Name of the queue.
     host : str
-        Host name that callers ask for.
+        Host name of the requests.
     path_prefix : str
-        Beginning of the path; the longest match wins.
+        Prefix of the request path; the queue with the longest matching prefix is used.
     service : str
         Service whose workers run the tasks.
     priority : int
-        0 goes first and may preempt others.
+        Priority class; 0 is the most urgent and may preempt the others.
     max_attempts : int
-        Failed runs of one task after which the job fails.
+        Number of failed runs of one task after which the job fails.
     stretch : float
-        Multiple of the longest chain of work that the objective allows.
+        Factor on the duration of the job's critical path in its latency objective.
     target_latency_s : float
-        Seconds that the objective allows beside the work.
+        Seconds that the latency objective allows in addition to ``stretch``
+        times the critical path.
     timeout_s : float
-        Longest time for one request.
+        Maximum duration of one request.
     public : bool
-        Whether calls need no key.
+        Whether requests need no key.
     advice : AdviceTerms or None
-        Set when an outside policy decides which workers may run a step.
+        Set if an external policy decides which workers may run a step.
     """
 
     name: str
@@ -65,16 +66,16 @@
 
 
 class ServiceSettings(NamedTuple):
-    """What the configuration says of a service.
+    """Settings of one service.
 
     Parameters
     ----------
     name : str
         Name of the service.
     workers_check_capacity : bool
-        Whether workers refuse a task that does not fit.
+        Whether workers refuse a task that exceeds their free capacity.
     powered_off : bool
-        Whether its machines are a reserve that is switched off.
+        Whether its machines are a powered-off reserve.
     """
 
     name: str
@@ -90,9 +91,9 @@
     name : str
         Name of the account.
     keys : tuple of str
-        Keys in force.
+        Valid API keys.
     guaranteed_accelerators : int
-        Accelerators that its jobs of priority 0 may use at any time.
+        Accelerators guaranteed to its jobs of priority 0 at any time.
     """
 
     name: str
@@ -101,18 +102,18 @@
 
 
 class HttpLimits(NamedTuple):
-    """Bounds on callers' requests.
+    """Limits on client requests.
 
     Parameters
     ----------
     header_bytes : int
-        Largest header section.
+        Maximum size of the header section.
     body_bytes : int
-        Largest body.
+        Maximum size of the body.
     header_timeout_s : float
-        Longest wait for a header section that has begun.
+        Maximum time to receive a header section, from its first byte.
     idle_timeout_s : float
-        How long an idle connection is kept.
+        Time after which an idle connection is closed.
     """
 
     header_bytes: int = 16_384
@@ -122,25 +123,25 @@
 
 
 class Configuration(NamedTuple):
-    """One version of everything that operators decide.
+    """One version of the operators' configuration, with lookup indices.
 
     Parameters
     ----------
     version : int
-        Grows with every accepted change.
+        Version number; increases with every accepted change.
     queue_by_name : dict
         Queues.
     queues_by_host : dict
-        The same by the host that callers ask for, the longest path prefix first:
-        a request looks only at the queues of its own host.
+        Queues of each host, in descending order of path prefix length, so that
+        a request is matched only against the queues of its own host.
     service_by_name : dict
         Services.
     account_by_name : dict
         Client accounts.
     account_by_key : dict
-        Name of the account that holds a key.
+        Name of the account that each key belongs to.
     limits : HttpLimits
-        Bounds on requests.
+        Limits on requests.
     """
 
     version: int
@@ -153,7 +154,7 @@
 
 
 class ConfigurationParts(NamedTuple):
-    """What a configuration is built from, without its indices; fields as there."""
+    """Entries of a `Configuration` before its indices are built; the fields have the same meaning."""
 
     version: int
     queues: Iterable[Queue] = ()
@@ -163,7 +164,7 @@
 
 
 def build_configuration(parts: ConfigurationParts) -> Configuration:
-    """Return a configuration with its indices."""
+    """Build a configuration and its lookup indices."""
     queue_by_name = {queue.name: queue for queue in parts.queues}
     account_by_name = {account.name: account for account in parts.accounts}
     return Configuration(
