--- a/packages/kernel/dahliaarch_kernel/configuration/lookup.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/lookup.py
@@ -1,4 +1,4 @@
-"""Which queue a request is for, and whose key it carries."""
+"""Routing of requests to queues, and their authorization."""
 
 import hmac
 
@@ -11,37 +11,39 @@
 
 
 class AccessDeniedError(DahliaarchError):
-    """The key of a request is not in force."""
+    """A request has no valid key."""
 
 
 def find_queue(configuration: Configuration, host: str, path: str) -> Queue:
-    """Return the queue of the longest path prefix that matches.
+    """Return the queue with the longest path prefix that matches a request.
 
     Raises
     ------
     RouteNotFoundError
-        When none does.
+        If no queue matches.
     """
     bare_host = host.partition(':')[0].lower()
     for queue in configuration.queues_by_host.get(bare_host, ()):
         if path.startswith(queue.path_prefix):
             return queue
-    raise RouteNotFoundError(f'no queue for {bare_host} {path}')
+    raise RouteNotFoundError(f'no queue matches host {bare_host} and path {path}')
 
 
 def authorize(configuration: Configuration, queue: Queue, key: str) -> str:
-    """Return the account that a key belongs to; empty on a public queue.
+    """Return the name of the account that a key belongs to.
+
+    On a public queue, the name is empty if the key belongs to no account.
 
     Raises
     ------
     AccessDeniedError
-        When the queue needs a key and this one is not in force.
+        If the queue is not public and the key is not valid.
     """
     account = ''
-    # Every key is compared in constant time, so that timing shows nothing.
+    # Compares with every key, each in constant time, to prevent timing attacks.
     for account_key, account_name in configuration.account_by_key.items():
         if hmac.compare_digest(account_key.encode(), key.encode()):
             account = account_name
     if account or queue.public:
         return account
-    raise AccessDeniedError('the key is not in force')
+    raise AccessDeniedError('the key is not valid')
