--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes lead from any version to any other, and requests find their queue in each."""
+"""Tests of configuration changes between arbitrary versions and of request routing."""
 
 import pytest
 from hypothesis import given
