--- a/packages/kernel/dahliaarch_kernel/errors/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Typed exceptions shared by every package."""
+"""Exception classes shared by all packages."""
 
 from .core import (
     DahliaarchError,
