--- a/packages/kernel/dahliaarch_kernel/errors/core.py
+++ b/packages/kernel/dahliaarch_kernel/errors/core.py
@@ -6,11 +6,11 @@
 
 
 class RegistryError(DahliaarchError):
-    """A plug-in is unknown, or its name is taken."""
+    """A plug-in is not registered, or its name is already in use."""
 
 
 class PolicyError(DahliaarchError):
-    """A policy program does not compile or yields the wrong type."""
+    """A policy program does not compile, fails on sample input or returns the wrong type."""
 
 
 class SettingsError(DahliaarchError):
@@ -18,22 +18,22 @@
 
     Parameters
     ----------
-    where : str
-        Key at fault.
-    why : str
-        What is wrong with it.
+    location : str
+        Key of the invalid setting, or name of the malformed message.
+    reason : str
+        Description of the error.
     """
 
     def __init__(self, location: str, reason: str) -> None:
-        """Keep both parts and build the message."""
+        """Store the location and the reason, and format the message."""
         self.location = location
         self.reason = reason
         super().__init__(f'{location}: {reason}')
 
 
 class JobRejectedError(SettingsError):
-    """A submitted job is malformed or could never run."""
+    """A submitted job is malformed or can never run."""
 
 
 class ProtocolError(SettingsError):
-    """A message from outside does not have the published shape."""
+    """A received message or stored record does not match its schema."""
