--- a/packages/kernel/dahliaarch_kernel/policies/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies: short programs that decide priority, placement and reclaim."""
+"""Scheduling policies: short programs that decide priority, placement and preemption."""
 
 from .core import compile_policy, Policy
 from .settings import PolicySettings
