--- a/packages/kernel/dahliaarch_kernel/policies/core.py
+++ b/packages/kernel/dahliaarch_kernel/policies/core.py
@@ -1,4 +1,4 @@
-"""Compilation, checking and safe evaluation of policy programs."""
+"""Compilation, validation and safe evaluation of policy programs."""
 
 import importlib
 import math
@@ -17,7 +17,7 @@
 
 
 class _Samples(NamedTuple):
-    """Variables on which a program is tried before it is accepted."""
+    """Sample variables on which a program is evaluated before it is accepted."""
 
     typical: Variables
     extreme: Variables
@@ -29,17 +29,17 @@
 
 
 class Policy:
-    """Compiled programs of a policy, with built-in stand-ins.
+    """Compiled programs of a policy, with built-in defaults.
 
-    A program that fails while it decides is replaced, for that decision, by
-    the built-in choice, and the failure is reported.
+    If a program fails at run time, the built-in default makes that decision
+    instead and the failure is reported.
 
     Parameters
     ----------
     settings : PolicySettings
-        Programs and bounds.
+        Name and programs of the policy.
     on_failure : callable
-        Called with the program's name and the exception.
+        Called with the name of the failed program and the exception.
     """
 
     def __init__(self, settings: PolicySettings, on_failure: OnFailure) -> None:
@@ -48,7 +48,7 @@
         Raises
         ------
         PolicyError
-            When a program does not compile or yields the wrong type.
+            If a program does not compile, fails on a sample or returns the wrong type.
         """
         self.settings = settings
         self._on_failure = on_failure
@@ -59,7 +59,7 @@
 
     @property
     def has_priority(self) -> bool:
-        """Whether a program decides the order."""
+        """Whether a program determines the priority of jobs."""
         return self._priority is not None
 
     @property
@@ -69,17 +69,17 @@
 
     @property
     def has_reclaim(self) -> bool:
-        """Whether a program chooses victims."""
+        """Whether a program determines the cost of preemption."""
         return self._reclaim is not None
 
     def priority(self, job: JobVariables) -> float:
-        """Return the priority of a job; higher goes first."""
+        """Return the priority of a job; a higher one is scheduled first."""
         if self._priority is None:
             return _default_priority(job)
         return self._evaluate_number('priority', self._priority, job, _default_priority)
 
     def admits(self, candidate: CandidateVariables) -> bool:
-        """Tell whether the placement filter keeps a worker."""
+        """Tell whether a worker passes the placement filter."""
         if self._filter is None:
             return True
         try:
@@ -95,7 +95,7 @@
         return self._evaluate_number('placement_score', self._score, candidate, _default_score)
 
     def reclaim_cost(self, victim: VictimVariables) -> float:
-        """Return the cost of preempting a job; the cheapest go first."""
+        """Return the cost of preempting a run; the cheapest are preempted first."""
         if self._reclaim is None:
             return _default_reclaim_cost(victim)
         return self._evaluate_number('reclaim', self._reclaim, victim, _default_reclaim_cost)
@@ -107,31 +107,31 @@
             self._on_failure(name, error)
             return fallback(variables)
         if math.isnan(result):
-            self._on_failure(name, ValueError('not a number'))
+            self._on_failure(name, ValueError('the result is NaN'))
             return fallback(variables)
         return result
 
 
 def compile_policy(settings: PolicySettings) -> Policy:
-    """Return the policy, its run-time failures unreported.
+    """Compile a policy whose run-time failures are not reported.
 
     Raises
     ------
     PolicyError
-        When a program does not compile or yields the wrong type.
+        If a program does not compile, fails on a sample or returns the wrong type.
     """
     return Policy(settings, lambda name, error: None)
 
 
-# The interpreter of programs is imported by the first program only: it is large, and
-# most instances never own the pool.
+# The interpreter is large and most instances never own the pool, so it is imported
+# only when the first program is compiled.
 def _compile(text: str, name: str, samples: _Samples, result_type: type) -> Any:
     if not text:
         return None
     if len(text) > _MAX_PROGRAM_LENGTH:
-        raise PolicyError(f'{name}: longer than {_MAX_PROGRAM_LENGTH} characters')
+        raise PolicyError(f'{name}: program is longer than {_MAX_PROGRAM_LENGTH} characters')
     if any(macro in text for macro in _MACROS):
-        raise PolicyError(f'{name}: loops over lists are not allowed, so that its cost stays bounded')
+        raise PolicyError(f'{name}: list macros are not allowed, because they make the evaluation cost unbounded')
     try:
         program = importlib.import_module('cel').compile(text)
     except ValueError as error:
@@ -148,9 +148,9 @@
         variable_names = ', '.join(sample._fields)
         raise PolicyError(f'{name}: {error} (variables: {variable_names})') from error
     if result_type is bool and not isinstance(result, bool):
-        raise PolicyError(f'{name}: yields {type(result).__name__}, not a boolean')
+        raise PolicyError(f'{name}: returns {type(result).__name__}, expected a boolean')
     if result_type is float and (isinstance(result, bool) or not isinstance(result, int | float)):
-        raise PolicyError(f'{name}: yields {type(result).__name__}, not a number')
+        raise PolicyError(f'{name}: returns {type(result).__name__}, expected a number')
 
 
 def _default_priority(job: JobVariables) -> float:
@@ -166,11 +166,11 @@
     return victim.slots * victim.members * (_RESTART_COST_S + lost_s)
 
 
-# Above any priority that a job of another queue reaches.
+# Added to the priority of urgent jobs; exceeds any priority that other jobs reach.
 _URGENT_BONUS = 1e9
-# Added to the priority for each second of waiting where a program failed.
+# Added to the default priority for each second of waiting.
 _PRIORITY_PER_WAITED_S = 1.0
-# Above any score that free accelerators give.
+# Added to the score of suspect workers; exceeds any score that free accelerators yield.
 _SUSPECT_PENALTY = 1000.0
-# Cost of any stop in seconds of the run's work: its restart.
+# Cost of restarting a preempted run, in seconds of its work.
 _RESTART_COST_S = 0.5
