--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -1,4 +1,4 @@
-"""Policies that ship with the project, by name."""
+"""Registry of the policies that ship with the project."""
 
 from ..registry import Registry
 from .settings import PolicySettings
