--- a/packages/kernel/dahliaarch_kernel/policies/variables.py
+++ b/packages/kernel/dahliaarch_kernel/policies/variables.py
@@ -1,33 +1,33 @@
-"""Typed variables that policy programs may read.
+"""Input variables of policy programs.
 
-All numbers are floating point, since Common Expression Language does not mix
-integers with floating-point numbers.
+All numbers are floating-point because the Common Expression Language does not
+allow mixed arithmetic on integers and floating-point numbers.
 """
 
 from typing import NamedTuple
 
 
 class JobVariables(NamedTuple):
-    """What a ``priority`` program sees: a step that has tasks to start.
+    """Input of a ``priority`` program: a step with waiting tasks.
 
     Parameters
     ----------
     urgent : bool
-        Whether its queue has priority 0.
+        Whether the queue of the step has priority 0.
     guaranteed : bool
-        Whether it runs inside its account's guarantee.
+        Whether it fits into the guaranteed accelerators of its account.
     waited_s : float
-        Seconds since it was accepted or fell due.
+        Seconds since the job was accepted or the occurrence became due.
     expected_s : float
         Expected run time of one task in seconds.
     slack_s : float
-        Seconds that it may still wait and end in time.
+        Seconds that it can still wait without missing its latency objective.
     slots : float
-        Accelerators of all its waiting tasks.
+        Total accelerators of its waiting tasks.
     members : float
-        Its waiting tasks.
+        Number of its waiting tasks.
     gang : bool
-        Whether they run all together or not at all.
+        Whether the tasks must all run at the same time (gang scheduling).
     """
 
     urgent: bool = False
@@ -41,20 +41,20 @@
 
 
 class CandidateVariables(NamedTuple):
-    """What ``placement_filter`` and ``placement_score`` programs see.
+    """Input of ``placement_filter`` and ``placement_score`` programs: a candidate worker.
 
     Parameters
     ----------
     free : float
         Free accelerators of the worker.
     slots : float
-        All its accelerators.
+        Total accelerators of the worker.
     block : float
-        Accelerators that one task wants.
+        Accelerators that one task requires.
     memory_free : float
-        Share of its memory that is free.
+        Fraction of its memory that is free.
     suspect : bool
-        Whether tasks failed or crawled there of late.
+        Whether tasks recently failed or were slow on the worker.
     """
 
     free: float = 8.0
@@ -65,20 +65,20 @@
 
 
 class VictimVariables(NamedTuple):
-    """What a ``reclaim`` program sees of a run that could be stopped.
+    """Input of a ``reclaim`` program: a run that could be preempted.
 
     Parameters
     ----------
     ran_s : float
-        Seconds since it started.
+        Seconds since the run started.
     left_s : float
-        Expected seconds until it ends.
+        Expected remaining run time in seconds.
     slots : float
-        Cores that it holds, each accelerator counted as eight.
+        Cores allocated to the run, each accelerator counted as eight.
     checkpointable : bool
-        Whether its work so far is kept.
+        Whether it saves checkpoints, so that completed work is kept.
     members : float
-        Runs that end with it: its gang.
+        Number of runs that stop with it (its gang).
     """
 
     ran_s: float = 10.0
