--- a/packages/kernel/dahliaarch_kernel/registry/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/registry/__init__.py
@@ -1,4 +1,4 @@
-"""Registry in which plug-ins announce themselves to the kernel."""
+"""Registry of the kernel's plug-ins."""
 
 from .core import Registry
 
