--- a/packages/kernel/dahliaarch_kernel/workload/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/workload/__init__.py
@@ -1,4 +1,4 @@
-"""What callers ask for: jobs, their steps and the keys of their tasks."""
+"""Submitted work: jobs, their steps and the keys of their tasks."""
 
 from .core import JobSpec, Resources, StepKey, StepSpec, TaskKey
 from .demand import dominant_share, NO_RESOURCES, step_summary, weighted_cores
