--- a/packages/kernel/dahliaarch_kernel/workload/core.py
+++ b/packages/kernel/dahliaarch_kernel/workload/core.py
@@ -1,19 +1,19 @@
-"""Records of jobs as their owners submitted them."""
+"""Specifications of jobs and the keys of their steps and tasks."""
 
 from typing import NamedTuple
 
 
 class Resources(NamedTuple):
-    """An amount of a worker's resources.
+    """An amount of resources, as required by a task or provided by a worker.
 
     Parameters
     ----------
     cpu_millis : int
-        Processor time in thousandths of a core.
+        CPU in thousandths of a core.
     memory_mb : int
         Memory in megabytes.
     accelerators : int
-        Whole accelerators.
+        Number of accelerators.
     """
 
     cpu_millis: int = 0
@@ -29,7 +29,7 @@
         )
 
     def minus(self, other: 'Resources') -> 'Resources':
-        """Return the difference; parts may be negative."""
+        """Return the difference of two amounts; components may be negative."""
         return Resources(
             self.cpu_millis - other.cpu_millis,
             self.memory_mb - other.memory_mb,
@@ -37,11 +37,11 @@
         )
 
     def times(self, count: int) -> 'Resources':
-        """Return the amount taken ``count`` times."""
+        """Return the amount multiplied by ``count``."""
         return Resources(self.cpu_millis * count, self.memory_mb * count, self.accelerators * count)
 
     def covers(self, requested: 'Resources') -> bool:
-        """Tell whether ``wanted`` fits into this amount."""
+        """Tell whether ``requested`` fits into this amount."""
         return (
             requested.cpu_millis <= self.cpu_millis
             and requested.memory_mb <= self.memory_mb
@@ -50,18 +50,18 @@
 
 
 class TaskKey(NamedTuple):
-    """Identity of one task over all of its runs.
+    """Identifier of one task, common to all of its runs.
 
     Parameters
     ----------
     job_id : str
-        Identifier that the caller chose.
+        Identifier of the job, chosen by the client.
     occurrence : int
-        Which repetition of the steps, from 0.
+        Index of the repetition of the steps, from 0.
     step : int
-        Which step of the job, from 0.
+        Index of the step in the job, from 0.
     task_index : int
-        Which task of the step, from 0.
+        Index of the task in the step, from 0.
     """
 
     job_id: str
@@ -71,7 +71,7 @@
 
 
 class StepKey(NamedTuple):
-    """Identity of one step of one occurrence."""
+    """Identifier of one step in one occurrence; the fields are those of `TaskKey`."""
 
     job_id: str
     occurrence: int
@@ -79,42 +79,42 @@
 
 
 class StepSpec(NamedTuple):
-    """One step of a job: equal tasks and the conditions they run under.
+    """One step of a job: identical tasks and their scheduling constraints.
 
     Parameters
     ----------
     task_count : int
         Number of tasks.
     demand : Resources
-        What one task needs.
+        Resources that one task requires.
     estimate_s : float
-        The owner's rough guess of a task's run time in seconds.
+        Submitter's rough estimate of the run time of a task in seconds.
     after : tuple of int
-        Steps whose tasks must all have succeeded before.
+        Indices of the steps whose tasks must all succeed before this step starts.
     checkpoints : bool
-        Whether tasks save their progress.
+        Whether tasks save checkpoints of their progress.
     gang : bool
-        Whether the tasks run all together or not at all.
+        Whether the tasks must all run at the same time (gang scheduling).
     same_rack : bool
-        Whether a gang is slowed when it spreads over racks.
+        Whether a gang runs slower when it is spread over several racks.
     label : str
-        Label that a worker must have; empty for any.
+        Label that a worker must have; empty for no restriction.
     data_rack : str
-        Rack on which the data lies; empty for any.
+        Rack that holds the input data; empty for no preference.
     max_per_worker : int
-        Most tasks of the step on one worker; 0 for no limit.
+        Maximum number of tasks of the step on one worker; 0 for no limit.
     speculative : bool
-        Whether copies of a task may run side by side.
+        Whether several copies of a task may run concurrently.
     lasting : bool
         Whether tasks run until the job is cancelled.
     image : str
-        Name of the program; tasks of one image behave alike.
+        Name of the program; tasks with the same image are expected to behave alike.
     target_latency_s : float
-        Bound on the tail latency of a serving task; 0 for none.
+        Upper limit on the tail latency of a serving task; 0 for no limit.
     fills : bool
-        Whether the tasks use only processor time that others leave.
+        Whether the tasks use only CPU time that other tasks leave idle.
     max_unavailable : int
-        Lasting tasks that the scheduler may take away at once.
+        Maximum number of lasting tasks that the scheduler may stop at the same time.
     """
 
     task_count: int
@@ -136,28 +136,28 @@
 
 
 class JobSpec(NamedTuple):
-    """An accepted job, whole: enough to run it after every instance was lost.
+    """Complete specification of an accepted job; sufficient to run it after all instances were lost.
 
     Parameters
     ----------
     job_id : str
-        Identifier that the caller chose.
+        Identifier of the job, chosen by the client.
     account : str
         Client account that submitted it; empty on a public queue.
     queue : str
         Name of the queue.
     payload : str
-        Text handed to every task as it is.
+        Text passed unchanged to every task.
     steps : tuple of StepSpec
-        Steps in the caller's order.
+        Steps in the order in which the client submitted them.
     repeats : int
-        How often the steps run at due times; 0 for once, at once.
+        Number of scheduled repetitions of the steps; 0 to run them once, immediately.
     first_due_s : float
-        Due time of the first occurrence, seconds since 1970.
+        Due time of the first occurrence, in seconds since 1970.
     interval_s : float
-        Time between due times in seconds.
+        Time between consecutive occurrences in seconds.
     accepted_s : float
-        When the job was accepted, seconds since 1970.
+        Time at which the job was accepted, in seconds since 1970.
     """
 
     job_id: str
@@ -176,7 +176,7 @@
         return max(1, self.repeats)
 
     def due_s(self, occurrence: int) -> float:
-        """Return when an occurrence is due, seconds since 1970; 0 for at once."""
+        """Return the due time of an occurrence in seconds since 1970; 0 if it is due immediately."""
         if not self.repeats:
             return 0.0
         return self.first_due_s + occurrence * self.interval_s
