--- a/packages/kernel/dahliaarch_kernel/workload/demand.py
+++ b/packages/kernel/dahliaarch_kernel/workload/demand.py
@@ -1,27 +1,27 @@
-"""Measures of how much of a worker a task takes."""
+"""Scalar measures of resource demand."""
 
 from .core import Resources, StepSpec
 
 NO_RESOURCES = Resources()
 
-# Cores that an accelerator counts as.
+# Number of cores that one accelerator is equivalent to.
 _CORES_PER_ACCELERATOR = 8.0
 _MILLIS_PER_CORE = 1000.0
 
 
 def weighted_cores(demand: Resources) -> float:
-    """Return a demand in cores, accelerators included at their price."""
+    """Return a demand in cores, each accelerator converted to its equivalent."""
     return demand.cpu_millis / _MILLIS_PER_CORE + _CORES_PER_ACCELERATOR * demand.accelerators
 
 
 def dominant_share(demand: Resources, capacity: Resources) -> float:
-    """Return the largest share of a capacity's parts that a demand takes."""
+    """Return the largest fraction of any resource of a capacity that a demand uses."""
     pairs = zip(demand, capacity, strict=True)
     return max(demanded / available if available else float(bool(demanded)) for demanded, available in pairs)
 
 
 def step_summary(step: StepSpec) -> str:
-    """Return what decides where a step may run, in one short text for the logs."""
+    """Return a one-line summary of the placement constraints of a step, for the logs."""
     parts = [f'{step.task_count} x {step.demand.cpu_millis}m {step.demand.memory_mb}MB {step.demand.accelerators}acc']
     parts.append(f'{step.estimate_s:g}s')
     constraints = {
