--- a/packages/kernel/dahliaarch_kernel/workload/validation.py
+++ b/packages/kernel/dahliaarch_kernel/workload/validation.py
@@ -1,23 +1,23 @@
-"""Checks of a submitted job that need no configuration."""
+"""Validation of submitted jobs, independent of the configuration."""
 
 from ..errors import JobRejectedError
 from .core import JobSpec, StepSpec
 
-# A job's progress must fit one value of the store (1 MB) with room to spare.
+# The progress record of a job must fit into one value of the store (1 MB) with some margin.
 MAX_TASKS = 20_000
-# Longest payload that the interface carries, in bytes.
+# Maximum payload of a job in bytes, as accepted by the interface.
 MAX_PAYLOAD_BYTES = 4_000
 _MAX_STEPS = 256
 _MAX_OCCURRENCES = 10_000
 
 
 def check_job(job: JobSpec) -> None:
-    """Check a job as it was submitted.
+    """Validate a submitted job.
 
     Raises
     ------
     JobRejectedError
-        When it could never run as it stands.
+        If the job could never run.
     """
     _check_sizes(job)
     for index, step in enumerate(job.steps):
