--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -68,7 +68,7 @@
     assert before.queue_by_name == queues_before
 
 
-def test_a_change_of_another_version_is_refused():
+def test_a_change_with_another_base_version_is_rejected():
     change = diff_configurations(build_configuration(ConfigurationParts(3)), build_configuration(ConfigurationParts(8)))
     with pytest.raises(ChangeMismatchError):
         apply_change(build_configuration(ConfigurationParts(4)), change)
