--- a/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
+++ b/packages/kernel/dahliaarch_kernel/policies/tests/test_policies.py
@@ -15,7 +15,7 @@
     'program',
     ['slots +', 'nonsense', '"text"', 'urgent', '[1.0].map(x, x)[0]', 'slots' + ' + slots' * 400, 'slots * 2'],
 )
-def test_faulty_programs_are_found_before_they_are_in_force(program):
+def test_invalid_programs_are_rejected_when_compiled(program):
     with pytest.raises(PolicyError):
         compile_policy(PolicySettings('mine', priority=program))
 
