--- a/packages/kernel/dahliaarch_kernel/configuration/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/__init__.py
@@ -1,6 +1,13 @@
-"""The operators' configuration: queues, client accounts and limits."""
+"""Configuration set by operators: queues, services, client accounts and request limits."""
 
-from .changes import apply_change, ChangeMismatchError, ConfigurationChange, difference, EMPTY, NO_VERSION
+from .changes import (
+    apply_change,
+    ChangeMismatchError,
+    ConfigurationChange,
+    diff_configurations,
+    EMPTY_CONFIGURATION,
+    NO_VERSION,
+)
 from .core import (
     Account,
     AdviceTerms,
@@ -14,7 +21,7 @@
 from .lookup import AccessDeniedError, authorize, find_queue, RouteNotFoundError
 
 __all__ = (
-    'EMPTY',
+    'EMPTY_CONFIGURATION',
     'NO_VERSION',
     'AccessDeniedError',
     'Account',
@@ -30,6 +37,6 @@
     'apply_change',
     'authorize',
     'build_configuration',
-    'difference',
+    'diff_configurations',
     'find_queue',
 )
--- a/packages/kernel/dahliaarch_kernel/policies/__init__.py
+++ b/packages/kernel/dahliaarch_kernel/policies/__init__.py
@@ -1,8 +1,8 @@
-"""Policies: short programs that decide priority, placement and reclaim."""
+"""Scheduling policies: short programs that decide priority, placement and preemption."""
 
 from .core import compile_policy, Policy
 from .settings import PolicySettings
-from .shipped import SHIPPED
+from .shipped import SHIPPED_POLICIES
 from .variables import CandidateVariables, JobVariables, VictimVariables
 
 __all__ = (
@@ -10,7 +10,7 @@
     'JobVariables',
     'Policy',
     'PolicySettings',
-    'SHIPPED',
+    'SHIPPED_POLICIES',
     'VictimVariables',
     'compile_policy',
 )
--- a/packages/kernel/dahliaarch_kernel/policies/shipped.py
+++ b/packages/kernel/dahliaarch_kernel/policies/shipped.py
@@ -1,26 +1,26 @@
-"""Policies that ship with the project, by name."""
+"""Registry of the policies that ship with the project."""
 
 from ..registry import Registry
 from .settings import PolicySettings
 
-_SMALLEST_WORK = '(urgent ? 1e9 : 0.0) + (1.0 + waited_s / expected_s) / (expected_s * slots + 1.0)'
-_LARGEST_GANG = '(urgent ? 1e9 : 0.0) + (gang ? slots : 0.0) + waited_s / 60.0'
-_FULLEST_FIRST = 'free + memory_free + (suspect ? 1000.0 : 0.0)'
-_LEAST_LOST = 'slots * members * (checkpointable ? 0.5 : 0.5 + ran_s)'
+_LEAST_WORK_PRIORITY = '(urgent ? 1e9 : 0.0) + (1.0 + waited_s / expected_s) / (expected_s * slots + 1.0)'
+_LARGEST_GANG_PRIORITY = '(urgent ? 1e9 : 0.0) + (gang ? slots : 0.0) + waited_s / 60.0'
+_BEST_FIT_SCORE = 'free + memory_free + (suspect ? 1000.0 : 0.0)'
+_LOST_WORK_COST = 'slots * members * (checkpointable ? 0.5 : 0.5 + ran_s)'
 
-POLICIES: Registry[PolicySettings] = Registry('policy')
+POLICY_REGISTRY: Registry[PolicySettings] = Registry('policy')
 
-POLICIES.register('first-come')(PolicySettings(name='first-come'))
-POLICIES.register('completion')(
-    PolicySettings(name='completion', priority=_SMALLEST_WORK, reclaim=_LEAST_LOST),
+POLICY_REGISTRY.register('first-come')(PolicySettings(name='first-come'))
+POLICY_REGISTRY.register('completion')(
+    PolicySettings(name='completion', priority=_LEAST_WORK_PRIORITY, reclaim=_LOST_WORK_COST),
 )
-POLICIES.register('fragmentation')(
+POLICY_REGISTRY.register('fragmentation')(
     PolicySettings(
         name='fragmentation',
-        priority=_LARGEST_GANG,
-        placement_score=_FULLEST_FIRST,
-        reclaim=_LEAST_LOST,
+        priority=_LARGEST_GANG_PRIORITY,
+        placement_score=_BEST_FIT_SCORE,
+        reclaim=_LOST_WORK_COST,
     ),
 )
 
-SHIPPED = {name: POLICIES.named(name) for name in POLICIES.names()}
+SHIPPED_POLICIES = {name: POLICY_REGISTRY.get(name) for name in POLICY_REGISTRY.names()}
--- a/packages/kernel/dahliaarch_kernel/workload/validation.py
+++ b/packages/kernel/dahliaarch_kernel/workload/validation.py
@@ -1,27 +1,27 @@
-"""Checks of a submitted job that need no configuration."""
+"""Validation of submitted jobs, independent of the configuration."""
 
 from ..errors import JobRejectedError
 from .core import JobSpec, StepSpec
 
-# A job's progress must fit one value of the store (1 MB) with room to spare.
+# The progress record of a job must fit into one value of the store (1 MB) with some margin.
 MAX_TASKS = 20_000
-# Longest payload that the interface carries, in bytes.
+# Maximum payload of a job in bytes, as accepted by the interface.
 MAX_PAYLOAD_BYTES = 4_000
 _MAX_STEPS = 256
 _MAX_OCCURRENCES = 10_000
 
 
 def check_job(job: JobSpec) -> None:
-    """Check a job as it was submitted.
+    """Validate a submitted job.
 
     Raises
     ------
     JobRejectedError
-        When it could never run as it stands.
+        If the job could never run.
     """
     _check_sizes(job)
-    for number, step in enumerate(job.steps):
-        _check_step(number, step)
+    for index, step in enumerate(job.steps):
+        _check_step(index, step)
 
 
 def _check_sizes(job: JobSpec) -> None:
@@ -32,17 +32,17 @@
         ('repeats', job.occurrences, _MAX_OCCURRENCES),
         ('tasks', tasks, MAX_TASKS),
     )
-    for where, size, most in limits:
-        if size > most:
-            raise JobRejectedError(where, f'{size}, at most {most}')
+    for field, size, limit in limits:
+        if size > limit:
+            raise JobRejectedError(field, f'{size}, at most {limit}')
     if not job.steps:
         raise JobRejectedError('steps', 'a job has at least one step')
 
 
-def _check_step(number: int, step: StepSpec) -> None:
+def _check_step(index: int, step: StepSpec) -> None:
     if step.task_count < 1:
-        raise JobRejectedError(f'steps.{number}.task_count', 'a step has at least one task')
+        raise JobRejectedError(f'steps.{index}.task_count', 'a step has at least one task')
     if min(step.demand) < 0:
-        raise JobRejectedError(f'steps.{number}', 'resources are not negative')
-    if any(earlier < 0 or earlier >= number for earlier in step.after):
-        raise JobRejectedError(f'steps.{number}.after', 'names a step that does not come earlier')
+        raise JobRejectedError(f'steps.{index}', 'resources are not negative')
+    if any(dependency < 0 or dependency >= index for dependency in step.after):
+        raise JobRejectedError(f'steps.{index}.after', 'names a step that does not come earlier')
