--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -15,14 +15,14 @@
     """Return the ways to ask now, this instance's own first; none where there is no policy."""
     if client is None:
         return ()
-    return [partial(_ask_directly, client), *(partial(_ask_through, mesh, peer) for peer in membership.peers())]
+    return [partial(_ask_directly, client), *(partial(_ask_through_peer, mesh, peer) for peer in membership.peers())]
 
 
 async def _ask_directly(client: AdviceClient, step: str, worker_ids: Sequence[str], timeout_s: float) -> Mapping[str, str]:
     return await client.ask(step, worker_ids, timeout_s=timeout_s)
 
 
-async def _ask_through(
+async def _ask_through_peer(
     mesh: Mesh, peer: Member, step: str, worker_ids: Sequence[str], timeout_s: float
 ) -> Mapping[str, str]:
     question = AskPolicy(step, tuple(worker_ids), timeout_s)
