--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -25,9 +25,9 @@
 async def _ask_through_peer(
     mesh: Mesh, peer: Member, step: str, worker_ids: Sequence[str], timeout_s: float
 ) -> Mapping[str, str]:
-    question = AskPolicy(step, tuple(worker_ids), timeout_s)
+    request = AskPolicy(step, tuple(worker_ids), timeout_s)
     try:
-        reply = await mesh.ask((peer.host, peer.port), question, timeout_s=timeout_s)
+        reply = await mesh.ask((peer.host, peer.port), request, timeout_s=timeout_s)
     except PeerSilentError as error:
         raise AdviceUnavailableError(str(error)) from error
     if not isinstance(reply, PolicyReply) or not reply.is_answered:
