--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -56,7 +56,7 @@
         """Version in force; `NO_VERSION` for none."""
         return NO_VERSION if self.current is None else self.current.version
 
-    def take_document(self, text: bytes, revision: int) -> None:
+    def apply_document(self, text: bytes, revision: int) -> None:
         """Put a document of the store in force if it is newer than the present version."""
         try:
             document = decode_configuration(text)
--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -77,7 +77,7 @@
             self._seen = self._follower.revision
             return
         self._seen = item.read_at
-        self._follower.take_document(item.value, item.revision)
+        self._follower.apply_document(item.value, item.revision)
 
     async def _wait(self, after: int) -> None:
         page: Page | None = None
@@ -101,7 +101,7 @@
         written = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
         if written:
             newest = max(written, key=lambda item: item.revision)
-            self._follower.take_document(newest.value, newest.revision)
+            self._follower.apply_document(newest.value, newest.revision)
 
     async def _give_up_when_overtaken(self) -> None:
         while True:
