--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -68,7 +68,7 @@
         change = difference(self.current or EMPTY, document)
         self._put_in_force((change,), revision, 'store', len(text))
 
-    def take_update(self, update: Update, source: str, size_bytes: int) -> None:
+    def apply_update(self, update: Update, source: str, size_bytes: int) -> None:
         """Put what a peer has sent in force if it is newer than the present version."""
         if update.version <= self.version:
             return
--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -89,7 +89,7 @@
         except ProtocolError as error:
             log_event('configuration_update_malformed', source=member.instance, why=str(error))
             return
-        self._follower.take_update(update, member.instance, len(received))
+        self._follower.apply_update(update, member.instance, len(received))
 
     async def _ask(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
         for _ in range(_PART_TRIES):
--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -41,7 +41,7 @@
     follower = ConfigurationFollower(Metrics())
     before = EMPTY
     for after in configurations:
-        follower.take_update(Update((difference(before, after),), REVISION), 'test', 0)
+        follower.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
         before = after
     return follower
 
@@ -147,7 +147,7 @@
         before = peer.current
         if before.version < 30:
             after = configuration(before.version + 1, [*queues, Queue(f'n{before.version}', 'h', '/', 's')])
-            peer.take_update(Update((difference(before, after),), REVISION), 'test', 0)
+            peer.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
 
     to_peer.before_answer = change
     fetch(own, to_peer, 1, within_s=10)
@@ -167,7 +167,7 @@
 def test_an_update_that_does_not_fit_changes_nothing():
     own = follower_at(configuration(5, many_queues(3)))
     change = difference(configuration(6, []), configuration(9, []))
-    own.take_update(Update((change,), REVISION), 'test', 0)
+    own.apply_update(Update((change,), REVISION), 'test', 0)
     assert own.version == 5
 
 
