--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -48,7 +48,7 @@
         self.revision = 0
         self.updates = UpdateLog()
         self.changed = anyio.Event()
-        self.overtaken = anyio.Event()
+        self.updated_by_peer = anyio.Event()
         self._metrics = metrics
 
     @property
@@ -77,8 +77,8 @@
         except ChangeMismatchError as error:
             log_event('configuration_update_unfit', source=source, why=str(error))
             return
-        overtaken, self.overtaken = self.overtaken, anyio.Event()
-        overtaken.set()
+        updated_by_peer, self.updated_by_peer = self.updated_by_peer, anyio.Event()
+        updated_by_peer.set()
 
     def _put_in_force(
         self,
--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -105,6 +105,6 @@
 
     async def _give_up_when_overtaken(self) -> None:
         while True:
-            await self._follower.overtaken.wait()
+            await self._follower.updated_by_peer.wait()
             if self._reading is not None:
                 self._reading.cancel()
