--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -66,21 +66,21 @@
         if document.version <= self.version:
             return
         change = difference(self.current or EMPTY, document)
-        self._put_in_force((change,), revision, 'store', len(text))
+        self._activate((change,), revision, 'store', len(text))
 
     def apply_update(self, update: Update, source: str, size_bytes: int) -> None:
         """Put what a peer has sent in force if it is newer than the present version."""
         if update.version <= self.version:
             return
         try:
-            self._put_in_force(update.changes, update.revision, source, size_bytes)
+            self._activate(update.changes, update.revision, source, size_bytes)
         except ChangeMismatchError as error:
             log_event('configuration_update_unfit', source=source, why=str(error))
             return
         updated_by_peer, self.updated_by_peer = self.updated_by_peer, anyio.Event()
         updated_by_peer.set()
 
-    def _put_in_force(
+    def _activate(
         self,
         changes: tuple[ConfigurationChange, ...],
         revision: int,
