--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -20,7 +20,7 @@
 from .updates import decode_update
 
 # Longest wait for a part, in seconds: a slow link carries it in time.
-_PART_S = 1.0
+_PART_TIMEOUT_S = 1.0
 # Tries of one part before the next announcement is waited for.
 _PART_TRIES = 2
 
@@ -94,7 +94,7 @@
     async def _ask(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
         for _ in range(_PART_TRIES):
             try:
-                reply = await self._mesh.ask((member.host, member.port), question, timeout_s=_PART_S)
+                reply = await self._mesh.ask((member.host, member.port), question, timeout_s=_PART_TIMEOUT_S)
             except PeerSilentError as error:
                 log_event(
                     'configuration_part_unanswered',
