--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -22,7 +22,7 @@
 # Longest wait for a part, in seconds: a slow link carries it in time.
 _PART_TIMEOUT_S = 1.0
 # Tries of one part before the next announcement is waited for.
-_PART_TRIES = 2
+_PART_ATTEMPTS = 2
 
 
 class Announcement(NamedTuple):
@@ -92,7 +92,7 @@
         self._follower.apply_update(update, member.instance, len(received))
 
     async def _ask(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
-        for _ in range(_PART_TRIES):
+        for _ in range(_PART_ATTEMPTS):
             try:
                 reply = await self._mesh.ask((member.host, member.port), question, timeout_s=_PART_TIMEOUT_S)
             except PeerSilentError as error:
