--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -47,13 +47,13 @@
         """Start without announcements."""
         self._follower = follower
         self._mesh = mesh
-        self._newest: Announcement | None = None
+        self._pending_announcement: Announcement | None = None
         self._announced = anyio.Event()
 
     def announce(self, member: Member, version: int) -> None:
         """Take in which version a peer follows."""
         if version > self._follower.version:
-            self._newest = Announcement(member, version)
+            self._pending_announcement = Announcement(member, version)
             self._announced.set()
 
     async def run(self) -> None:
@@ -61,7 +61,7 @@
         while True:
             await self._announced.wait()
             self._announced = anyio.Event()
-            announcement, self._newest = self._newest, None
+            announcement, self._pending_announcement = self._pending_announcement, None
             if announcement is not None and announcement.version > self._follower.version:
                 await self._fetch(announcement)
 
