--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -72,7 +72,7 @@
         version = NO_VERSION
         received = b''
         while True:
-            part = await self._ask(member, AskConfiguration(base, version, len(received)))
+            part = await self._request_part(member, AskConfiguration(base, version, len(received)))
             if part is None or part.version <= self._follower.version:
                 # Nothing newer there, or it has come from the store meanwhile.
                 return
@@ -91,7 +91,7 @@
             return
         self._follower.apply_update(update, member.instance, len(received))
 
-    async def _ask(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
+    async def _request_part(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
         for _ in range(_PART_ATTEMPTS):
             try:
                 reply = await self._mesh.ask((member.host, member.port), question, timeout_s=_PART_TIMEOUT_S)
