--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -91,16 +91,16 @@
             return
         self._follower.apply_update(update, member.instance, len(received))
 
-    async def _request_part(self, member: Member, question: AskConfiguration) -> ConfigurationPart | None:
+    async def _request_part(self, member: Member, request: AskConfiguration) -> ConfigurationPart | None:
         for _ in range(_PART_ATTEMPTS):
             try:
-                reply = await self._mesh.ask((member.host, member.port), question, timeout_s=_PART_TIMEOUT_S)
+                reply = await self._mesh.ask((member.host, member.port), request, timeout_s=_PART_TIMEOUT_S)
             except PeerSilentError as error:
                 log_event(
                     'configuration_part_unanswered',
                     source=member.instance,
-                    base=question.base,
-                    offset=question.offset,
+                    base=request.base,
+                    offset=request.offset,
                     why=str(error),
                 )
                 continue
