--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -43,7 +43,7 @@
         self._timing = timing
         # Store revision up to which everything has been seen; nothing while the
         # document has to be read whole.
-        self._seen: int | None = None
+        self._seen_revision: int | None = None
         self._reading: anyio.CancelScope | None = None
 
     async def run(self) -> None:
@@ -56,16 +56,16 @@
                 except StoreAnswerTooLargeError as error:
                     # Several versions at once: the newest alone is enough.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
-                    self._seen = None
+                    self._seen_revision = None
                 except STORE_FAILURES as error:
                     log_event('configuration_unreachable', why=str(error), version=self._follower.version)
                     await anyio.sleep(self._timing.retry_pause_s())
 
     async def _read_or_wait(self) -> None:
-        if self._seen is None:
+        if self._seen_revision is None:
             await self._read()
         else:
-            await self._wait(max(self._seen, self._follower.revision))
+            await self._wait(max(self._seen_revision, self._follower.revision))
 
     async def _read(self) -> None:
         item: Item | None = None
@@ -74,9 +74,9 @@
             item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_s)
         if item is None:
             # There is none yet, or a peer has brought one.
-            self._seen = self._follower.revision
+            self._seen_revision = self._follower.revision
             return
-        self._seen = item.read_at
+        self._seen_revision = item.read_at
         self._follower.apply_document(item.value, item.revision)
 
     async def _wait(self, after: int) -> None:
@@ -94,10 +94,10 @@
             return
         if page is None:
             log_event('configuration_history_gone', version=self._follower.version)
-            self._seen = None
+            self._seen_revision = None
             await anyio.sleep(self._timing.retry_pause_s())
             return
-        self._seen = max(after, page.revision)
+        self._seen_revision = max(after, page.revision)
         written = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
         if written:
             newest = max(written, key=lambda item: item.revision)
