--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -44,7 +44,7 @@
         # Store revision up to which everything has been seen; nothing while the
         # document has to be read whole.
         self._seen_revision: int | None = None
-        self._reading: anyio.CancelScope | None = None
+        self._call_scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
@@ -70,7 +70,7 @@
     async def _read(self) -> None:
         item: Item | None = None
         with anyio.CancelScope() as scope:
-            self._reading = scope
+            self._call_scope = scope
             item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_s)
         if item is None:
             # There is none yet, or a peer has brought one.
@@ -82,7 +82,7 @@
     async def _wait(self, after: int) -> None:
         page: Page | None = None
         with anyio.CancelScope() as scope:
-            self._reading = scope
+            self._call_scope = scope
             page = await self._store.watch(
                 CONFIGURATION_KEY,
                 after,
@@ -106,5 +106,5 @@
     async def _give_up_when_overtaken(self) -> None:
         while True:
             await self._follower.updated_by_peer.wait()
-            if self._reading is not None:
-                self._reading.cancel()
+            if self._call_scope is not None:
+                self._call_scope.cancel()
