--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -52,7 +52,7 @@
             tasks.start_soon(self._give_up_when_overtaken)
             while True:
                 try:
-                    await self._read_or_wait()
+                    await self._read_or_watch()
                 except StoreAnswerTooLargeError as error:
                     # Several versions at once: the newest alone is enough.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
@@ -61,7 +61,7 @@
                     log_event('configuration_unreachable', why=str(error), version=self._follower.version)
                     await anyio.sleep(self._timing.retry_pause_s())
 
-    async def _read_or_wait(self) -> None:
+    async def _read_or_watch(self) -> None:
         if self._seen_revision is None:
             await self._read()
         else:
