--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -65,7 +65,7 @@
         if self._seen_revision is None:
             await self._read()
         else:
-            await self._wait(max(self._seen_revision, self._follower.revision))
+            await self._watch(max(self._seen_revision, self._follower.revision))
 
     async def _read(self) -> None:
         item: Item | None = None
@@ -79,7 +79,7 @@
         self._seen_revision = item.read_at
         self._follower.apply_document(item.value, item.revision)
 
-    async def _wait(self, after: int) -> None:
+    async def _watch(self, after: int) -> None:
         page: Page | None = None
         with anyio.CancelScope() as scope:
             self._call_scope = scope
