--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -49,7 +49,7 @@
     async def run(self) -> None:
         """Follow the store until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._give_up_when_overtaken)
+            tasks.start_soon(self._cancel_when_updated_by_peer)
             while True:
                 try:
                     await self._read_or_watch()
@@ -103,7 +103,7 @@
             newest = max(written, key=lambda item: item.revision)
             self._follower.apply_document(newest.value, newest.revision)
 
-    async def _give_up_when_overtaken(self) -> None:
+    async def _cancel_when_updated_by_peer(self) -> None:
         while True:
             await self._follower.updated_by_peer.wait()
             if self._call_scope is not None:
