--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -98,9 +98,9 @@
             await anyio.sleep(self._timing.retry_pause_s())
             return
         self._seen_revision = max(after, page.revision)
-        written = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
-        if written:
-            newest = max(written, key=lambda item: item.revision)
+        updated_items = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
+        if updated_items:
+            newest = max(updated_items, key=lambda item: item.revision)
             self._follower.apply_document(newest.value, newest.revision)
 
     async def _cancel_when_updated_by_peer(self) -> None:
