--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -19,7 +19,7 @@
 # Bytes of a part: a slow link carries one well within the wait for it.
 PART_BYTES = 32_768
 # Changes that are kept: a peer that is further behind gets all of it.
-_KEPT_CHANGES = 16
+_MAX_KEPT_CHANGES = 16
 # Encoded updates that are kept while peers ask for their parts.
 _KEPT_UPDATES = 16
 # Largest update before compression, in bytes: a megabyte in the store's form,
@@ -64,7 +64,7 @@
 
     def __init__(self) -> None:
         """Start without any."""
-        self._changes: deque[ConfigurationChange] = deque(maxlen=_KEPT_CHANGES)
+        self._changes: deque[ConfigurationChange] = deque(maxlen=_MAX_KEPT_CHANGES)
         self._encoded_by_versions: dict[tuple[int, int], bytes] = {}
 
     def add(self, change: ConfigurationChange) -> None:
