--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -21,7 +21,7 @@
 # Changes that are kept: a peer that is further behind gets all of it.
 _MAX_KEPT_CHANGES = 16
 # Encoded updates that are kept while peers ask for their parts.
-_KEPT_UPDATES = 16
+_MAX_ENCODED_UPDATES = 16
 # Largest update before compression, in bytes: a megabyte in the store's form,
 # with room to spare.
 _LARGEST_UPDATE_BYTES = 8 * 1024 * 1024
@@ -90,7 +90,7 @@
         versions = (base, current.version)
         if versions not in self._encoded_by_versions:
             plain = encode(Update(self._since(base, current), revision))
-            while len(self._encoded_by_versions) >= _KEPT_UPDATES:
+            while len(self._encoded_by_versions) >= _MAX_ENCODED_UPDATES:
                 del self._encoded_by_versions[next(iter(self._encoded_by_versions))]
             self._encoded_by_versions[versions] = zlib.compress(plain, _COMPRESSION_LEVEL)
         return self._encoded_by_versions[versions]
