--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -24,7 +24,7 @@
 _MAX_ENCODED_UPDATES = 16
 # Largest update before compression, in bytes: a megabyte in the store's form,
 # with room to spare.
-_LARGEST_UPDATE_BYTES = 8 * 1024 * 1024
+_MAX_UPDATE_BYTES = 8 * 1024 * 1024
 # The level of compression that takes least time.
 _COMPRESSION_LEVEL = 1
 
@@ -50,7 +50,7 @@
         When it is not one.
     """
     try:
-        plain = zlib.decompressobj().decompress(data, _LARGEST_UPDATE_BYTES)
+        plain = zlib.decompressobj().decompress(data, _MAX_UPDATE_BYTES)
     except zlib.error as error:
         raise ProtocolError('configuration update', str(error)) from error
     update = decode(plain, Update, 'configuration update')
