--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -73,17 +73,17 @@
             self._changes.clear()
         self._changes.append(change)
 
-    def part(self, question: AskConfiguration, current: Configuration | None, revision: int) -> ConfigurationPart:
+    def part(self, request: AskConfiguration, current: Configuration | None, revision: int) -> ConfigurationPart:
         """Return the part that a peer asks for; one without a version when there is nothing newer."""
-        version = question.version
-        data = self._encoded_by_versions.get((question.base, version))
+        version = request.version
+        data = self._encoded_by_versions.get((request.base, version))
         if data is None:
-            if current is None or current.version <= question.base:
+            if current is None or current.version <= request.base:
                 return ConfigurationPart(NO_VERSION)
             version = current.version
-            data = self._encode(question.base, current, revision)
+            data = self._encode(request.base, current, revision)
         # A peer that was in the midst of another version begins anew.
-        offset = question.offset if version == question.version else 0
+        offset = request.offset if version == request.version else 0
         return ConfigurationPart(version, len(data), offset, data[offset : offset + PART_BYTES])
 
     def _encode(self, base: int, current: Configuration, revision: int) -> bytes:
