--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -50,10 +50,10 @@
         When it is not one.
     """
     try:
-        plain = zlib.decompressobj().decompress(data, _MAX_UPDATE_BYTES)
+        uncompressed = zlib.decompressobj().decompress(data, _MAX_UPDATE_BYTES)
     except zlib.error as error:
         raise ProtocolError('configuration update', str(error)) from error
-    update = decode(plain, Update, 'configuration update')
+    update = decode(uncompressed, Update, 'configuration update')
     if not update.changes:
         raise ProtocolError('configuration update', 'has no changes')
     return update
@@ -89,10 +89,10 @@
     def _encode(self, base: int, current: Configuration, revision: int) -> bytes:
         versions = (base, current.version)
         if versions not in self._encoded_by_versions:
-            plain = encode(Update(self._since(base, current), revision))
+            uncompressed = encode(Update(self._since(base, current), revision))
             while len(self._encoded_by_versions) >= _MAX_ENCODED_UPDATES:
                 del self._encoded_by_versions[next(iter(self._encoded_by_versions))]
-            self._encoded_by_versions[versions] = zlib.compress(plain, _COMPRESSION_LEVEL)
+            self._encoded_by_versions[versions] = zlib.compress(uncompressed, _COMPRESSION_LEVEL)
         return self._encoded_by_versions[versions]
 
     def _since(self, base: int, current: Configuration) -> tuple[ConfigurationChange, ...]:
