--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -89,13 +89,13 @@
     def _encode(self, base: int, current: Configuration, revision: int) -> bytes:
         versions = (base, current.version)
         if versions not in self._encoded_by_versions:
-            uncompressed = encode(Update(self._since(base, current), revision))
+            uncompressed = encode(Update(self._changes_since(base, current), revision))
             while len(self._encoded_by_versions) >= _MAX_ENCODED_UPDATES:
                 del self._encoded_by_versions[next(iter(self._encoded_by_versions))]
             self._encoded_by_versions[versions] = zlib.compress(uncompressed, _COMPRESSION_LEVEL)
         return self._encoded_by_versions[versions]
 
-    def _since(self, base: int, current: Configuration) -> tuple[ConfigurationChange, ...]:
+    def _changes_since(self, base: int, current: Configuration) -> tuple[ConfigurationChange, ...]:
         """Return the changes since a version, or all when they are not known or not smaller."""
         bases = [change.base for change in self._changes]
         if base in bases and base != NO_VERSION:
