--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -46,7 +46,7 @@
     return follower
 
 
-class ToPeer:
+class FakeMesh:
     """Messages to a follower elsewhere; the answers to some of them are lost."""
 
     def __init__(self, follower, lost=()):
@@ -85,7 +85,7 @@
 def test_a_large_configuration_comes_in_parts():
     newest = configuration(5, many_queues(4_000))
     own = follower_at()
-    to_peer = ToPeer(follower_at(newest))
+    to_peer = FakeMesh(follower_at(newest))
     fetch(own, to_peer, 5)
     assert own.current == newest
     assert own.revision == REVISION
@@ -95,7 +95,7 @@
 def test_a_lost_part_costs_only_itself():
     newest = configuration(5, many_queues(4_000))
     own = follower_at()
-    to_peer = ToPeer(follower_at(newest), lost=(3,))
+    to_peer = FakeMesh(follower_at(newest), lost=(3,))
     fetch(own, to_peer, 5)
     assert own.current == newest
     assert to_peer.questions[3] == to_peer.questions[2]
@@ -104,7 +104,7 @@
 
 def test_a_peer_that_falls_silent_is_given_up():
     own = follower_at()
-    to_peer = ToPeer(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
+    to_peer = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
     fetch(own, to_peer, 5)
     assert own.version == NO_VERSION
     assert len(to_peer.questions) < 6
@@ -114,7 +114,7 @@
     old = many_queues(4_000)
     older, newer = configuration(5, old), configuration(9, [*old, *many_queues(3)])
     own = follower_at(older)
-    to_peer = ToPeer(follower_at(older, newer))
+    to_peer = FakeMesh(follower_at(older, newer))
     fetch(own, to_peer, 9)
     assert own.current == newer
     part = to_peer.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
@@ -125,14 +125,14 @@
     old = many_queues(100)
     versions = [configuration(number, old[: number * 10]) for number in range(1, 10)]
     own = follower_at(versions[2])
-    fetch(own, ToPeer(follower_at(*versions)), 9)
+    fetch(own, FakeMesh(follower_at(*versions)), 9)
     assert own.current == versions[-1]
 
 
 def test_a_version_that_the_peer_never_had_leads_to_the_whole():
     own = follower_at(configuration(6, many_queues(50)))
     peer = follower_at(configuration(5, many_queues(40)), configuration(9, many_queues(60)))
-    fetch(own, ToPeer(peer), 9)
+    fetch(own, FakeMesh(peer), 9)
     assert own.current == peer.current
 
 
@@ -141,7 +141,7 @@
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
     own = follower_at()
-    to_peer = ToPeer(peer)
+    to_peer = FakeMesh(peer)
 
     def change():
         before = peer.current
@@ -158,7 +158,7 @@
 
 def test_nothing_is_taken_from_a_peer_that_has_nothing_newer():
     own = follower_at(configuration(5, many_queues(3)))
-    to_peer = ToPeer(follower_at(configuration(5, many_queues(3))))
+    to_peer = FakeMesh(follower_at(configuration(5, many_queues(3))))
     fetch(own, to_peer, 7)
     assert own.version == 5
     assert len(to_peer.questions) == 1
