--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -64,11 +64,11 @@
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
-def fetch(own, to_peer, version, within_s=0.2, *, is_announced_again=False):
+def fetch(own, mesh, version, within_s=0.2, *, is_announced_again=False):
     """Let a follower learn of a version, once or again and again, and fetch it."""
 
     async def run():
-        feed = PeerFeed(own, to_peer)
+        feed = PeerFeed(own, mesh)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run)
             feed.announce(PEER, version)
@@ -85,39 +85,39 @@
 def test_a_large_configuration_comes_in_parts():
     newest = configuration(5, many_queues(4_000))
     own = follower_at()
-    to_peer = FakeMesh(follower_at(newest))
-    fetch(own, to_peer, 5)
+    mesh = FakeMesh(follower_at(newest))
+    fetch(own, mesh, 5)
     assert own.current == newest
     assert own.revision == REVISION
-    assert len(to_peer.questions) > 3
+    assert len(mesh.questions) > 3
 
 
 def test_a_lost_part_costs_only_itself():
     newest = configuration(5, many_queues(4_000))
     own = follower_at()
-    to_peer = FakeMesh(follower_at(newest), lost=(3,))
-    fetch(own, to_peer, 5)
+    mesh = FakeMesh(follower_at(newest), lost=(3,))
+    fetch(own, mesh, 5)
     assert own.current == newest
-    assert to_peer.questions[3] == to_peer.questions[2]
-    assert to_peer.questions[2].offset == 2 * PART_BYTES
+    assert mesh.questions[3] == mesh.questions[2]
+    assert mesh.questions[2].offset == 2 * PART_BYTES
 
 
 def test_a_peer_that_falls_silent_is_given_up():
     own = follower_at()
-    to_peer = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
-    fetch(own, to_peer, 5)
+    mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
+    fetch(own, mesh, 5)
     assert own.version == NO_VERSION
-    assert len(to_peer.questions) < 6
+    assert len(mesh.questions) < 6
 
 
 def test_only_what_has_changed_travels():
     old = many_queues(4_000)
     older, newer = configuration(5, old), configuration(9, [*old, *many_queues(3)])
     own = follower_at(older)
-    to_peer = FakeMesh(follower_at(older, newer))
-    fetch(own, to_peer, 9)
+    mesh = FakeMesh(follower_at(older, newer))
+    fetch(own, mesh, 9)
     assert own.current == newer
-    part = to_peer.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
+    part = mesh.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
     assert part.total_bytes == len(part.data) < 1_000
 
 
@@ -141,7 +141,7 @@
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
     own = follower_at()
-    to_peer = FakeMesh(peer)
+    mesh = FakeMesh(peer)
 
     def change():
         before = peer.current
@@ -149,19 +149,19 @@
             after = configuration(before.version + 1, [*queues, Queue(f'n{before.version}', 'h', '/', 's')])
             peer.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
 
-    to_peer.before_answer = change
-    fetch(own, to_peer, 1, within_s=10)
+    mesh.before_answer = change
+    fetch(own, mesh, 1, within_s=10)
     assert own.version == 2
-    fetch(own, to_peer, 30, within_s=10, is_announced_again=True)
+    fetch(own, mesh, 30, within_s=10, is_announced_again=True)
     assert own.current == peer.current
 
 
 def test_nothing_is_taken_from_a_peer_that_has_nothing_newer():
     own = follower_at(configuration(5, many_queues(3)))
-    to_peer = FakeMesh(follower_at(configuration(5, many_queues(3))))
-    fetch(own, to_peer, 7)
+    mesh = FakeMesh(follower_at(configuration(5, many_queues(3))))
+    fetch(own, mesh, 7)
     assert own.version == 5
-    assert len(to_peer.questions) == 1
+    assert len(mesh.questions) == 1
 
 
 def test_an_update_that_does_not_fit_changes_nothing():
