--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -52,13 +52,13 @@
     def __init__(self, follower, lost=()):
         self.follower = follower
         self.lost = list(lost)
-        self.questions = []
+        self.requests = []
         self.before_answer = lambda: None
 
     async def ask(self, address, message, *, timeout_s):
         await anyio.sleep(0)
-        self.questions.append(message)
-        if len(self.questions) in self.lost:
+        self.requests.append(message)
+        if len(self.requests) in self.lost:
             raise PeerSilentError('lost')
         self.before_answer()
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
@@ -89,7 +89,7 @@
     fetch(own, mesh, 5)
     assert own.current == newest
     assert own.revision == REVISION
-    assert len(mesh.questions) > 3
+    assert len(mesh.requests) > 3
 
 
 def test_a_lost_part_costs_only_itself():
@@ -98,8 +98,8 @@
     mesh = FakeMesh(follower_at(newest), lost=(3,))
     fetch(own, mesh, 5)
     assert own.current == newest
-    assert mesh.questions[3] == mesh.questions[2]
-    assert mesh.questions[2].offset == 2 * PART_BYTES
+    assert mesh.requests[3] == mesh.requests[2]
+    assert mesh.requests[2].offset == 2 * PART_BYTES
 
 
 def test_a_peer_that_falls_silent_is_given_up():
@@ -107,7 +107,7 @@
     mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
     fetch(own, mesh, 5)
     assert own.version == NO_VERSION
-    assert len(mesh.questions) < 6
+    assert len(mesh.requests) < 6
 
 
 def test_only_what_has_changed_travels():
@@ -161,7 +161,7 @@
     mesh = FakeMesh(follower_at(configuration(5, many_queues(3))))
     fetch(own, mesh, 7)
     assert own.version == 5
-    assert len(mesh.questions) == 1
+    assert len(mesh.requests) == 1
 
 
 def test_an_update_that_does_not_fit_changes_nothing():
