--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -49,16 +49,16 @@
 class FakeMesh:
     """Messages to a follower elsewhere; the answers to some of them are lost."""
 
-    def __init__(self, follower, lost=()):
+    def __init__(self, follower, lost_replies=()):
         self.follower = follower
-        self.lost = list(lost)
+        self.lost_replies = list(lost_replies)
         self.requests = []
         self.before_answer = lambda: None
 
     async def ask(self, address, message, *, timeout_s):
         await anyio.sleep(0)
         self.requests.append(message)
-        if len(self.requests) in self.lost:
+        if len(self.requests) in self.lost_replies:
             raise PeerSilentError('lost')
         self.before_answer()
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
@@ -95,7 +95,7 @@
 def test_a_lost_part_costs_only_itself():
     newest = configuration(5, many_queues(4_000))
     own = follower_at()
-    mesh = FakeMesh(follower_at(newest), lost=(3,))
+    mesh = FakeMesh(follower_at(newest), lost_replies=(3,))
     fetch(own, mesh, 5)
     assert own.current == newest
     assert mesh.requests[3] == mesh.requests[2]
@@ -104,7 +104,7 @@
 
 def test_a_peer_that_falls_silent_is_given_up():
     own = follower_at()
-    mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
+    mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost_replies=range(3, 100))
     fetch(own, mesh, 5)
     assert own.version == NO_VERSION
     assert len(mesh.requests) < 6
