--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -53,14 +53,14 @@
         self.follower = follower
         self.lost_replies = list(lost_replies)
         self.requests = []
-        self.before_answer = lambda: None
+        self.before_reply = lambda: None
 
     async def ask(self, address, message, *, timeout_s):
         await anyio.sleep(0)
         self.requests.append(message)
         if len(self.requests) in self.lost_replies:
             raise PeerSilentError('lost')
-        self.before_answer()
+        self.before_reply()
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
@@ -149,7 +149,7 @@
             after = configuration(before.version + 1, [*queues, Queue(f'n{before.version}', 'h', '/', 's')])
             peer.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
 
-    mesh.before_answer = change
+    mesh.before_reply = change
     fetch(own, mesh, 1, within_s=10)
     assert own.version == 2
     fetch(own, mesh, 30, within_s=10, is_announced_again=True)
