--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -64,16 +64,16 @@
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
-def fetch(own, mesh, version, within_s=0.2, *, is_announced_again=False):
+def fetch(receiver, mesh, version, within_s=0.2, *, is_announced_again=False):
     """Let a follower learn of a version, once or again and again, and fetch it."""
 
     async def run():
-        feed = PeerFeed(own, mesh)
+        feed = PeerFeed(receiver, mesh)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run)
             feed.announce(PEER, version)
             with anyio.move_on_after(within_s):
-                while own.version < version:
+                while receiver.version < version:
                     await anyio.sleep(0.005)
                     if is_announced_again:
                         feed.announce(PEER, version)
@@ -84,39 +84,39 @@
 
 def test_a_large_configuration_comes_in_parts():
     newest = configuration(5, many_queues(4_000))
-    own = follower_at()
+    receiver = follower_at()
     mesh = FakeMesh(follower_at(newest))
-    fetch(own, mesh, 5)
-    assert own.current == newest
-    assert own.revision == REVISION
+    fetch(receiver, mesh, 5)
+    assert receiver.current == newest
+    assert receiver.revision == REVISION
     assert len(mesh.requests) > 3
 
 
 def test_a_lost_part_costs_only_itself():
     newest = configuration(5, many_queues(4_000))
-    own = follower_at()
+    receiver = follower_at()
     mesh = FakeMesh(follower_at(newest), lost_replies=(3,))
-    fetch(own, mesh, 5)
-    assert own.current == newest
+    fetch(receiver, mesh, 5)
+    assert receiver.current == newest
     assert mesh.requests[3] == mesh.requests[2]
     assert mesh.requests[2].offset == 2 * PART_BYTES
 
 
 def test_a_peer_that_falls_silent_is_given_up():
-    own = follower_at()
+    receiver = follower_at()
     mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost_replies=range(3, 100))
-    fetch(own, mesh, 5)
-    assert own.version == NO_VERSION
+    fetch(receiver, mesh, 5)
+    assert receiver.version == NO_VERSION
     assert len(mesh.requests) < 6
 
 
 def test_only_what_has_changed_travels():
     old = many_queues(4_000)
     older, newer = configuration(5, old), configuration(9, [*old, *many_queues(3)])
-    own = follower_at(older)
+    receiver = follower_at(older)
     mesh = FakeMesh(follower_at(older, newer))
-    fetch(own, mesh, 9)
-    assert own.current == newer
+    fetch(receiver, mesh, 9)
+    assert receiver.current == newer
     part = mesh.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
     assert part.total_bytes == len(part.data) < 1_000
 
@@ -124,23 +124,23 @@
 def test_several_changes_travel_together():
     old = many_queues(100)
     versions = [configuration(number, old[: number * 10]) for number in range(1, 10)]
-    own = follower_at(versions[2])
-    fetch(own, FakeMesh(follower_at(*versions)), 9)
-    assert own.current == versions[-1]
+    receiver = follower_at(versions[2])
+    fetch(receiver, FakeMesh(follower_at(*versions)), 9)
+    assert receiver.current == versions[-1]
 
 
 def test_a_version_that_the_peer_never_had_leads_to_the_whole():
-    own = follower_at(configuration(6, many_queues(50)))
+    receiver = follower_at(configuration(6, many_queues(50)))
     peer = follower_at(configuration(5, many_queues(40)), configuration(9, many_queues(60)))
-    fetch(own, FakeMesh(peer), 9)
-    assert own.current == peer.current
+    fetch(receiver, FakeMesh(peer), 9)
+    assert receiver.current == peer.current
 
 
 def test_versions_that_come_while_parts_travel_do_not_hold_them_up():
     """The peer changes with every answer: what has begun is finished, the rest follows."""
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
-    own = follower_at()
+    receiver = follower_at()
     mesh = FakeMesh(peer)
 
     def change():
@@ -150,25 +150,25 @@
             peer.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
 
     mesh.before_reply = change
-    fetch(own, mesh, 1, within_s=10)
-    assert own.version == 2
-    fetch(own, mesh, 30, within_s=10, is_announced_again=True)
-    assert own.current == peer.current
+    fetch(receiver, mesh, 1, within_s=10)
+    assert receiver.version == 2
+    fetch(receiver, mesh, 30, within_s=10, is_announced_again=True)
+    assert receiver.current == peer.current
 
 
 def test_nothing_is_taken_from_a_peer_that_has_nothing_newer():
-    own = follower_at(configuration(5, many_queues(3)))
+    receiver = follower_at(configuration(5, many_queues(3)))
     mesh = FakeMesh(follower_at(configuration(5, many_queues(3))))
-    fetch(own, mesh, 7)
-    assert own.version == 5
+    fetch(receiver, mesh, 7)
+    assert receiver.version == 5
     assert len(mesh.requests) == 1
 
 
 def test_an_update_that_does_not_fit_changes_nothing():
-    own = follower_at(configuration(5, many_queues(3)))
+    receiver = follower_at(configuration(5, many_queues(3)))
     change = difference(configuration(6, []), configuration(9, []))
-    own.apply_update(Update((change,), REVISION), 'test', 0)
-    assert own.version == 5
+    receiver.apply_update(Update((change,), REVISION), 'test', 0)
+    assert receiver.version == 5
 
 
 @pytest.mark.parametrize('data', [b'', b'x', b'x\x9c' + bytes(20)])
