--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -64,7 +64,7 @@
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
-def fetch(receiver, mesh, version, within_s=0.2, *, is_announced_again=False):
+def fetch(receiver, mesh, version, within_s=0.2, *, repeats_announcement=False):
     """Let a follower learn of a version, once or again and again, and fetch it."""
 
     async def run():
@@ -75,7 +75,7 @@
             with anyio.move_on_after(within_s):
                 while receiver.version < version:
                     await anyio.sleep(0.005)
-                    if is_announced_again:
+                    if repeats_announcement:
                         feed.announce(PEER, version)
             tasks.cancel_scope.cancel()
 
@@ -152,7 +152,7 @@
     mesh.before_reply = change
     fetch(receiver, mesh, 1, within_s=10)
     assert receiver.version == 2
-    fetch(receiver, mesh, 30, within_s=10, is_announced_again=True)
+    fetch(receiver, mesh, 30, within_s=10, repeats_announcement=True)
     assert receiver.current == peer.current
 
 
