--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -15,7 +15,7 @@
 from ..records import cancel_key, job_key
 
 # Longest time that a request is held for the store, in seconds.
-HOLD_S = 0.8
+STORE_WRITE_TIMEOUT_S = 0.8
 
 
 class Fate(StrEnum):
@@ -34,13 +34,13 @@
     revision: int = 0
 
 
-async def keep_job(store: StoreClient, job_id: str, record: bytes, hold_s: float = HOLD_S) -> WriteOutcome:
+async def keep_job(store: StoreClient, job_id: str, record: bytes, hold_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
     """Keep a job unless one of its id is kept already."""
     write = Write(job_key(job_id), record)
     return await _commit(store, (Condition(write.key, 0),), write, hold_s)
 
 
-async def keep_cancellation(store: StoreClient, job_id: str, hold_s: float = HOLD_S) -> WriteOutcome:
+async def keep_cancellation(store: StoreClient, job_id: str, hold_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
     """Keep a cancellation."""
     return await _commit(store, (), Write(cancel_key(job_id), b''), hold_s)
 
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -35,7 +35,7 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, HOLD_S, keep_cancellation, keep_job, WriteOutcome
+from .acceptance import Fate, STORE_WRITE_TIMEOUT_S, keep_cancellation, keep_job, WriteOutcome
 
 # Longest wait for the owner's answer, in seconds: a lost packet is sent again
 # within it, and the store can still be asked after.
@@ -231,7 +231,7 @@
     async def _keep(self, keep: _Keep, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write, and let the owner write what the store does not take from this instance."""
         if self._ownership.owner is None or self._ownership.is_own:
-            return await keep(HOLD_S)
+            return await keep(STORE_WRITE_TIMEOUT_S)
         own = await keep(_OWN_TRY_S)
         if own.fate is Fate.KEPT:
             return own
@@ -247,7 +247,7 @@
             return WriteOutcome(Fate.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
-            reply = await self._mesh.ask(address, message, timeout_s=HOLD_S - _OWN_TRY_S)
+            reply = await self._mesh.ask(address, message, timeout_s=STORE_WRITE_TIMEOUT_S - _OWN_TRY_S)
         except PeerSilentError as error:
             log_event('write_through_owner_unanswered', job=message.job_id, why=str(error))
             return WriteOutcome(Fate.UNKNOWN)
