--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -34,27 +34,27 @@
     revision: int = 0
 
 
-async def keep_job(store: StoreClient, job_id: str, record: bytes, hold_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
+async def keep_job(store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
     """Keep a job unless one of its id is kept already."""
     write = Write(job_key(job_id), record)
-    return await _commit(store, (Condition(write.key, 0),), write, hold_s)
+    return await _commit(store, (Condition(write.key, 0),), write, write_timeout_s)
 
 
-async def keep_cancellation(store: StoreClient, job_id: str, hold_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
+async def keep_cancellation(store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
     """Keep a cancellation."""
-    return await _commit(store, (), Write(cancel_key(job_id), b''), hold_s)
+    return await _commit(store, (), Write(cancel_key(job_id), b''), write_timeout_s)
 
 
 async def _commit(
     store: StoreClient,
     conditions: tuple[Condition, ...],
     write: Write,
-    hold_s: float,
+    write_timeout_s: float,
 ) -> WriteOutcome:
     if store.is_suspect:
         # What is not sent can't be carried out late.
         return WriteOutcome(Fate.NOT_KEPT)
-    deadline_s = time.monotonic() + hold_s
+    deadline_s = time.monotonic() + write_timeout_s
     fate = Fate.NOT_KEPT
     while time.monotonic() < deadline_s:
         try:
