--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -55,7 +55,7 @@
 _TOKEN_SCHEME = 'Token '  # noqa: S105
 
 
-_Keep = Callable[[float], Awaitable[WriteOutcome]]
+_StoreWrite = Callable[[float], Awaitable[WriteOutcome]]
 
 
 class _Call(NamedTuple):
@@ -228,7 +228,7 @@
             log_event('owner_silent', owner=owner.member.instance, epoch=owner.epoch, why=str(error))
             return None
 
-    async def _keep(self, keep: _Keep, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+    async def _keep(self, keep: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write, and let the owner write what the store does not take from this instance."""
         if self._ownership.owner is None or self._ownership.is_own:
             return await keep(STORE_WRITE_TIMEOUT_S)
