--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -161,7 +161,7 @@
         owner = self._ownership.owner
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
         keep = partial(keep_job, self._store, call.job_id, record)
-        outcome = await self._keep(keep, AcceptJob(call.job_id, record))
+        outcome = await self._write(keep, AcceptJob(call.job_id, record))
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
         return _answer_to_write(outcome)
@@ -182,7 +182,7 @@
             if item is None:
                 return Response(HTTPStatus.GONE)
         keep = partial(keep_cancellation, self._store, call.job_id)
-        outcome = await self._keep(keep, AcceptCancel(call.job_id))
+        outcome = await self._write(keep, AcceptCancel(call.job_id))
         if outcome.fate is Fate.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
         return _answer_to_write(outcome)
@@ -228,7 +228,7 @@
             log_event('owner_silent', owner=owner.member.instance, epoch=owner.epoch, why=str(error))
             return None
 
-    async def _keep(self, keep: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+    async def _write(self, keep: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write, and let the owner write what the store does not take from this instance."""
         if self._ownership.owner is None or self._ownership.is_own:
             return await keep(STORE_WRITE_TIMEOUT_S)
