--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -172,13 +172,13 @@
             if known.has_ended:
                 return Response(HTTPStatus.OK)
         elif self._store.is_suspect:
-            return _answer_to_write(await self._keep_through_owner(AcceptCancel(call.job_id)))
+            return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
         else:
             try:
                 item = await self._store.get(job_key(call.job_id), timeout_s=_READ_S)
             except STORE_FAILURES as error:
                 log_event('cancel_outcome_unknown', job=call.job_id, why=str(error))
-                return _answer_to_write(await self._keep_through_owner(AcceptCancel(call.job_id)))
+                return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
             if item is None:
                 return Response(HTTPStatus.GONE)
         keep = partial(keep_cancellation, self._store, call.job_id)
@@ -235,12 +235,12 @@
         own = await keep(_OWN_TRY_S)
         if own.fate is Fate.KEPT:
             return own
-        other = await self._keep_through_owner(message)
+        other = await self._write_through_owner(message)
         if other.fate is Fate.NOT_KEPT and own.fate is Fate.UNKNOWN:
             return own
         return other
 
-    async def _keep_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+    async def _write_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Let the owner write what the store would not take from this instance."""
         owner = self._ownership.owner
         if owner is None or self._ownership.is_own:
