--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -160,8 +160,8 @@
             return _json(HTTPStatus.BAD_REQUEST, {'error': str(error)})
         owner = self._ownership.owner
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
-        keep = partial(keep_job, self._store, call.job_id, record)
-        outcome = await self._write(keep, AcceptJob(call.job_id, record))
+        write_to_store = partial(keep_job, self._store, call.job_id, record)
+        outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
         return _answer_to_write(outcome)
@@ -181,8 +181,8 @@
                 return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
             if item is None:
                 return Response(HTTPStatus.GONE)
-        keep = partial(keep_cancellation, self._store, call.job_id)
-        outcome = await self._write(keep, AcceptCancel(call.job_id))
+        write_to_store = partial(keep_cancellation, self._store, call.job_id)
+        outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
         if outcome.fate is Fate.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
         return _answer_to_write(outcome)
@@ -228,11 +228,11 @@
             log_event('owner_silent', owner=owner.member.instance, epoch=owner.epoch, why=str(error))
             return None
 
-    async def _write(self, keep: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+    async def _write(self, write_to_store: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write, and let the owner write what the store does not take from this instance."""
         if self._ownership.owner is None or self._ownership.is_own:
-            return await keep(STORE_WRITE_TIMEOUT_S)
-        own = await keep(_OWN_TRY_S)
+            return await write_to_store(STORE_WRITE_TIMEOUT_S)
+        own = await write_to_store(_OWN_TRY_S)
         if own.fate is Fate.KEPT:
             return own
         other = await self._write_through_owner(message)
