--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -45,7 +45,7 @@
 # job may be late by the time they ask again.
 _END_WAIT_S = 0.25
 # Longest try at an own write before the owner is asked to make it, in seconds.
-_OWN_TRY_S = 0.35
+_LOCAL_WRITE_TIMEOUT_S = 0.35
 # Longest wait for a read of the store, in seconds.
 _READ_S = 0.6
 # When a caller may come again after a refusal, in whole seconds.
@@ -232,7 +232,7 @@
         """Write, and let the owner write what the store does not take from this instance."""
         if self._ownership.owner is None or self._ownership.is_own:
             return await write_to_store(STORE_WRITE_TIMEOUT_S)
-        own = await write_to_store(_OWN_TRY_S)
+        own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
         if own.fate is Fate.KEPT:
             return own
         other = await self._write_through_owner(message)
@@ -247,7 +247,7 @@
             return WriteOutcome(Fate.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
-            reply = await self._mesh.ask(address, message, timeout_s=STORE_WRITE_TIMEOUT_S - _OWN_TRY_S)
+            reply = await self._mesh.ask(address, message, timeout_s=STORE_WRITE_TIMEOUT_S - _LOCAL_WRITE_TIMEOUT_S)
         except PeerSilentError as error:
             log_event('write_through_owner_unanswered', job=message.job_id, why=str(error))
             return WriteOutcome(Fate.UNKNOWN)
