--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -39,7 +39,7 @@
 
 # Longest wait for the owner's answer, in seconds: a lost packet is sent again
 # within it, and the store can still be asked after.
-_ASK_OWNER_S = 0.4
+_OWNER_TIMEOUT_S = 0.4
 # How long a question for a state waits for an end that is near, in seconds.
 # Callers ask as their last task ends, shortly before that end is kept, and an urgent
 # job may be late by the time they ask again.
@@ -223,7 +223,7 @@
             return None
         address = (owner.member.host, owner.member.port)
         try:
-            return await self._mesh.ask(address, message, timeout_s=_ASK_OWNER_S + wait_s)
+            return await self._mesh.ask(address, message, timeout_s=_OWNER_TIMEOUT_S + wait_s)
         except PeerSilentError as error:
             log_event('owner_silent', owner=owner.member.instance, epoch=owner.epoch, why=str(error))
             return None
