--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -47,7 +47,7 @@
 # Longest try at an own write before the owner is asked to make it, in seconds.
 _LOCAL_WRITE_TIMEOUT_S = 0.35
 # Longest wait for a read of the store, in seconds.
-_READ_S = 0.6
+_STORE_READ_TIMEOUT_S = 0.6
 # When a caller may come again after a refusal, in whole seconds.
 _RETRY_AFTER_S = 1
 _JOB_ID_LENGTH = 16
@@ -175,7 +175,7 @@
             return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
         else:
             try:
-                item = await self._store.get(job_key(call.job_id), timeout_s=_READ_S)
+                item = await self._store.get(job_key(call.job_id), timeout_s=_STORE_READ_TIMEOUT_S)
             except STORE_FAILURES as error:
                 log_event('cancel_outcome_unknown', job=call.job_id, why=str(error))
                 return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
@@ -202,9 +202,9 @@
 
     async def _state_in_store(self, job_id: str) -> Response:
         """Read a job's state: only a read as of now may say that there is none."""
-        if await self._store.get(job_key(job_id), timeout_s=_READ_S) is None:
+        if await self._store.get(job_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S) is None:
             return Response(HTTPStatus.GONE)
-        item = await self._store.get(progress_key(job_id), timeout_s=_READ_S)
+        item = await self._store.get(progress_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S)
         phase = 'queued' if item is None else decode(item.value, JobProgress, 'progress').phase
         return _json(HTTPStatus.OK, {'State': phase})
 
