--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -101,21 +101,21 @@
 
     async def answer(self, request: Request) -> Response:
         """Answer one request; never raises."""
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         try:
             operation, response = await self._route(request)
         except Exception as error:
             log_event('request_failed', method=request.method, target=request.target, why=repr(error))
             operation, response = 'failed', Response(HTTPStatus.INTERNAL_SERVER_ERROR)
         self._metrics.requests.labels(operation, str(int(response.status))).inc()
-        self._metrics.request_s.labels(operation).observe(time.monotonic() - begun_s)
+        self._metrics.request_s.labels(operation).observe(time.monotonic() - started_s)
         if response.status >= HTTPStatus.BAD_REQUEST or operation in _LOGGED_OPERATIONS:
             log_event(
                 'request_answered',
                 operation=operation,
                 target=request.target,
                 status=int(response.status),
-                took_s=round(time.monotonic() - begun_s, 4),
+                took_s=round(time.monotonic() - started_s, 4),
                 configuration=self._follower.version,
             )
         return response
