--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -164,7 +164,7 @@
         outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
-        return _answer_to_write(outcome)
+        return _write_response(outcome)
 
     async def _cancel(self, call: _Call) -> Response:
         known = await self._ask_owner(AskState(call.job_id))
@@ -172,20 +172,20 @@
             if known.has_ended:
                 return Response(HTTPStatus.OK)
         elif self._store.is_suspect:
-            return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
+            return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
         else:
             try:
                 item = await self._store.get(job_key(call.job_id), timeout_s=_STORE_READ_TIMEOUT_S)
             except STORE_FAILURES as error:
                 log_event('cancel_outcome_unknown', job=call.job_id, why=str(error))
-                return _answer_to_write(await self._write_through_owner(AcceptCancel(call.job_id)))
+                return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
             if item is None:
                 return Response(HTTPStatus.GONE)
         write_to_store = partial(keep_cancellation, self._store, call.job_id)
         outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
         if outcome.fate is Fate.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
-        return _answer_to_write(outcome)
+        return _write_response(outcome)
 
     async def _state(self, call: _Call) -> Response:
         known = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
@@ -274,7 +274,7 @@
 }
 
 
-def _answer_to_write(outcome: WriteOutcome) -> Response:
+def _write_response(outcome: WriteOutcome) -> Response:
     if outcome.fate is Fate.NOT_KEPT:
         return _unavailable()
     return Response(_STATUS_BY_FATE[outcome.fate])
