--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -58,7 +58,7 @@
 _StoreWrite = Callable[[float], Awaitable[WriteOutcome]]
 
 
-class _Call(NamedTuple):
+class _AuthorizedRequest(NamedTuple):
     """A request whose queue and account are known."""
 
     request: Request
@@ -134,14 +134,14 @@
         except AccessDeniedError:
             return 'no_access', Response(HTTPStatus.UNAUTHORIZED)
         job_id = request.path.removeprefix(queue.path_prefix).lstrip('/')
-        call = _Call(request, queue, account, job_id)
+        call = _AuthorizedRequest(request, queue, account, job_id)
         if not job_id:
             return 'pending', await self._pending(call)
         if len(job_id) != _JOB_ID_LENGTH or not _HEX_DIGITS.issuperset(job_id):
             return 'malformed', Response(HTTPStatus.BAD_REQUEST)
         return await self._job_operation(call)
 
-    async def _job_operation(self, call: _Call) -> tuple[str, Response]:
+    async def _job_operation(self, call: _AuthorizedRequest) -> tuple[str, Response]:
         match call.request.method:
             case 'POST':
                 return 'submit', await self._submit(call)
@@ -151,7 +151,7 @@
                 return 'cancel', await self._cancel(call)
         return 'malformed', Response(HTTPStatus.METHOD_NOT_ALLOWED)
 
-    async def _submit(self, call: _Call) -> Response:
+    async def _submit(self, call: _AuthorizedRequest) -> Response:
         try:
             spec = decode_job(call.request.body, call.job_id, call.account, call.queue.name, time.time())
             check_job(spec)
@@ -166,7 +166,7 @@
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
         return _write_response(outcome)
 
-    async def _cancel(self, call: _Call) -> Response:
+    async def _cancel(self, call: _AuthorizedRequest) -> Response:
         known = await self._ask_owner(AskState(call.job_id))
         if isinstance(known, StateReply) and known.is_known:
             if known.has_ended:
@@ -187,7 +187,7 @@
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
         return _write_response(outcome)
 
-    async def _state(self, call: _Call) -> Response:
+    async def _state(self, call: _AuthorizedRequest) -> Response:
         known = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
         if isinstance(known, StateReply) and known.is_known:
             return _json(HTTPStatus.OK, {'State': known.phase})
@@ -208,7 +208,7 @@
         phase = 'queued' if item is None else decode(item.value, JobProgress, 'progress').phase
         return _json(HTTPStatus.OK, {'State': phase})
 
-    async def _pending(self, call: _Call) -> Response:
+    async def _pending(self, call: _AuthorizedRequest) -> Response:
         if call.request.method != 'GET':
             return Response(HTTPStatus.METHOD_NOT_ALLOWED)
         reply = await self._ask_owner(AskPending(call.queue.name))
