--- a/packages/node/dahliaarch_node/logs/core.py
+++ b/packages/node/dahliaarch_node/logs/core.py
@@ -35,7 +35,7 @@
         self.dropped = 0
         self._instance = instance
         self._lines: deque[bytes] = deque()
-        self._rest = b''
+        self._unwritten = b''
 
     def emit(self, record: standard_logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
@@ -66,19 +66,19 @@
             dropped, self.dropped = self.dropped, 0
             line = {'at': round(time.time(), 3), 'event': 'log_lines_dropped', 'count': dropped}
             self._lines.append(msgspec.json.encode(line) + b'\n')
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._next_chunk()
+        while self._unwritten or self._lines:
+            if not self._unwritten:
+                self._unwritten = self._next_chunk()
             try:
-                written = os.write(sys.stdout.fileno(), self._rest)
+                written = os.write(sys.stdout.fileno(), self._unwritten)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; there is no other place to say so.
-                self._rest = b''
+                self._unwritten = b''
                 self._lines.clear()
                 return
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _next_chunk(self) -> bytes:
         parts: list[bytes] = []
