--- a/packages/node/dahliaarch_node/logs/core.py
+++ b/packages/node/dahliaarch_node/logs/core.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 # Lines that may wait to be written; more are dropped and counted.
-_MAX_WAITING_LINES = 2_000
+_MAX_QUEUED_LINES = 2_000
 # How often waiting lines are written, in seconds.
 _FLUSH_EVERY_S = 0.25
 # Bytes written in one go: a pipe takes this much whole or not at all, so that a
@@ -39,7 +39,7 @@
 
     def emit(self, record: standard_logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if len(self._lines) >= _MAX_WAITING_LINES:
+        if len(self._lines) >= _MAX_QUEUED_LINES:
             self.dropped += 1
             return
         line: dict[str, Any] = {
@@ -62,7 +62,7 @@
 
     def flush(self) -> None:
         """Write as much as standard output takes now."""
-        if self.dropped and len(self._lines) < _MAX_WAITING_LINES:
+        if self.dropped and len(self._lines) < _MAX_QUEUED_LINES:
             dropped, self.dropped = self.dropped, 0
             line = {'at': round(time.time(), 3), 'event': 'log_lines_dropped', 'count': dropped}
             self._lines.append(msgspec.json.encode(line) + b'\n')
