--- a/packages/node/dahliaarch_node/logs/core.py
+++ b/packages/node/dahliaarch_node/logs/core.py
@@ -34,12 +34,12 @@
         super().__init__()
         self.dropped = 0
         self._instance = instance
-        self._lines: deque[bytes] = deque()
+        self._queued_lines: deque[bytes] = deque()
         self._unwritten = b''
 
     def emit(self, record: standard_logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if len(self._lines) >= _MAX_QUEUED_LINES:
+        if len(self._queued_lines) >= _MAX_QUEUED_LINES:
             self.dropped += 1
             return
         line: dict[str, Any] = {
@@ -51,7 +51,7 @@
         line.update(getattr(record, 'fields', {}))
         if record.exc_info:
             line['trace'] = self.format(record)
-        self._lines.append(msgspec.json.encode(line, enc_hook=str) + b'\n')
+        self._queued_lines.append(msgspec.json.encode(line, enc_hook=str) + b'\n')
 
     async def run(self) -> None:
         """Write what waits, again and again."""
@@ -62,11 +62,11 @@
 
     def flush(self) -> None:
         """Write as much as standard output takes now."""
-        if self.dropped and len(self._lines) < _MAX_QUEUED_LINES:
+        if self.dropped and len(self._queued_lines) < _MAX_QUEUED_LINES:
             dropped, self.dropped = self.dropped, 0
             line = {'at': round(time.time(), 3), 'event': 'log_lines_dropped', 'count': dropped}
-            self._lines.append(msgspec.json.encode(line) + b'\n')
-        while self._unwritten or self._lines:
+            self._queued_lines.append(msgspec.json.encode(line) + b'\n')
+        while self._unwritten or self._queued_lines:
             if not self._unwritten:
                 self._unwritten = self._next_chunk()
             try:
@@ -76,15 +76,15 @@
             except OSError:
                 # Nobody reads any more; there is no other place to say so.
                 self._unwritten = b''
-                self._lines.clear()
+                self._queued_lines.clear()
                 return
             self._unwritten = self._unwritten[written:]
 
     def _next_chunk(self) -> bytes:
         parts: list[bytes] = []
         size = 0
-        while self._lines and (not parts or size + len(self._lines[0]) <= _CHUNK_BYTES):
-            part = self._lines.popleft()
+        while self._queued_lines and (not parts or size + len(self._queued_lines[0]) <= _CHUNK_BYTES):
+            part = self._queued_lines.popleft()
             parts.append(part)
             size += len(part)
         return b''.join(parts)
