--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -47,7 +47,7 @@
     """A peer did not answer in time; what was asked may have been done."""
 
 
-def _ignore(direction: str, message: str, size_bytes: int) -> None:
+def _discard_count(direction: str, message: str, size_bytes: int) -> None:
     """Count nothing."""
 
 
@@ -63,7 +63,7 @@
         of each message.
     """
 
-    def __init__(self, handler: Handler, observe: Observe = _ignore) -> None:
+    def __init__(self, handler: Handler, observe: Observe = _discard_count) -> None:
         """Create the context; nothing is bound yet."""
         self._context = Context()
         self._handler = handler
