--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -38,7 +38,7 @@
 # Shortest time that a connection is given to bring its first message, in seconds:
 # it is there after four round trips. A question waits for less, and would begin
 # another one before.
-_FIRST_MESSAGE_S = 2.0
+_FIRST_MESSAGE_TIMEOUT_S = 2.0
 # Largest message: a configuration or a job with room to spare.
 _MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
@@ -201,7 +201,7 @@
 
     def reconnect(self, now_s: float) -> None:
         """Leave the present connection, and what waits on it, for a new one, unless it is still being made."""
-        is_new = self.frames_received == self._received_before and now_s < self._connected_s + _FIRST_MESSAGE_S
+        is_new = self.frames_received == self._received_before and now_s < self._connected_s + _FIRST_MESSAGE_TIMEOUT_S
         if self._socket.closed or is_new:
             return
         self._socket.disconnect(self._endpoint)
