--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -197,7 +197,7 @@
         frame = encode(call, message)
         self._observe(SENT, type(message).__name__, len(frame))
         sent = asyncio.ensure_future(self._socket.send(frame, flags=zmq.NOBLOCK))
-        sent.add_done_callback(_note_unsent)
+        sent.add_done_callback(_log_send_failure)
 
     def reconnect(self, now_s: float) -> None:
         """Leave the present connection, and what waits on it, for a new one, unless it is still being made."""
@@ -225,6 +225,6 @@
             waiter.set_result(message)
 
 
-def _note_unsent(sent: 'asyncio.Future[zmq.MessageTracker | None]') -> None:
+def _log_send_failure(sent: 'asyncio.Future[zmq.MessageTracker | None]') -> None:
     if not sent.cancelled() and sent.exception() is not None:
         log_event('peer_message_dropped', why=repr(sent.exception()))
