--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -162,7 +162,7 @@
         # When the present connection was begun, and how many messages had come before.
         self._connected_s = time.monotonic()
         self._received_before = 0
-        self._calls = 0
+        self._last_call = 0
         self._waiter_by_call: dict[int, asyncio.Future[Message]] = {}
 
     async def run(self) -> None:
@@ -179,8 +179,8 @@
 
     async def ask(self, message: Message) -> Message:
         """Send a message and wait for its answer."""
-        self._calls += 1
-        call = self._calls
+        self._last_call += 1
+        call = self._last_call
         waiter: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._waiter_by_call[call] = waiter
         try:
