--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -160,7 +160,7 @@
         socket.connect(endpoint)
         self.frames_received = 0
         # When the present connection was begun, and how many messages had come before.
-        self._connected_s = time.monotonic()
+        self._connect_started_s = time.monotonic()
         self._frames_before_connect = 0
         self._last_call = 0
         self._waiter_by_call: dict[int, asyncio.Future[Message]] = {}
@@ -201,12 +201,12 @@
 
     def reconnect(self, now_s: float) -> None:
         """Leave the present connection, and what waits on it, for a new one, unless it is still being made."""
-        is_new = self.frames_received == self._frames_before_connect and now_s < self._connected_s + _FIRST_MESSAGE_TIMEOUT_S
+        is_new = self.frames_received == self._frames_before_connect and now_s < self._connect_started_s + _FIRST_MESSAGE_TIMEOUT_S
         if self._socket.closed or is_new:
             return
         self._socket.disconnect(self._endpoint)
         self._socket.connect(self._endpoint)
-        self._connected_s = now_s
+        self._connect_started_s = now_s
         self._frames_before_connect = self.frames_received
 
     def close(self) -> None:
