--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -93,12 +93,12 @@
             When there is none in time.
         """
         link = self._link(address)
-        received_before = link.frames_received
+        frames_before = link.frames_received
         try:
             with anyio.fail_after(timeout_s):
                 return await link.ask(message)
         except TimeoutError:
-            if link.frames_received == received_before:
+            if link.frames_received == frames_before:
                 # The connection may have fallen silent for good; a new one shows it.
                 link.reconnect(time.monotonic())
             raise PeerSilentError(f'{address}: no answer to {type(message).__name__}') from None
