--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -6,7 +6,7 @@
 from ..messages import AskPending
 
 # A port of the loopback address on which nothing listens.
-NOBODY = ('127.0.0.1', 9)
+UNUSED_ADDRESS = ('127.0.0.1', 9)
 
 
 async def answer(message):
@@ -15,7 +15,7 @@
 
 async def forget_soon(mesh):
     await anyio.sleep(0.05)
-    mesh.forget(NOBODY)
+    mesh.forget(UNUSED_ADDRESS)
 
 
 async def ask_and_forget():
@@ -25,7 +25,7 @@
         await anyio.sleep(0)
         tasks.start_soon(forget_soon, mesh)
         try:
-            await mesh.ask(NOBODY, AskPending('q'), timeout_s=0.2)
+            await mesh.ask(UNUSED_ADDRESS, AskPending('q'), timeout_s=0.2)
         except PeerSilentError:
             return
         finally:
@@ -44,7 +44,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
-        mesh.tell(NOBODY, AskPending('q' * 1000))
+        mesh.tell(UNUSED_ADDRESS, AskPending('q' * 1000))
         tasks.cancel_scope.cancel()
     return counted
 
