--- a/packages/node/dahliaarch_node/probing.py
+++ b/packages/node/dahliaarch_node/probing.py
@@ -8,7 +8,7 @@
 from .records import OWNER_KEY
 
 # Longest wait for a probe's answer, in seconds: a slow store takes 0.25.
-_PROBE_S = 0.5
+_PROBE_TIMEOUT_S = 0.5
 # Pause between two probes, in seconds.
 _PAUSE_S = 0.2
 
@@ -24,7 +24,7 @@
         log_event('store_lost')
         while store.is_suspect:
             try:
-                await store.get(OWNER_KEY, timeout_s=_PROBE_S)
+                await store.get(OWNER_KEY, timeout_s=_PROBE_TIMEOUT_S)
             except STORE_FAILURES:
                 await anyio.sleep(_PAUSE_S)
         log_event('store_regained')
