--- a/packages/node/dahliaarch_node/probing.py
+++ b/packages/node/dahliaarch_node/probing.py
@@ -10,7 +10,7 @@
 # Longest wait for a probe's answer, in seconds: a slow store takes 0.25.
 _PROBE_TIMEOUT_S = 0.5
 # Pause between two probes, in seconds.
-_PAUSE_S = 0.2
+_PROBE_PAUSE_S = 0.2
 
 
 async def probe_store(store: StoreClient) -> None:
@@ -26,5 +26,5 @@
             try:
                 await store.get(OWNER_KEY, timeout_s=_PROBE_TIMEOUT_S)
             except STORE_FAILURES:
-                await anyio.sleep(_PAUSE_S)
+                await anyio.sleep(_PROBE_PAUSE_S)
         log_event('store_regained')
