--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -12,7 +12,7 @@
 from .ownership import Ownership
 
 # Times as slow as expected from which a worker is shown as slow.
-_SLOW = 1.5
+_SLOW_FACTOR = 1.5
 
 
 def describe(
@@ -71,4 +71,4 @@
         return 'draining'
     if worker.failed_jobs:
         return f'failed {len(worker.failed_jobs)} jobs in turn'
-    return 'slow' if worker.slowness > _SLOW else 'sound'
+    return 'slow' if worker.slowness > _SLOW_FACTOR else 'sound'
