--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -23,7 +23,7 @@
 ) -> dict[str, Any]:
     """Return what this instance knows, and of the pool if it owns it."""
     known = ownership.owner
-    found: dict[str, Any] = {
+    status: dict[str, Any] = {
         'owner': known.member.instance if known else 'not known',
         'epoch': known.epoch if known else 0,
         'configuration': follower.version,
@@ -31,11 +31,11 @@
     }
     if owner is not None:
         jobs = [job for job in owner.scheduler.job_by_id.values() if not job.has_ended]
-        found['waiting'] = _waiting(jobs)
-        found['waiting_steps'] = _waiting_steps(owner.scheduler.load)
-        found['accounts'] = _accounts(jobs)
-        found['workers'] = [_worker(worker) for worker in owner.scheduler.worker_by_id.values()]
-    return found
+        status['waiting'] = _waiting(jobs)
+        status['waiting_steps'] = _waiting_steps(owner.scheduler.load)
+        status['accounts'] = _accounts(jobs)
+        status['workers'] = [_worker(worker) for worker in owner.scheduler.worker_by_id.values()]
+    return status
 
 
 def _waiting(jobs: list[JobState]) -> list[dict[str, Any]]:
