--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -106,7 +106,7 @@
 
     def _apply(self, changes: tuple[ConfigurationChange, ...]) -> Configuration:
         is_whole = changes[0].base == NO_VERSION
-        found = EMPTY if is_whole else self.current or EMPTY
+        configuration = EMPTY if is_whole else self.current or EMPTY
         for change in changes:
-            found = apply_change(found, change)
-        return found
+            configuration = apply_change(configuration, change)
+        return configuration
