--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -167,9 +167,9 @@
         return _write_response(outcome)
 
     async def _cancel(self, call: _AuthorizedRequest) -> Response:
-        known = await self._ask_owner(AskState(call.job_id))
-        if isinstance(known, StateReply) and known.is_known:
-            if known.has_ended:
+        reply = await self._ask_owner(AskState(call.job_id))
+        if isinstance(reply, StateReply) and reply.is_known:
+            if reply.has_ended:
                 return Response(HTTPStatus.OK)
         elif self._store.is_suspect:
             return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
@@ -188,9 +188,9 @@
         return _write_response(outcome)
 
     async def _state(self, call: _AuthorizedRequest) -> Response:
-        known = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
-        if isinstance(known, StateReply) and known.is_known:
-            return _json(HTTPStatus.OK, {'State': known.phase})
+        reply = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
+        if isinstance(reply, StateReply) and reply.is_known:
+            return _json(HTTPStatus.OK, {'State': reply.phase})
         if self._store.is_suspect:
             log_event('state_unknown', job=call.job_id, why='the store does not answer')
             return _unavailable()
