--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -56,11 +56,11 @@
     """
     page = await _read_page(store, timing, prefix, '')
     revision = page.revision
-    found: list[Item] = list(page.items)
+    items: list[Item] = list(page.items)
     while not page.is_last:
-        page = await _read_page(store, timing, prefix, found[-1].key)
-        found.extend(page.items)
-    return Page(tuple(found), revision)
+        page = await _read_page(store, timing, prefix, items[-1].key)
+        items.extend(page.items)
+    return Page(tuple(items), revision)
 
 
 async def _read_page(store: StoreClient, timing: StoreTiming, prefix: str, after: str) -> Page:
