--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -22,10 +22,10 @@
     owner: PoolOwner | None,
 ) -> dict[str, Any]:
     """Return what this instance knows, and of the pool if it owns it."""
-    known = ownership.owner
+    known_owner = ownership.owner
     status: dict[str, Any] = {
-        'owner': known.member.instance if known else 'not known',
-        'epoch': known.epoch if known else 0,
+        'owner': known_owner.member.instance if known_owner else 'not known',
+        'epoch': known_owner.epoch if known_owner else 0,
         'configuration': follower.version,
         'store_calls': [{'call': call, 'count': count} for call, count in sorted(store.count_by_call.items())],
     }
