--- a/packages/node/dahliaarch_node/authority.py
+++ b/packages/node/dahliaarch_node/authority.py
@@ -23,9 +23,9 @@
         self._duration_s = duration_s
         self._until_s = -math.inf
 
-    def confirm(self, asked_s: float) -> None:
+    def confirm(self, requested_s: float) -> None:
         """Take in a confirmation that was asked for at a time, steady clock."""
-        self._until_s = max(self._until_s, asked_s + self._duration_s)
+        self._until_s = max(self._until_s, requested_s + self._duration_s)
 
     def holds(self, now_s: float) -> bool:
         """Tell whether orders may be given now."""
