--- a/packages/node/dahliaarch_node/authority.py
+++ b/packages/node/dahliaarch_node/authority.py
@@ -21,15 +21,15 @@
     def __init__(self, duration_s: float) -> None:
         """Start without authority."""
         self._duration_s = duration_s
-        self._until_s = -math.inf
+        self._valid_until_s = -math.inf
 
     def confirm(self, requested_s: float) -> None:
         """Take in a confirmation that was asked for at a time, steady clock."""
-        self._until_s = max(self._until_s, requested_s + self._duration_s)
+        self._valid_until_s = max(self._valid_until_s, requested_s + self._duration_s)
 
     def holds(self, now_s: float) -> bool:
         """Tell whether orders may be given now."""
-        return now_s <= self._until_s
+        return now_s <= self._valid_until_s
 
 
 def lasting_authority() -> Authority:
