--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -181,11 +181,11 @@
         """Send a message and wait for its answer."""
         self._last_call += 1
         call = self._last_call
-        waiter: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._waiter_by_call[call] = waiter
+        future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self._waiter_by_call[call] = future
         try:
             self.send(call, message)
-            return await waiter
+            return await future
         finally:
             self._waiter_by_call.pop(call, None)
 
@@ -220,9 +220,9 @@
             log_event('peer_message_malformed', why=str(error))
             return
         self._observe(RECEIVED, type(message).__name__, len(frame))
-        waiter = self._waiter_by_call.get(call)
-        if waiter is not None and not waiter.done():
-            waiter.set_result(message)
+        future = self._waiter_by_call.get(call)
+        if future is not None and not future.done():
+            future.set_result(message)
 
 
 def _log_send_failure(sent: 'asyncio.Future[zmq.MessageTracker | None]') -> None:
