--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -163,7 +163,7 @@
         self._connect_started_s = time.monotonic()
         self._frames_before_connect = 0
         self._last_call = 0
-        self._waiter_by_call: dict[int, asyncio.Future[Message]] = {}
+        self._future_by_call: dict[int, asyncio.Future[Message]] = {}
 
     async def run(self) -> None:
         """Hand answers to the calls that wait for them."""
@@ -182,12 +182,12 @@
         self._last_call += 1
         call = self._last_call
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._waiter_by_call[call] = future
+        self._future_by_call[call] = future
         try:
             self.send(call, message)
             return await future
         finally:
-            self._waiter_by_call.pop(call, None)
+            self._future_by_call.pop(call, None)
 
     def send(self, call: int, message: Message) -> None:
         """Queue a message; drop it when the peer does not read or is forgotten."""
@@ -220,7 +220,7 @@
             log_event('peer_message_malformed', why=str(error))
             return
         self._observe(RECEIVED, type(message).__name__, len(frame))
-        future = self._waiter_by_call.get(call)
+        future = self._future_by_call.get(call)
         if future is not None and not future.done():
             future.set_result(message)
 
