--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -9,7 +9,7 @@
 UNUSED_ADDRESS = ('127.0.0.1', 9)
 
 
-async def answer(message):
+async def no_reply(message):
     return None
 
 
@@ -19,7 +19,7 @@
 
 
 async def ask_and_forget():
-    mesh = Mesh(answer)
+    mesh = Mesh(no_reply)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
@@ -40,7 +40,7 @@
 
 async def count_messages():
     counted = []
-    mesh = Mesh(answer, lambda *each: counted.append(each))
+    mesh = Mesh(no_reply, lambda *each: counted.append(each))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
