--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -39,14 +39,14 @@
 
 
 async def count_messages():
-    counted = []
-    mesh = Mesh(no_reply, lambda *each: counted.append(each))
+    observed = []
+    mesh = Mesh(no_reply, lambda *each: observed.append(each))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
         mesh.tell(UNUSED_ADDRESS, AskPending('q' * 1000))
         tasks.cancel_scope.cancel()
-    return counted
+    return observed
 
 
 def test_the_bytes_of_each_message_are_counted():
