--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -143,13 +143,13 @@
     receiver = follower_at()
     mesh = FakeMesh(peer)
 
-    def change():
+    def advance_peer():
         before = peer.current
         if before.version < 30:
             after = configuration(before.version + 1, [*queues, Queue(f'n{before.version}', 'h', '/', 's')])
             peer.apply_update(Update((difference(before, after),), REVISION), 'test', 0)
 
-    mesh.before_reply = change
+    mesh.before_reply = advance_peer
     fetch(receiver, mesh, 1, within_s=10)
     assert receiver.version == 2
     fetch(receiver, mesh, 30, within_s=10, repeats_announcement=True)
