--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -18,7 +18,9 @@
     return [partial(_ask_directly, client), *(partial(_ask_through_peer, mesh, peer) for peer in membership.peers())]
 
 
-async def _ask_directly(client: AdviceClient, step: str, worker_ids: Sequence[str], timeout_s: float) -> Mapping[str, str]:
+async def _ask_directly(
+    client: AdviceClient, step: str, worker_ids: Sequence[str], timeout_s: float
+) -> Mapping[str, str]:
     return await client.ask(step, worker_ids, timeout_s=timeout_s)
 
 
--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -34,13 +34,17 @@
     revision: int = 0
 
 
-async def keep_job(store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
+async def keep_job(
+    store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
+) -> WriteOutcome:
     """Keep a job unless one of its id is kept already."""
     write = Write(job_key(job_id), record)
     return await _commit(store, (Condition(write.key, 0),), write, write_timeout_s)
 
 
-async def keep_cancellation(store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S) -> WriteOutcome:
+async def keep_cancellation(
+    store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
+) -> WriteOutcome:
     """Keep a cancellation."""
     return await _commit(store, (), Write(cancel_key(job_id), b''), write_timeout_s)
 
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -35,7 +35,7 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, STORE_WRITE_TIMEOUT_S, keep_cancellation, keep_job, WriteOutcome
+from .acceptance import Fate, keep_cancellation, keep_job, STORE_WRITE_TIMEOUT_S, WriteOutcome
 
 # Longest wait for the owner's answer, in seconds: a lost packet is sent again
 # within it, and the store can still be asked after.
--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -201,7 +201,10 @@
 
     def reconnect(self, now_s: float) -> None:
         """Leave the present connection, and what waits on it, for a new one, unless it is still being made."""
-        is_connecting = self.frames_received == self._frames_before_connect and now_s < self._connect_started_s + _FIRST_MESSAGE_TIMEOUT_S
+        is_connecting = (
+            self.frames_received == self._frames_before_connect
+            and now_s < self._connect_started_s + _FIRST_MESSAGE_TIMEOUT_S
+        )
         if self._socket.closed or is_connecting:
             return
         self._socket.disconnect(self._endpoint)
