--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -1,4 +1,4 @@
-"""Ways to ask the outside policy: through this instance and through its peers."""
+"""Queries to the external placement policy, sent directly or through peer instances."""
 
 from collections.abc import Mapping, Sequence
 from functools import partial
@@ -12,7 +12,7 @@
 
 
 def askers(client: AdviceClient | None, mesh: Mesh, membership: Membership) -> Sequence[Ask]:
-    """Return the ways to ask now, this instance's own first; none where there is no policy."""
+    """Return one query function per route, the direct one first; empty without a configured policy."""
     if client is None:
         return ()
     return [partial(_ask_directly, client), *(partial(_ask_through_peer, mesh, peer) for peer in membership.peers())]
@@ -33,5 +33,5 @@
     except PeerSilentError as error:
         raise AdviceUnavailableError(str(error)) from error
     if not isinstance(reply, PolicyReply) or not reply.is_answered:
-        raise AdviceUnavailableError(f'{peer.instance} got no answer')
+        raise AdviceUnavailableError(f'{peer.instance} received no answer from the policy')
     return reply.ticket_by_worker
