--- a/packages/node/dahliaarch_node/authority.py
+++ b/packages/node/dahliaarch_node/authority.py
@@ -1,21 +1,22 @@
-"""How long an owner of the pool may give orders without a new word that it still is the owner."""
+"""Time limit on how long an instance may act as owner of the pool without renewed confirmation."""
 
 import math
 
 
 class Authority:
-    """Ends by itself unless it is confirmed again.
+    """Permission to send orders to workers; expires unless it is confirmed again.
 
-    The owner's lease in the store confirms it. While the store is away most of the
-    instances do, each with its answer that it knows of no newer owner: a pool that
-    nobody can take over goes on working. Where neither does, another instance may
-    own the pool, on workers that this one can't know of.
+    Renewing the owner's lease in the store confirms it. While the store is
+    unreachable, a majority of the instances confirms it instead, each by replying
+    that it knows of no newer owner: nobody can take the pool over then, so it keeps
+    working. Without either confirmation another instance may own the pool, with
+    workers that this one doesn't know of.
 
     Parameters
     ----------
     duration_s : float
-        How long a confirmation holds from when it was asked for, in seconds: no
-        longer than the lease in the store.
+        How long a confirmation is valid, in seconds, counted from when it was
+        requested; at most the duration of the lease in the store.
     """
 
     def __init__(self, duration_s: float) -> None:
@@ -24,16 +25,16 @@
         self._valid_until_s = -math.inf
 
     def confirm(self, requested_s: float) -> None:
-        """Take in a confirmation that was asked for at a time, steady clock."""
+        """Extend the authority by a confirmation requested at the given time on the `steady_s` clock."""
         self._valid_until_s = max(self._valid_until_s, requested_s + self._duration_s)
 
     def holds(self, now_s: float) -> bool:
-        """Tell whether orders may be given now."""
+        """Return whether orders may be sent now."""
         return now_s <= self._valid_until_s
 
 
 def lasting_authority() -> Authority:
-    """Return one that never ends, for an owner without successors."""
+    """Return an authority that never expires, for an owner that no other instance can replace."""
     authority = Authority(math.inf)
     authority.confirm(0.0)
     return authority
