--- a/packages/node/dahliaarch_node/clock.py
+++ b/packages/node/dahliaarch_node/clock.py
@@ -1,12 +1,12 @@
-"""The clock that leases, ages and deadlines are measured on."""
+"""Clock for leases, ages and deadlines."""
 
 import time
 
 
 def steady_s() -> float:
-    """Return the time since the machine started, in seconds, also while it was suspended.
+    """Return the seconds since the machine booted, including time spent suspended.
 
-    `time.monotonic` stops then, while the leases of others run on: an owner
-    that was suspended would take its own for as fresh as before.
+    `time.monotonic` doesn't advance during suspension, but leases in the store still
+    expire: a resumed owner would consider its expired lease valid.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
