--- a/packages/node/dahliaarch_node/configuration/__init__.py
+++ b/packages/node/dahliaarch_node/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Follows the operators' configuration, from the store and from peers."""
+"""Keeps the operators' configuration up to date from the store and from peers."""
 
 from .follower import ConfigurationFollower
 from .peer_feed import PeerFeed
