--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -1,4 +1,4 @@
-"""The newest configuration that this process has seen."""
+"""Newest configuration that this process has received."""
 
 import anyio
 
@@ -20,26 +20,26 @@
 
 
 class ConfigurationFollower:
-    """Holds the configuration in force; an older one never comes into force.
+    """Holds the active configuration and ignores versions that are not newer.
 
     Parameters
     ----------
     metrics : Metrics
-        Where the version is shown.
+        Receives the active version as a gauge.
 
     Attributes
     ----------
     current : Configuration or None
-        The configuration in force.
+        The active configuration; None until one has been received.
     revision : int
         Store revision at which it was written.
     updates : UpdateLog
-        What led to it, for peers that are behind.
+        Recent changes, for peers with older versions.
     changed : Event
-        Set when a version comes into force, and then replaced.
-    overtaken : Event
-        The same for versions that came from a peer: reading them from the store
-        as well is needless.
+        Set whenever a version becomes active, then replaced by a new event.
+    updated_by_peer : Event
+        The same, but only for versions received from a peer: they needn't be read
+        from the store as well.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -53,11 +53,11 @@
 
     @property
     def version(self) -> int:
-        """Version in force; `NO_VERSION` for none."""
+        """Active version, or `NO_VERSION`."""
         return NO_VERSION if self.current is None else self.current.version
 
     def apply_document(self, text: bytes, revision: int) -> None:
-        """Put a document of the store in force if it is newer than the present version."""
+        """Activate a document read from the store if it is newer than the active version."""
         try:
             document = decode_configuration(text)
         except ProtocolError as error:
@@ -69,7 +69,7 @@
         self._activate((change,), revision, 'store', len(text))
 
     def apply_update(self, update: Update, source: str, size_bytes: int) -> None:
-        """Put what a peer has sent in force if it is newer than the present version."""
+        """Activate an update received from a peer if it is newer than the active version."""
         if update.version <= self.version:
             return
         try:
