--- a/packages/node/dahliaarch_node/configuration/peer_feed.py
+++ b/packages/node/dahliaarch_node/configuration/peer_feed.py
@@ -1,9 +1,9 @@
-"""Fetches newer versions of the configuration from peers that tell of them.
+"""Fetches newer versions of the configuration from peers that announce them.
 
-The store sends a whole document for each change, which a slow link carries for
-seconds; a peer sends what has changed. Both ways are tried at once, and the one
-that is there first ends the other: neither a dead peer nor a slow link holds a
-version up.
+For every change the store sends the whole document, which takes seconds on a slow
+link; a peer sends only the difference. Both sources are read at the same time and
+the first to deliver a version cancels the other, so that neither an unreachable peer
+nor a slow link to the store delays it.
 """
 
 from typing import NamedTuple
@@ -19,45 +19,45 @@
 from .follower import ConfigurationFollower
 from .updates import decode_update
 
-# Longest wait for a part, in seconds: a slow link carries it in time.
+# Timeout of the request for one part, in seconds; a slow link transfers a part within it.
 _PART_TIMEOUT_S = 1.0
-# Tries of one part before the next announcement is waited for.
+# Requests for one part before the fetch is abandoned until the next announcement.
 _PART_ATTEMPTS = 2
 
 
 class Announcement(NamedTuple):
-    """A peer says that it follows a version."""
+    """A peer and the configuration version that is active there."""
 
     member: Member
     version: int
 
 
 class PeerFeed:
-    """Fetches what is announced, one update at a time.
+    """Fetches announced versions, one update at a time.
 
     Parameters
     ----------
     follower : ConfigurationFollower
-        What is kept up to date.
+        Receives the updates.
     mesh : Mesh
-        Messages to the peers.
+        Sends requests to the peers.
     """
 
     def __init__(self, follower: ConfigurationFollower, mesh: Mesh) -> None:
-        """Start without announcements."""
+        """Start without a pending announcement."""
         self._follower = follower
         self._mesh = mesh
         self._pending_announcement: Announcement | None = None
         self._announced = anyio.Event()
 
     def announce(self, member: Member, version: int) -> None:
-        """Take in which version a peer follows."""
+        """Record that a version is active on a peer, if it is newer than the one here."""
         if version > self._follower.version:
             self._pending_announcement = Announcement(member, version)
             self._announced.set()
 
     async def run(self) -> None:
-        """Fetch what is announced, until cancelled."""
+        """Fetch announced versions until cancelled."""
         while True:
             await self._announced.wait()
             self._announced = anyio.Event()
@@ -66,7 +66,7 @@
                 await self._fetch(announcement)
 
     async def _fetch(self, announcement: Announcement) -> None:
-        """Fetch all parts of an update and put it in force."""
+        """Fetch all parts of an update and activate it."""
         member = announcement.member
         base = self._follower.version
         version = NO_VERSION
@@ -74,7 +74,7 @@
         while True:
             part = await self._request_part(member, AskConfiguration(base, version, len(received)))
             if part is None or part.version <= self._follower.version:
-                # Nothing newer there, or it has come from the store meanwhile.
+                # The peer has nothing newer, or the store has delivered the version in the meantime.
                 return
             if part.version != version:
                 version = part.version
