--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the store."""
+"""Watches the configuration document in the store."""
 
 from typing import TypeVar
 
@@ -21,40 +21,40 @@
 
 
 class StoreFeed:
-    """Reads the document, then waits for updates of it.
+    """Reads the document, then watches it for updates.
 
-    What a peer has brought meanwhile is not read again: a document of a megabyte
-    would fill a slow link for seconds.
+    A read or watch is cancelled when a peer delivers a newer version: reading a
+    document of one megabyte again would saturate a slow link for seconds.
 
     Parameters
     ----------
     follower : ConfigurationFollower
-        What is kept up to date.
+        Receives the documents.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses.
     """
 
     def __init__(self, follower: ConfigurationFollower, store: StoreClient, timing: StoreTiming) -> None:
-        """Start without having read anything."""
+        """Start before the first read."""
         self._follower = follower
         self._store = store
         self._timing = timing
-        # Store revision up to which everything has been seen; nothing while the
-        # document has to be read whole.
+        # Store revision up to which all updates have been processed; None when the
+        # whole document has to be read.
         self._seen_revision: int | None = None
         self._call_scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Read and watch the document until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._cancel_when_updated_by_peer)
             while True:
                 try:
                     await self._read_or_watch()
                 except StoreAnswerTooLargeError as error:
-                    # Several versions at once: the newest alone is enough.
+                    # The answer holds several versions; read only the newest.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
                     self._seen_revision = None
                 except STORE_FAILURES as error:
@@ -73,7 +73,7 @@
             self._call_scope = scope
             item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_s)
         if item is None:
-            # There is none yet, or a peer has brought one.
+            # The store has no document yet, or a peer update cancelled the read.
             self._seen_revision = self._follower.revision
             return
         self._seen_revision = item.read_at
