--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -1,4 +1,4 @@
-"""Updates travel in parts, from any peer that has something newer."""
+"""Tests for fetching configuration updates in parts from peers with newer versions."""
 
 import random
 
@@ -31,13 +31,13 @@
 
 
 def many_queues(count):
-    """Return queues whose names do not compress well."""
+    """Return queues with random names, which compress poorly."""
     draw = random.Random(count)
     return [Queue(f'{draw.getrandbits(128):x}', f'{draw.getrandbits(128):x}', '/x/', 's') for _ in range(count)]
 
 
 def follower_at(*configurations):
-    """Return a follower that has come to each of some versions in turn."""
+    """Return a follower that has activated the given configurations in order."""
     follower = ConfigurationFollower(Metrics())
     before = EMPTY
     for after in configurations:
@@ -47,7 +47,7 @@
 
 
 class FakeMesh:
-    """Messages to a follower elsewhere; the answers to some of them are lost."""
+    """Passes requests to another follower and loses the replies to those with the given numbers."""
 
     def __init__(self, follower, lost_replies=()):
         self.follower = follower
@@ -59,13 +59,13 @@
         await anyio.sleep(0)
         self.requests.append(message)
         if len(self.requests) in self.lost_replies:
-            raise PeerSilentError('lost')
+            raise PeerSilentError('reply lost')
         self.before_reply()
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
 def fetch(receiver, mesh, version, within_s=0.2, *, repeats_announcement=False):
-    """Let a follower learn of a version, once or again and again, and fetch it."""
+    """Announce a version to a follower, once or repeatedly, and wait until it has fetched it."""
 
     async def run():
         feed = PeerFeed(receiver, mesh)
@@ -137,7 +137,7 @@
 
 
 def test_versions_that_come_while_parts_travel_do_not_hold_them_up():
-    """The peer changes with every answer: what has begun is finished, the rest follows."""
+    """With a new version after every reply, the fetch under way completes before the next one starts."""
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
     receiver = follower_at()
