--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -1,9 +1,10 @@
-"""What an instance hands to a peer whose configuration is older.
+"""Configuration updates for peers with an older version.
 
-A peer gets the changes since its own version, or the whole configuration when
-they are not known any more; compressed, and in parts that it asks for one after
-the other. Each part is small, so that its wait needs no knowledge of the size of
-the whole, a lost one costs only itself, and other messages get in between.
+An update holds the changes since the peer's version, or the whole configuration
+when those are no longer kept. It is compressed and sent in parts, which the peer
+requests one after another. Since parts are small, their timeout doesn't depend on
+the size of the update, a lost part is resent alone, and other messages can be sent
+in between.
 """
 
 import zlib
@@ -16,38 +17,38 @@
 
 from ..peers import AskConfiguration, ConfigurationPart
 
-# Bytes of a part: a slow link carries one well within the wait for it.
+# Size of a part in bytes: a slow link transfers one well within the timeout of its request.
 PART_BYTES = 32_768
-# Changes that are kept: a peer that is further behind gets all of it.
+# Changes to keep; a peer that is further behind receives the whole configuration.
 _MAX_KEPT_CHANGES = 16
-# Encoded updates that are kept while peers ask for their parts.
+# Encoded updates to keep while peers request their parts.
 _MAX_ENCODED_UPDATES = 16
-# Largest update before compression, in bytes: a megabyte in the store's form,
-# with room to spare.
+# Maximum size of an uncompressed update in bytes: well above the one megabyte that a
+# configuration takes in the store's format.
 _MAX_UPDATE_BYTES = 8 * 1024 * 1024
-# The level of compression that takes least time.
+# Fastest zlib level.
 _COMPRESSION_LEVEL = 1
 
 
 class Update(NamedTuple):
-    """Changes that build on each other, and the store revision of the last."""
+    """Consecutive changes and the store revision of the last one."""
 
     changes: tuple[ConfigurationChange, ...]
     revision: int
 
     @property
     def version(self) -> int:
-        """Version that it leads to."""
+        """Version after the last change."""
         return self.changes[-1].version
 
 
 def decode_update(data: bytes) -> Update:
-    """Return an update from the form in which it travels.
+    """Decompress and decode an update that was received from a peer.
 
     Raises
     ------
     ProtocolError
-        When it is not one.
+        If the data is not a valid update.
     """
     try:
         uncompressed = zlib.decompressobj().decompress(data, _MAX_UPDATE_BYTES)
@@ -60,21 +61,21 @@
 
 
 class UpdateLog:
-    """Changes of late, and their encoded forms."""
+    """Recent configuration changes and their encoded updates."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty log."""
         self._changes: deque[ConfigurationChange] = deque(maxlen=_MAX_KEPT_CHANGES)
         self._encoded_by_versions: dict[tuple[int, int], bytes] = {}
 
     def add(self, change: ConfigurationChange) -> None:
-        """Keep a change that has come into force."""
+        """Record a change that has become active."""
         if self._changes and self._changes[-1].version != change.base:
             self._changes.clear()
         self._changes.append(change)
 
     def part(self, request: AskConfiguration, current: Configuration | None, revision: int) -> ConfigurationPart:
-        """Return the part that a peer asks for; one without a version when there is nothing newer."""
+        """Return the requested part, or one with `NO_VERSION` when there is no newer version."""
         version = request.version
         data = self._encoded_by_versions.get((request.base, version))
         if data is None:
@@ -82,7 +83,7 @@
                 return ConfigurationPart(NO_VERSION)
             version = current.version
             data = self._encode(request.base, current, revision)
-        # A peer that was in the midst of another version begins anew.
+        # A peer that was fetching another version restarts at the first part.
         offset = request.offset if version == request.version else 0
         return ConfigurationPart(version, len(data), offset, data[offset : offset + PART_BYTES])
 
@@ -96,7 +97,7 @@
         return self._encoded_by_versions[versions]
 
     def _changes_since(self, base: int, current: Configuration) -> tuple[ConfigurationChange, ...]:
-        """Return the changes since a version, or all when they are not known or not smaller."""
+        """Return the changes since a version, or the whole configuration if they aren't kept or aren't smaller."""
         bases = [change.base for change in self._changes]
         if base in bases and base != NO_VERSION:
             changes = tuple(self._changes)[bases.index(base) :]
