--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -82,7 +82,7 @@
     anyio.run(run)
 
 
-def test_a_large_configuration_comes_in_parts():
+def test_large_configuration_is_fetched_in_parts():
     newest = configuration(5, many_queues(4_000))
     receiver = follower_at()
     mesh = FakeMesh(follower_at(newest))
