--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -92,7 +92,7 @@
     assert len(mesh.requests) > 3
 
 
-def test_a_lost_part_costs_only_itself():
+def test_only_the_lost_part_is_requested_again():
     newest = configuration(5, many_queues(4_000))
     receiver = follower_at()
     mesh = FakeMesh(follower_at(newest), lost_replies=(3,))
