--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -102,7 +102,7 @@
     assert mesh.requests[2].offset == 2 * PART_BYTES
 
 
-def test_a_peer_that_falls_silent_is_given_up():
+def test_fetch_ends_when_the_peer_stops_replying():
     receiver = follower_at()
     mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost_replies=range(3, 100))
     fetch(receiver, mesh, 5)
