--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -110,7 +110,7 @@
     assert len(mesh.requests) < 6
 
 
-def test_only_what_has_changed_travels():
+def test_update_holds_only_the_changes():
     old = many_queues(4_000)
     older, newer = configuration(5, old), configuration(9, [*old, *many_queues(3)])
     receiver = follower_at(older)
