--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -121,7 +121,7 @@
     assert part.total_bytes == len(part.data) < 1_000
 
 
-def test_several_changes_travel_together():
+def test_update_holds_several_changes():
     old = many_queues(100)
     versions = [configuration(number, old[: number * 10]) for number in range(1, 10)]
     receiver = follower_at(versions[2])
