--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -129,7 +129,7 @@
     assert receiver.current == versions[-1]
 
 
-def test_a_version_that_the_peer_never_had_leads_to_the_whole():
+def test_unknown_base_version_yields_the_whole_configuration():
     receiver = follower_at(configuration(6, many_queues(50)))
     peer = follower_at(configuration(5, many_queues(40)), configuration(9, many_queues(60)))
     fetch(receiver, FakeMesh(peer), 9)
