--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -136,7 +136,7 @@
     assert receiver.current == peer.current
 
 
-def test_versions_that_come_while_parts_travel_do_not_hold_them_up():
+def test_new_versions_do_not_interrupt_a_fetch():
     """With a new version after every reply, the fetch under way completes before the next one starts."""
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
