--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -156,7 +156,7 @@
     assert receiver.current == peer.current
 
 
-def test_nothing_is_taken_from_a_peer_that_has_nothing_newer():
+def test_peer_without_a_newer_version_changes_nothing():
     receiver = follower_at(configuration(5, many_queues(3)))
     mesh = FakeMesh(follower_at(configuration(5, many_queues(3))))
     fetch(receiver, mesh, 7)
