--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -164,7 +164,7 @@
     assert len(mesh.requests) == 1
 
 
-def test_an_update_that_does_not_fit_changes_nothing():
+def test_update_with_another_base_version_changes_nothing():
     receiver = follower_at(configuration(5, many_queues(3)))
     change = difference(configuration(6, []), configuration(9, []))
     receiver.apply_update(Update((change,), REVISION), 'test', 0)
