--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize('data', [b'', b'x', b'x\x9c' + bytes(20)])
-def test_what_is_not_an_update_is_refused(data):
+def test_malformed_update_is_rejected(data):
     with pytest.raises(ProtocolError):
         decode_update(data)
 
