--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -33,7 +33,7 @@
     raise AssertionError('an answer from nobody')
 
 
-def test_a_peer_that_is_forgotten_while_it_is_asked_is_silent_and_breaks_nothing():
+def test_forgetting_a_peer_during_a_request_raises_peer_silent_error():
     """The daemon ended when the unanswered call connected a closed socket anew."""
     anyio.run(ask_and_forget)
 
