--- a/packages/node/dahliaarch_node/front/__init__.py
+++ b/packages/node/dahliaarch_node/front/__init__.py
@@ -1,4 +1,4 @@
-"""The callers' side: requests are checked, kept and answered."""
+"""HTTP API for callers: checks, stores and answers requests."""
 
 from .core import Front
 
