--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -1,8 +1,9 @@
-"""Keeps accepted jobs and cancellations, and knows what it does not know.
+"""Writes accepted jobs and cancellations to the store.
 
-A write without an answer is neither done nor not done. It is tried again under
-the same condition, which tells the two apart; while that can't be told the
-caller gets 504, never a refusal that says the job will not run.
+When the store doesn't answer a write, its outcome is unknown. The write is retried
+under the same condition, which shows whether the first attempt took effect. As long
+as the outcome is unknown, the caller receives 504 instead of a refusal, which would
+say that the job will not run.
 """
 
 import time
@@ -14,12 +15,12 @@
 from ..logs import log_event
 from ..records import cancel_key, job_key
 
-# Longest time that a request is held for the store, in seconds.
+# Time limit for writing a request to the store, retries included, in seconds.
 STORE_WRITE_TIMEOUT_S = 0.8
 
 
 class Fate(StrEnum):
-    """What became of a write."""
+    """Outcome of a write to the store."""
 
     KEPT = 'kept'
     NOT_KEPT = 'not_kept'
@@ -28,7 +29,7 @@
 
 
 class WriteOutcome(NamedTuple):
-    """What became of a write, and its revision when it was made now."""
+    """Outcome of a write and its store revision; 0 if it wasn't made, or by an earlier attempt."""
 
     fate: Fate
     revision: int = 0
@@ -37,7 +38,7 @@
 async def keep_job(
     store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
-    """Keep a job unless one of its id is kept already."""
+    """Write a job to the store unless it holds one with this id already."""
     write = Write(job_key(job_id), record)
     return await _commit(store, (Condition(write.key, 0),), write, write_timeout_s)
 
@@ -45,7 +46,7 @@
 async def keep_cancellation(
     store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
-    """Keep a cancellation."""
+    """Write a cancellation to the store."""
     return await _commit(store, (), Write(cancel_key(job_id), b''), write_timeout_s)
 
 
@@ -56,7 +57,7 @@
     write_timeout_s: float,
 ) -> WriteOutcome:
     if store.is_suspect:
-        # What is not sent can't be carried out late.
+        # A write that is never sent can't take effect later, so the refusal is certain.
         return WriteOutcome(Fate.NOT_KEPT)
     deadline_s = time.monotonic() + write_timeout_s
     fate = Fate.NOT_KEPT
@@ -70,7 +71,7 @@
         except STORE_FAILURES as error:
             log_event('write_refused', key=write.key, why=str(error), was_ambiguous=fate is Fate.UNKNOWN)
             break
-        # A condition that fails tells that the key is there, by an earlier try
-        # of ours or of the caller.
+        # A failed condition means that the key exists already, written by an earlier
+        # attempt of this loop or of the caller.
         return WriteOutcome(Fate.KEPT, outcome.revision)
     return WriteOutcome(fate)
