--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests on any instance."""
+"""Handles requests of callers; every instance can answer them."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -37,18 +37,18 @@
 from ..records import job_key, JobRecord, progress_key
 from .acceptance import Fate, keep_cancellation, keep_job, STORE_WRITE_TIMEOUT_S, WriteOutcome
 
-# Longest wait for the owner's answer, in seconds: a lost packet is sent again
-# within it, and the store can still be asked after.
+# Timeout of requests to the owner, in seconds: long enough for the retransmission of
+# a lost packet, and short enough to query the store afterwards.
 _OWNER_TIMEOUT_S = 0.4
-# How long a question for a state waits for an end that is near, in seconds.
-# Callers ask as their last task ends, shortly before that end is kept, and an urgent
-# job may be late by the time they ask again.
+# How long the owner may delay its reply to a state request while the job is about to
+# end, in seconds. Callers ask when their last task ends, shortly before that end is
+# stored, and an urgent job may be late by the time they ask again.
 _END_WAIT_S = 0.25
-# Longest try at an own write before the owner is asked to make it, in seconds.
+# Time limit for writing to the store directly, before the owner is asked to, in seconds.
 _LOCAL_WRITE_TIMEOUT_S = 0.35
-# Longest wait for a read of the store, in seconds.
+# Timeout of reads from the store, in seconds.
 _STORE_READ_TIMEOUT_S = 0.6
-# When a caller may come again after a refusal, in whole seconds.
+# Value of the Retry-After header, in whole seconds.
 _RETRY_AFTER_S = 1
 _JOB_ID_LENGTH = 16
 _HEX_DIGITS = frozenset('0123456789abcdef')
@@ -59,7 +59,7 @@
 
 
 class _AuthorizedRequest(NamedTuple):
-    """A request whose queue and account are known."""
+    """A request with its queue, client account and job id, after authorization."""
 
     request: Request
     queue: Queue
@@ -68,20 +68,20 @@
 
 
 class Front:
-    """Checks, keeps and answers requests.
+    """Checks, stores and answers requests of callers.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the active configuration.
     ownership : Ownership
-        Who owns the pool.
+        Provides the owner of the pool.
     mesh : Mesh
-        Messages to the owner.
+        Sends messages to the owner.
     metrics : Metrics
-        Counters.
+        Counts requests and measures their latency.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         mesh: Mesh,
         metrics: Metrics,
     ) -> None:
-        """Prepare to answer."""
+        """Store the collaborators."""
         self._store = store
         self._follower = follower
         self._ownership = ownership
@@ -100,7 +100,7 @@
         self._metrics = metrics
 
     async def answer(self, request: Request) -> Response:
-        """Answer one request; never raises."""
+        """Answer one request; exceptions result in status 500."""
         started_s = time.monotonic()
         try:
             operation, response = await self._route(request)
@@ -201,7 +201,7 @@
             return _unavailable()
 
     async def _state_in_store(self, job_id: str) -> Response:
-        """Read a job's state: only a read as of now may say that there is none."""
+        """Read a job's state from the store; only a current read may report that the job doesn't exist."""
         if await self._store.get(job_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S) is None:
             return Response(HTTPStatus.GONE)
         item = await self._store.get(progress_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S)
@@ -229,7 +229,7 @@
             return None
 
     async def _write(self, write_to_store: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
-        """Write, and let the owner write what the store does not take from this instance."""
+        """Write to the store; ask the owner to write if that fails here."""
         if self._ownership.owner is None or self._ownership.is_own:
             return await write_to_store(STORE_WRITE_TIMEOUT_S)
         own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
@@ -241,7 +241,7 @@
         return other
 
     async def _write_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
-        """Let the owner write what the store would not take from this instance."""
+        """Ask the owner to write what this instance could not write to the store."""
         owner = self._ownership.owner
         if owner is None or self._ownership.is_own:
             return WriteOutcome(Fate.NOT_KEPT)
