--- a/packages/node/dahliaarch_node/logs/__init__.py
+++ b/packages/node/dahliaarch_node/logs/__init__.py
@@ -1,4 +1,4 @@
-"""JSON log lines that never hold the program up."""
+"""Non-blocking JSON logs."""
 
 from .core import configure_logs, log_event, LogWriter
 
