--- a/packages/node/dahliaarch_node/logs/core.py
+++ b/packages/node/dahliaarch_node/logs/core.py
@@ -1,4 +1,4 @@
-"""One JSON object a line, through absl's logger and a bounded queue."""
+"""JSON Lines handler for absl's logger with a bounded queue."""
 
 import logging as standard_logging
 import os
@@ -11,26 +11,26 @@
 import msgspec
 from absl import logging
 
-# Lines that may wait to be written; more are dropped and counted.
+# Capacity of the queue in lines; further lines are dropped and counted.
 _MAX_QUEUED_LINES = 2_000
-# How often waiting lines are written, in seconds.
+# Interval between flushes of the queue, in seconds.
 _FLUSH_EVERY_S = 0.25
-# Bytes written in one go: a pipe takes this much whole or not at all, so that a
-# reader never sees half a line (PIPE_BUF of the system).
+# Maximum size of one write in bytes, PIPE_BUF of the system: writes to a pipe up to this
+# size are atomic, so that a reader never sees part of a line.
 _CHUNK_BYTES = 4_096
 
 
 class LogWriter(standard_logging.Handler):
-    """Keeps lines in memory and writes them without blocking.
+    """Queues lines in memory and writes them without blocking.
 
     Parameters
     ----------
     instance : str
-        Name of the instance, part of every line.
+        Name of the instance, included in every line.
     """
 
     def __init__(self, instance: str) -> None:
-        """Start with nothing to write."""
+        """Create an empty queue."""
         super().__init__()
         self.dropped = 0
         self._instance = instance
@@ -38,7 +38,7 @@
         self._unwritten = b''
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Queue a line, or count it as dropped."""
+        """Queue a line, or count it as dropped if the queue is full."""
         if len(self._queued_lines) >= _MAX_QUEUED_LINES:
             self.dropped += 1
             return
@@ -54,14 +54,14 @@
         self._queued_lines.append(msgspec.json.encode(line, enc_hook=str) + b'\n')
 
     async def run(self) -> None:
-        """Write what waits, again and again."""
+        """Flush the queue periodically until cancelled."""
         os.set_blocking(sys.stdout.fileno(), False)
         while True:
             await anyio.sleep(_FLUSH_EVERY_S)
             self.flush()
 
     def flush(self) -> None:
-        """Write as much as standard output takes now."""
+        """Write as many lines as standard output accepts without blocking."""
         if self.dropped and len(self._queued_lines) < _MAX_QUEUED_LINES:
             dropped, self.dropped = self.dropped, 0
             line = {'at': round(time.time(), 3), 'event': 'log_lines_dropped', 'count': dropped}
@@ -74,7 +74,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is no other place to say so.
+                # The reader has closed the pipe, and there is no other place to report it.
                 self._unwritten = b''
                 self._queued_lines.clear()
                 return
@@ -91,7 +91,7 @@
 
 
 def configure_logs(instance: str) -> LogWriter:
-    """Send JSON lines to standard output; return their writer, to be run."""
+    """Log JSON lines to standard output; return the writer, whose `run` has to be started."""
     writer = LogWriter(instance)
     logger = logging.get_absl_logger()
     logger.handlers = [writer]
@@ -101,5 +101,5 @@
 
 
 def log_event(event: str, **fields: Any) -> None:
-    """Write one line: what was decided or believed, and the inputs that decided it."""
+    """Log an event: a decision or an observed state, with the inputs that led to it as fields."""
     logging.get_absl_logger().info(event, extra={'fields': fields})
