--- a/packages/node/dahliaarch_node/metrics/__init__.py
+++ b/packages/node/dahliaarch_node/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, served as text."""
+"""Prometheus metrics of an instance."""
 
 from .core import Metrics
 
