--- a/packages/node/dahliaarch_node/metrics/core.py
+++ b/packages/node/dahliaarch_node/metrics/core.py
@@ -2,15 +2,15 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, generate_latest, Histogram
 
-# Upper bounds of latency buckets in seconds, from a local call to a timeout.
+# Upper bounds of latency buckets in seconds, from the latency of a local call to a timeout.
 _LATENCY_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
 
 
 class Metrics:
-    """Everything that an instance counts."""
+    """Counters, gauges and histograms of one instance."""
 
     def __init__(self) -> None:
-        """Register the metrics in a registry of their own."""
+        """Register the metrics in a separate registry."""
         self.registry = CollectorRegistry()
         self.requests = Counter(
             'dahliaarch_requests',
@@ -124,15 +124,15 @@
         self.active_jobs = Gauge('dahliaarch_active_jobs', 'Jobs that have not ended', registry=self.registry)
 
     def observe_store_call(self, call: str, outcome: str, took_s: float, answer_bytes: int) -> None:
-        """Count a call of the store."""
+        """Record outcome, duration and answer size of a call to the store."""
         self.store_calls.labels(call, outcome).inc()
         self.store_bytes.labels(call).inc(answer_bytes)
         self.store_call_s.labels(call).observe(took_s)
 
     def observe_peer_message(self, direction: str, message: str, size_bytes: int) -> None:
-        """Count a message to or from another instance."""
+        """Record the size of a message to or from another instance."""
         self.peer_bytes.labels(direction, message).inc(size_bytes)
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
