--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -1,7 +1,7 @@
-"""Calls and answers between instances.
+"""Requests and replies between instances over ZeroMQ.
 
-Each instance binds one ROUTER socket, on which it answers, and has one DEALER
-socket to each peer that it calls.
+Each instance binds one ROUTER socket, on which it replies to requests, and connects
+one DEALER socket to each peer that it sends messages to.
 """
 
 import asyncio
@@ -22,49 +22,50 @@
 Handler = Callable[[Message], Awaitable[Message | None]]
 Observe = Callable[[str, str, int], None]
 
-# Directions that are counted.
+# Values of the `direction` label of the message metric.
 SENT = 'sent'
 RECEIVED = 'received'
-# Messages that may wait for a peer that does not read; more are dropped.
+# Messages to queue for a peer that doesn't read; further ones are dropped.
 _HIGH_WATER_MARK = 256
-# Bounds of the pause before a lost connection is tried again, in milliseconds: a
-# peer that is back is reached as soon as by a question that begins a connection.
+# Bounds of the delay before reconnecting, in milliseconds: short enough that a peer
+# that has come back is reached as soon as by a request that opens a new connection.
 _RECONNECT_MS = 100
 _RECONNECT_MAX_MS = 400
-# A peer behind a cut is noticed, and its connection made anew, after this.
+# Time without a response from the peer, as during a network partition, after which the
+# transport closes the connection and opens a new one.
 _TRANSPORT_TIMEOUT_MS = 2_000
 _HEARTBEAT_MS = 1_000
 _CONNECT_TIMEOUT_MS = 400
-# Shortest time that a connection is given to bring its first message, in seconds:
-# it is there after four round trips. A question waits for less, and would begin
-# another one before.
+# Minimum time for a new connection to deliver its first message, in seconds; this
+# takes four round trips. Requests time out earlier, and would otherwise replace the
+# connection before it is established.
 _FIRST_MESSAGE_TIMEOUT_S = 2.0
-# Largest message: a configuration or a job with room to spare.
+# Maximum size of a message, well above the size of a configuration or a job.
 _MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
 class PeerSilentError(DahliaarchError):
-    """A peer did not answer in time; what was asked may have been done."""
+    """A peer didn't reply in time; it may have executed the request."""
 
 
 def _discard_count(direction: str, message: str, size_bytes: int) -> None:
-    """Count nothing."""
+    """Discard the size of a message."""
 
 
 class Mesh:
-    """Sockets to and from the other instances.
+    """Connections to and from the other instances.
 
     Parameters
     ----------
     handler : callable
-        Answers a message; returns nothing when there is no answer.
+        Handles a message and returns the reply, or None for no reply.
     observe : callable
-        Called with the direction (`sent` or `received`), the type and the bytes
-        of each message.
+        Called with the direction (`sent` or `received`), the class name and the
+        size in bytes of each message.
     """
 
     def __init__(self, handler: Handler, observe: Observe = _discard_count) -> None:
-        """Create the context; nothing is bound yet."""
+        """Create the ZeroMQ context and an unbound socket."""
         self._context = Context()
         self._handler = handler
         self._observe = observe
@@ -73,7 +74,7 @@
         self._tasks: TaskGroup | None = None
 
     async def run(self, host: str, port: int) -> None:
-        """Bind and answer until cancelled."""
+        """Bind the socket and handle messages until cancelled."""
         self._router.bind(f'tcp://{host}:{port}')
         try:
             async with anyio.create_task_group() as tasks:
@@ -85,12 +86,12 @@
             self._context.destroy(linger=0)
 
     async def ask(self, address: Address, message: Message, *, timeout_s: float) -> Message:
-        """Return a peer's answer.
+        """Send a request to a peer and return its reply.
 
         Raises
         ------
         PeerSilentError
-            When there is none in time.
+            If no reply arrives in time.
         """
         link = self._link(address)
         frames_before = link.frames_received
@@ -99,12 +100,12 @@
                 return await link.ask(message)
         except TimeoutError:
             if link.frames_received == frames_before:
-                # The connection may have fallen silent for good; a new one shows it.
+                # The connection may be dead without an error; replace it.
                 link.reconnect(time.monotonic())
-            raise PeerSilentError(f'{address}: no answer to {type(message).__name__}') from None
+            raise PeerSilentError(f'{address}: no reply to {type(message).__name__}') from None
 
     def tell(self, address: Address, message: Message) -> None:
-        """Send a message that needs no answer; it may be lost."""
+        """Send a message without a reply; it may be lost."""
         self._link(address).send(0, message)
 
     def forget(self, address: Address) -> None:
@@ -151,7 +152,7 @@
 
 
 class _Link:
-    """The socket to one peer and the calls that wait for its answers."""
+    """Socket to one peer and the requests that await its replies."""
 
     def __init__(self, socket: Socket, endpoint: str, observe: Observe) -> None:
         self._socket = socket
@@ -159,14 +160,14 @@
         self._observe = observe
         socket.connect(endpoint)
         self.frames_received = 0
-        # When the present connection was begun, and how many messages had come before.
+        # Start time of the current connection, and the number of frames received before it.
         self._connect_started_s = time.monotonic()
         self._frames_before_connect = 0
         self._last_call = 0
         self._future_by_call: dict[int, asyncio.Future[Message]] = {}
 
     async def run(self) -> None:
-        """Hand answers to the calls that wait for them."""
+        """Pass replies to the requests that await them."""
         try:
             while True:
                 frame = await self._socket.recv()
@@ -178,7 +179,7 @@
             log_event('peer_socket_closed', why=str(error))
 
     async def ask(self, message: Message) -> Message:
-        """Send a message and wait for its answer."""
+        """Send a request and wait for the reply."""
         self._last_call += 1
         call = self._last_call
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
@@ -190,9 +191,11 @@
             self._future_by_call.pop(call, None)
 
     def send(self, call: int, message: Message) -> None:
-        """Queue a message; drop it when the peer does not read or is forgotten."""
+        """Queue a message; drop it if the queue is full or the socket closed."""
         if self._socket.closed:
-            log_event('peer_message_dropped', why=f'{self._endpoint} is forgotten', message=type(message).__name__)
+            log_event(
+                'peer_message_dropped', why=f'the socket to {self._endpoint} is closed', message=type(message).__name__
+            )
             return
         frame = encode(call, message)
         self._observe(SENT, type(message).__name__, len(frame))
@@ -200,7 +203,7 @@
         sent.add_done_callback(_log_send_failure)
 
     def reconnect(self, now_s: float) -> None:
-        """Leave the present connection, and what waits on it, for a new one, unless it is still being made."""
+        """Replace the connection, dropping its queued messages, unless it is still being established."""
         is_connecting = (
             self.frames_received == self._frames_before_connect
             and now_s < self._connect_started_s + _FIRST_MESSAGE_TIMEOUT_S
