--- a/packages/node/dahliaarch_node/peers/messages.py
+++ b/packages/node/dahliaarch_node/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances."""
+"""Messages between instances and their encoding."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -12,23 +12,24 @@
 
 
 class Hello(NamedTuple):
-    """An instance tells the owner that it is there."""
+    """Announces an instance to the owner."""
 
     member: Member
 
 
 class Heartbeat(NamedTuple):
-    """The owner tells an instance that it owns the pool.
+    """Announces to an instance that the sender owns the pool.
 
     Parameters
     ----------
     owner : Member
         The owner.
     epoch : int
-        Its epoch; larger ones are newer.
+        Epoch of the owner; a larger epoch is newer.
     version : int
-        Version of the configuration that it follows; whoever is behind asks for
-        it. Heartbeats carry nothing whose size grows: they come again and again.
+        Version of the configuration that is active on the owner; instances with an
+        older one request it. Heartbeats are sent periodically, so they contain nothing
+        that grows with the system.
     """
 
     owner: Member
@@ -37,14 +38,14 @@
 
 
 class HeartbeatReply(NamedTuple):
-    """What an instance knows as it answers a heartbeat.
+    """Reply of an instance to a heartbeat.
 
     Parameters
     ----------
     version : int
-        Version of the configuration that it follows.
+        Version of the configuration that is active on the instance.
     epoch : int
-        Epoch of the newest owner that it knows.
+        Epoch of the newest owner that the instance knows.
     """
 
     version: int
@@ -52,16 +53,16 @@
 
 
 class AskConfiguration(NamedTuple):
-    """Asks for a part of an update of the configuration.
+    """Requests a part of a configuration update.
 
     Parameters
     ----------
     base : int
-        Version that the asking instance follows.
+        Version that is active on the requesting instance.
     version : int
-        Version whose parts it has received so far; -1 for the first part.
+        Version that the parts received so far belong to; -1 for the first part.
     offset : int
-        Bytes that it has received of that.
+        Number of bytes received so far.
     """
 
     base: int
@@ -70,18 +71,18 @@
 
 
 class ConfigurationPart(NamedTuple):
-    """A part of an update.
+    """A part of an encoded configuration update.
 
     Parameters
     ----------
     version : int
-        Version that the update leads to; -1 when there is nothing newer.
+        Version that the update leads to; -1 if there is no newer version.
     total_bytes : int
-        Size of the whole update.
+        Size of the whole encoded update.
     offset : int
-        Where in it this part begins.
+        Offset of this part in the update.
     data : bytes
-        The part.
+        Bytes of this part.
     """
 
     version: int
@@ -91,14 +92,14 @@
 
 
 class AskState(NamedTuple):
-    """Asks for the state of a job.
+    """Requests the state of a job.
 
     Parameters
     ----------
     job_id : str
-        The job.
+        Id of the job.
     wait_s : float
-        How long the answer may wait for an end that is near.
+        How long the reply may be delayed while the job is about to end, in seconds.
     """
 
     job_id: str
@@ -106,7 +107,7 @@
 
 
 class StateReply(NamedTuple):
-    """State of a job; not known when the owner does not know of it."""
+    """State of a job; `is_known` is false if the owner has no such job."""
 
     is_known: bool
     phase: str = ''
@@ -114,20 +115,20 @@
 
 
 class AskPending(NamedTuple):
-    """Asks how many jobs of a queue have not begun."""
+    """Requests the number of jobs in a queue that have not started."""
 
     queue: str
 
 
 class PendingReply(NamedTuple):
-    """How many jobs have not begun; not ready while the owner still takes over."""
+    """Number of jobs that have not started; not ready until the owner has completed the takeover."""
 
     is_ready: bool
     job_count: int = 0
 
 
 class JobUpdate(NamedTuple):
-    """Tells the owner of a job or cancellation that is in the store now."""
+    """Notifies the owner of a job or cancellation that has been written to the store."""
 
     job_id: str
     record: bytes
@@ -136,29 +137,29 @@
 
 
 class AcceptJob(NamedTuple):
-    """Asks the owner to write a job for an instance that the store turns away."""
+    """Requests that the owner write a job for an instance whose store calls fail."""
 
     job_id: str
     record: bytes
 
 
 class AcceptCancel(NamedTuple):
-    """Asks the owner to write a cancellation likewise."""
+    """Requests that the owner write a cancellation for an instance whose store calls fail."""
 
     job_id: str
 
 
 class Accepted(NamedTuple):
-    """Outcome of a write done for another instance.
+    """Outcome of a write on behalf of another instance.
 
     Parameters
     ----------
     is_done : bool
-        Whether it is in the store.
+        Whether the write is in the store.
     is_certain : bool
-        When not done: whether it certainly never will be.
+        If not done: whether it is certain that the write will never take effect.
     is_missing : bool
-        Whether there is no such job.
+        Whether the job doesn't exist.
     """
 
     is_done: bool
@@ -167,16 +168,16 @@
 
 
 class AskPolicy(NamedTuple):
-    """Asks an instance to ask the outside policy, which works for each in turn.
+    """Requests that an instance query the external policy, which handles the queries of an instance one by one.
 
     Parameters
     ----------
     step : str
-        The step, as the policy names it.
+        Name of the step in the policy's protocol.
     worker_ids : tuple of str
-        Workers to ask about.
+        Candidate workers.
     timeout_s : float
-        Longest wait for the policy's answer.
+        Timeout of the query, in seconds.
     """
 
     step: str
@@ -185,25 +186,25 @@
 
 
 class PolicyReply(NamedTuple):
-    """Tickets by worker; not answered when the policy did not."""
+    """Tickets by worker; `is_answered` is false if the policy didn't answer."""
 
     is_answered: bool
     ticket_by_worker: dict[str, str] = {}
 
 
 class CommitFor(NamedTuple):
-    """Asks an instance to make a transaction for an owner that the store turns away.
+    """Requests that an instance commit a transaction for an owner whose store calls fail.
 
     Parameters
     ----------
     conditions : tuple of Condition
-        Revisions at which keys must be.
+        Required revisions of keys.
     writes : tuple of Write
-        Keys to be written.
+        Keys and values to write.
     removals : tuple of str
-        Keys to be removed.
+        Keys to remove.
     timeout_s : float
-        How long the owner waits for the answer.
+        How long the owner waits for the reply, in seconds.
     """
 
     conditions: tuple[Condition, ...]
@@ -213,27 +214,27 @@
 
 
 class CommitOutcome(StrEnum):
-    """What became of a transaction that was made for another instance."""
+    """Outcome of a transaction committed for another instance."""
 
     DONE = 'done'
     CONDITION_FAILED = 'condition_failed'
     LEASE_OVER = 'lease_over'
-    #: It was certainly not made.
+    #: The transaction was certainly not committed.
     REFUSED = 'refused'
     UNKNOWN = 'unknown'
 
 
 class CommitReply(NamedTuple):
-    """What became of a transaction.
+    """Reply to `CommitFor`.
 
     Parameters
     ----------
     outcome : CommitOutcome
-        What became of it.
+        Outcome of the transaction.
     revision : int
-        Revision of the change, when done.
+        Store revision of the transaction, if done.
     current : tuple of Item
-        Present items of the conditions, when one failed.
+        Current items of the condition keys, if a condition failed.
     """
 
     outcome: CommitOutcome
@@ -290,23 +291,23 @@
 
 
 def encode(call: int, message: Message) -> bytes:
-    """Return a message with the number of the call that it belongs to."""
+    """Encode a message with the number of its call; 0 for a message without a reply."""
     body = msgspec.Raw(msgspec.msgpack.encode(message))
     return msgspec.msgpack.encode(_Envelope(call, _NUMBER_BY_TYPE[type(message)], body))
 
 
 def decode(frame: bytes) -> tuple[int, Message]:
-    """Return the call's number and the message.
+    """Decode a frame into the call number and the message.
 
     Raises
     ------
     ProtocolError
-        When the frame is not a message.
+        If the frame is not a valid message.
     """
     try:
         envelope = msgspec.msgpack.decode(frame, type=_Envelope)
         if not 0 <= envelope.kind < len(_TYPES):
-            raise ProtocolError('message', f'kind {envelope.kind} is unknown')
+            raise ProtocolError('message', f'unknown kind {envelope.kind}')
         return envelope.call, msgspec.msgpack.decode(envelope.body, type=_TYPES[envelope.kind])
     except msgspec.DecodeError as error:
         raise ProtocolError('message', str(error)) from error
