--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -1,11 +1,11 @@
-"""Messages to peers that are not there any more, and what is counted of them."""
+"""Tests for messages to unreachable peers and for the message metric."""
 
 import anyio
 
 from ..core import Mesh, PeerSilentError
 from ..messages import AskPending
 
-# A port of the loopback address on which nothing listens.
+# Loopback address with a port on which nothing listens.
 UNUSED_ADDRESS = ('127.0.0.1', 9)
 
 
@@ -30,11 +30,11 @@
             return
         finally:
             tasks.cancel_scope.cancel()
-    raise AssertionError('an answer from nobody')
+    raise AssertionError('received a reply from an unused address')
 
 
 def test_forgetting_a_peer_during_a_request_raises_peer_silent_error():
-    """The daemon ended when the unanswered call connected a closed socket anew."""
+    """The daemon crashed: after the timeout, the request reconnected a socket that `forget` had closed."""
     anyio.run(ask_and_forget)
 
 
