--- a/packages/node/dahliaarch_node/probing.py
+++ b/packages/node/dahliaarch_node/probing.py
@@ -1,4 +1,4 @@
-"""Finds out when a store that did not answer is back."""
+"""Detects when an unresponsive store answers again."""
 
 import anyio
 
@@ -7,17 +7,17 @@
 from .logs import log_event
 from .records import OWNER_KEY
 
-# Longest wait for a probe's answer, in seconds: a slow store takes 0.25.
+# Timeout of a probe, in seconds; a slow store answers in 0.25 s.
 _PROBE_TIMEOUT_S = 0.5
-# Pause between two probes, in seconds.
+# Pause after a failed probe, in seconds.
 _PROBE_PAUSE_S = 0.2
 
 
 async def probe_store(store: StoreClient) -> None:
-    """Ask a store that did not answer until it does, until cancelled.
+    """Probe the store whenever it has stopped answering, until cancelled.
 
-    Callers are refused at once meanwhile: a write that is not sent can't be
-    carried out late, so that the refusal is true.
+    Until it answers again, requests of callers are refused at once: a write that is
+    never sent can't take effect later, so the refusal is certain.
     """
     while True:
         await store.suspected.wait()
