--- a/packages/node/dahliaarch_node/records/__init__.py
+++ b/packages/node/dahliaarch_node/records/__init__.py
@@ -1,4 +1,4 @@
-"""Keys and values that the system keeps in the store."""
+"""Keys and values that instances write to the store."""
 
 from .core import (
     ASSIGNER_KEY,
