--- a/packages/node/dahliaarch_node/records/core.py
+++ b/packages/node/dahliaarch_node/records/core.py
@@ -1,8 +1,8 @@
-"""Layout of the system's keys in the store.
+"""Key layout and records in the store.
 
-Jobs and cancellations lie under one prefix, since the owner watches both;
-progress and assignments lie under others, since only the owner writes them and its
-own writes need not come back to it.
+Jobs and cancellations share a prefix because the owner watches both. Progress and
+assignments have separate prefixes: only the owner writes them, and it doesn't have to
+receive its own writes through the watch.
 """
 
 from typing import NamedTuple
@@ -18,24 +18,24 @@
 JOBS_PREFIX = 'dahliaarch/jobs/'
 PROGRESS_PREFIX = 'dahliaarch/progress/'
 ASSIGNMENTS_PREFIX = 'dahliaarch/assignments/'
-# Epoch of the last owner that kept assignments before it sent starts; written after its roster.
+# Epoch of the last owner that stored assignments before it sent starts; written after its roster.
 ASSIGNER_KEY = f'{ASSIGNMENTS_PREFIX}.owner'
 ROSTER_PREFIX = 'dahliaarch/workers'
 CANCEL_SUFFIX = '.cancel'
 
 
 class JobRecord(NamedTuple):
-    """An accepted job and its queue as it was then.
+    """An accepted job and the settings of its queue at that time.
 
     Parameters
     ----------
     spec : JobSpec
         The job.
     queue : Queue
-        Its queue.
+        The queue at the time of acceptance.
     owner_epoch : int
-        Epoch of the owner that the accepting instance knew, and sent the job to; 0
-        when it knew none.
+        Epoch of the owner that the accepting instance knew and sent the job to; 0 if
+        it knew none.
     """
 
     spec: JobSpec
@@ -44,23 +44,24 @@
 
 
 class RosterEntry(NamedTuple):
-    """An incarnation of a worker that an owner has given orders to.
+    """An incarnation of a worker that an owner has sent orders to.
 
-    Workers' own entries lapse while the store is away; a new owner asks these
-    what they run before it starts anything.
+    The entries that workers write themselves expire while the store is unreachable. A
+    new owner therefore queries the workers of the roster for their runs before it starts
+    anything.
 
     Parameters
     ----------
     profile : WorkerProfile
-        What the worker published.
+        Profile that the worker published.
     address : Address
-        Where it takes orders.
+        Address to which orders are sent.
     incarnation : WorkerIncarnation or None
-        Which incarnation of it is meant; none in what earlier versions wrote, which knew
-        an incarnation by the worker's name.
+        The incarnation; None in entries of earlier versions, which identified an
+        incarnation by the worker's name.
     is_lapsed : bool
-        Whether its last lease has ended in silence: nothing runs there, and nothing
-        is sent there before this is taken back.
+        Whether its last lease expired while the worker was unreachable: nothing runs
+        there, and no orders are sent there until this flag is cleared.
     """
 
     profile: WorkerProfile
@@ -70,23 +71,23 @@
 
     @property
     def known_incarnation(self) -> WorkerIncarnation:
-        """Which incarnation of the worker is meant."""
+        """The incarnation, identified by the worker's name if none was stored."""
         return self.incarnation or WorkerIncarnation(self.profile.worker_id)
 
 
 class Member(NamedTuple):
-    """One run of an instance's process and where its peers reach it.
+    """A process of an instance and the address at which its peers reach it.
 
     Parameters
     ----------
     instance : str
         Name of the instance.
     incarnation : str
-        Drawn anew at each start of the process.
+        Random identifier, generated at each start of the process.
     host : str
-        Its address.
+        Host name or address of the process.
     port : int
-        Its port for peers.
+        Port for messages of peers.
     """
 
     instance: str
@@ -111,18 +112,18 @@
 
 
 def assignments_key(part: AssignmentsPart) -> str:
-    """Return the key of where tasks are assigned."""
+    """Return the key of a part of the assignments of a step."""
     return f'{ASSIGNMENTS_PREFIX}{part.job_id}.{part.occurrence}.{part.step}.{part.number}'
 
 
 def assignments_part(key: str) -> AssignmentsPart:
-    """Return whose assignments are under a key."""
+    """Return the part of the assignments that a key refers to."""
     job_id, occurrence, step, number = key.removeprefix(ASSIGNMENTS_PREFIX).split('.')
     return AssignmentsPart(job_id, int(occurrence), int(step), int(number))
 
 
 def roster_key(number: int) -> str:
-    """Return the key of a part of the list of workers."""
+    """Return the key of a part of the roster of workers."""
     return f'{ROSTER_PREFIX}/{number}'
 
 
@@ -132,5 +133,5 @@
 
 
 def job_id_of(key: str) -> str:
-    """Return the job that a key of the jobs' or the progress prefix is about."""
+    """Return the job id in a key below the jobs or progress prefix."""
     return key.rpartition('/')[2].removesuffix(CANCEL_SUFFIX)
