--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -1,4 +1,4 @@
-"""What an operator needs in one look, as plain rows."""
+"""Status page for operators."""
 
 from collections import Counter
 from typing import Any
@@ -11,7 +11,7 @@
 from .owner import PoolOwner
 from .ownership import Ownership
 
-# Times as slow as expected from which a worker is shown as slow.
+# Ratio of actual to expected run time above which a worker is shown as slow.
 _SLOW_FACTOR = 1.5
 
 
@@ -21,7 +21,7 @@
     store: StoreClient,
     owner: PoolOwner | None,
 ) -> dict[str, Any]:
-    """Return what this instance knows, and of the pool if it owns it."""
+    """Return the status of this instance, with jobs, accounts and workers of the pool if it is the owner."""
     known_owner = ownership.owner
     status: dict[str, Any] = {
         'owner': known_owner.member.instance if known_owner else 'not known',
