--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -1,30 +1,30 @@
-"""Timeouts and pauses of calls to the store."""
+"""Timeouts and retry pauses of calls to the store."""
 
 import random
 from typing import NamedTuple
 
 
 class StoreTiming(NamedTuple):
-    """Timeouts and pauses in seconds.
+    """Timeouts and retry pauses in seconds.
 
     Parameters
     ----------
     call_s : float
-        Longest wait for an answer. The store answers in milliseconds; a slow
-        one was seen to take 60 times as long, 0.25 s, so this is well above.
+        Timeout of a call. The store normally answers within milliseconds; a slow store
+        took 60 times as long, 0.25 s, and the timeout is well above that.
     keep_s : float
-        Longest wait for the renewal of a lease: two tries, and the pause before
-        them, fit into its duration.
+        Timeout of the renewal of a lease: two attempts and the pause before them fit
+        into the duration of the lease.
     write_s : float
-        Longest wait for the owner's writes: ends wait for them, and a write
-        that went unanswered is told from a lost one by its condition.
+        Timeout of the owner's writes, which ends of runs wait for. After a timeout, the
+        condition of the write shows whether it took effect or was lost.
     watch_wait_s : float
-        How long the store holds a watch without updates. Each costs a call, and
-        updates of the configuration also come from the owner.
+        How long the store keeps a watch open without updates. Every watch costs a call,
+        and updates of the configuration also arrive from the owner.
     watch_s : float
-        Longest wait for a watch's answer.
+        Timeout of a watch.
     retry_s : float
-        Mean pause after a failure.
+        Mean pause before a retry.
     """
 
     call_s: float = 1.0
@@ -35,5 +35,5 @@
     retry_s: float = 0.3
 
     def retry_pause_s(self) -> float:
-        """Return a pause with jitter, so that instances don't return in step."""
+        """Return a retry pause with random jitter, so that instances don't retry at the same time."""
         return self.retry_s * random.uniform(0.5, 1.5)
