--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -1,4 +1,4 @@
-"""Reads a prefix, waits for updates of it, and reads it again when its history is gone."""
+"""Reads and watches a key prefix, and reads it again when the store no longer has its history."""
 
 from typing import NamedTuple
 
@@ -11,14 +11,14 @@
 
 
 class Updates(NamedTuple):
-    """Items of a prefix.
+    """Items below a key prefix.
 
     Parameters
     ----------
     page : Page
-        The items, and the revision to go on from.
+        The items, and the revision to continue the watch from.
     is_whole : bool
-        Whether they are all there is, and not only what has changed.
+        Whether the page holds all items rather than only the changed ones.
     """
 
     page: Page
@@ -26,14 +26,14 @@
 
 
 async def watch_once(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
-    """Wait for updates from a revision on; nothing when the history is gone."""
+    """Wait for updates after a revision; return None if the store no longer has that history."""
     return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_s)
 
 
 async def next_updates(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Updates:
-    """Wait for updates from a revision on; read everything when the history is gone or larger than one answer.
+    """Wait for updates after a revision; read all items if the history is gone or exceeds one answer.
 
-    A watch from the same revision would only grow.
+    Repeating the watch from the same revision would only return a larger answer.
     """
     try:
         page = await watch_once(store, timing, prefix, after)
@@ -48,11 +48,11 @@
 
 
 async def read_all(store: StoreClient, timing: StoreTiming, prefix: str) -> Page:
-    """Return all items of a prefix, however long the store needs.
+    """Return all items below a prefix; retries until the store has returned every page.
 
-    The revision is that of the first page, so that a watch from there misses
-    nothing. A page that fails is read again, and not those before it: with a
-    third of the calls refused, twenty pages in a row come once in 5,000 tries.
+    The returned revision is that of the first page, so that a watch from there misses
+    no update. Only a failed page is read again, not the pages before it: with a third
+    of the calls refused, twenty consecutive pages succeed once in 5,000 attempts.
     """
     page = await _read_page(store, timing, prefix, '')
     revision = page.revision
