--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -29,7 +29,7 @@
 
 
 class WriteOutcome(NamedTuple):
-    """Outcome of a write and its store revision; 0 if it wasn't made, or by an earlier attempt."""
+    """Outcome of a write and its store revision; 0 if nothing was written or an earlier attempt wrote it."""
 
     fate: Fate
     revision: int = 0
