--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -48,7 +48,7 @@
 _LOCAL_WRITE_TIMEOUT_S = 0.35
 # Timeout of reads from the store, in seconds.
 _STORE_READ_TIMEOUT_S = 0.6
-# Value of the Retry-After header, in whole seconds.
+# Value of the Retry-After header of refusals, in whole seconds.
 _RETRY_AFTER_S = 1
 _JOB_ID_LENGTH = 16
 _HEX_DIGITS = frozenset('0123456789abcdef')
