--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the store."""
+"""Watches the configuration document in the store."""
 
 from typing import TypeVar
 
@@ -21,68 +21,68 @@
 
 
 class StoreFeed:
-    """Reads the document, then waits for updates of it.
+    """Reads the document, then watches it for updates.
 
-    What a peer has brought meanwhile is not read again: a document of a megabyte
-    would fill a slow link for seconds.
+    A read or watch is cancelled when a peer delivers a newer version: reading a
+    document of one megabyte again would saturate a slow link for seconds.
 
     Parameters
     ----------
     follower : ConfigurationFollower
-        What is kept up to date.
+        Receives the documents.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses.
     """
 
     def __init__(self, follower: ConfigurationFollower, store: StoreClient, timing: StoreTiming) -> None:
-        """Start without having read anything."""
+        """Start before the first read."""
         self._follower = follower
         self._store = store
         self._timing = timing
-        # Store revision up to which everything has been seen; nothing while the
-        # document has to be read whole.
-        self._seen: int | None = None
-        self._reading: anyio.CancelScope | None = None
+        # Store revision up to which all updates have been processed; None when the
+        # whole document has to be read.
+        self._seen_revision: int | None = None
+        self._call_scope: anyio.CancelScope | None = None
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Read and watch the document until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._give_up_when_overtaken)
+            tasks.start_soon(self._cancel_when_updated_by_peer)
             while True:
                 try:
-                    await self._read_or_wait()
+                    await self._read_or_watch()
                 except StoreAnswerTooLargeError as error:
-                    # Several versions at once: the newest alone is enough.
+                    # The answer holds several versions; read only the newest.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
-                    self._seen = None
+                    self._seen_revision = None
                 except STORE_FAILURES as error:
                     log_event('configuration_unreachable', why=str(error), version=self._follower.version)
                     await anyio.sleep(self._timing.retry_pause_s())
 
-    async def _read_or_wait(self) -> None:
-        if self._seen is None:
+    async def _read_or_watch(self) -> None:
+        if self._seen_revision is None:
             await self._read()
         else:
-            await self._wait(max(self._seen, self._follower.revision))
+            await self._watch(max(self._seen_revision, self._follower.revision))
 
     async def _read(self) -> None:
         item: Item | None = None
         with anyio.CancelScope() as scope:
-            self._reading = scope
+            self._call_scope = scope
             item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_s)
         if item is None:
-            # There is none yet, or a peer has brought one.
-            self._seen = self._follower.revision
+            # The store has no document yet, or a peer update cancelled the read.
+            self._seen_revision = self._follower.revision
             return
-        self._seen = item.read_at
-        self._follower.take_document(item.value, item.revision)
+        self._seen_revision = item.read_at
+        self._follower.apply_document(item.value, item.revision)
 
-    async def _wait(self, after: int) -> None:
+    async def _watch(self, after: int) -> None:
         page: Page | None = None
         with anyio.CancelScope() as scope:
-            self._reading = scope
+            self._call_scope = scope
             page = await self._store.watch(
                 CONFIGURATION_KEY,
                 after,
@@ -94,17 +94,17 @@
             return
         if page is None:
             log_event('configuration_history_gone', version=self._follower.version)
-            self._seen = None
+            self._seen_revision = None
             await anyio.sleep(self._timing.retry_pause_s())
             return
-        self._seen = max(after, page.revision)
-        written = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
-        if written:
-            newest = max(written, key=lambda item: item.revision)
-            self._follower.take_document(newest.value, newest.revision)
+        self._seen_revision = max(after, page.revision)
+        updated_items = [item for item in page.items if item.key == CONFIGURATION_KEY and not item.removed]
+        if updated_items:
+            newest = max(updated_items, key=lambda item: item.revision)
+            self._follower.apply_document(newest.value, newest.revision)
 
-    async def _give_up_when_overtaken(self) -> None:
+    async def _cancel_when_updated_by_peer(self) -> None:
         while True:
-            await self._follower.overtaken.wait()
-            if self._reading is not None:
-                self._reading.cancel()
+            await self._follower.updated_by_peer.wait()
+            if self._call_scope is not None:
+                self._call_scope.cancel()
--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -1,4 +1,4 @@
-"""Updates travel in parts, from any peer that has something newer."""
+"""Tests for fetching configuration updates in parts from peers with newer versions."""
 
 import random
 
@@ -31,148 +31,148 @@
 
 
 def many_queues(count):
-    """Return queues whose names do not compress well."""
+    """Return queues with random names, which compress poorly."""
     draw = random.Random(count)
     return [Queue(f'{draw.getrandbits(128):x}', f'{draw.getrandbits(128):x}', '/x/', 's') for _ in range(count)]
 
 
 def follower_at(*configurations):
-    """Return a follower that has come to each of some versions in turn."""
+    """Return a follower that has activated the given configurations in order."""
     follower = ConfigurationFollower(Metrics())
     before = EMPTY_CONFIGURATION
     for after in configurations:
-        follower.take_update(Update((diff_configurations(before, after),), REVISION), 'test', 0)
+        follower.apply_update(Update((diff_configurations(before, after),), REVISION), 'test', 0)
         before = after
     return follower
 
 
-class ToPeer:
-    """Messages to a follower elsewhere; the answers to some of them are lost."""
+class FakeMesh:
+    """Passes requests to another follower and loses the replies to those with the given numbers."""
 
-    def __init__(self, follower, lost=()):
+    def __init__(self, follower, lost_replies=()):
         self.follower = follower
-        self.lost = list(lost)
-        self.questions = []
-        self.before_answer = lambda: None
+        self.lost_replies = list(lost_replies)
+        self.requests = []
+        self.before_reply = lambda: None
 
     async def ask(self, address, message, *, timeout_s):
         await anyio.sleep(0)
-        self.questions.append(message)
-        if len(self.questions) in self.lost:
-            raise PeerSilentError('lost')
-        self.before_answer()
+        self.requests.append(message)
+        if len(self.requests) in self.lost_replies:
+            raise PeerSilentError('reply lost')
+        self.before_reply()
         return self.follower.updates.part(message, self.follower.current, self.follower.revision)
 
 
-def fetch(own, to_peer, version, within_s=0.2, *, is_announced_again=False):
-    """Let a follower learn of a version, once or again and again, and fetch it."""
+def fetch(receiver, mesh, version, within_s=0.2, *, repeats_announcement=False):
+    """Announce a version to a follower, once or repeatedly, and wait until it has fetched it."""
 
     async def run():
-        feed = PeerFeed(own, to_peer)
+        feed = PeerFeed(receiver, mesh)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run)
             feed.announce(PEER, version)
             with anyio.move_on_after(within_s):
-                while own.version < version:
+                while receiver.version < version:
                     await anyio.sleep(0.005)
-                    if is_announced_again:
+                    if repeats_announcement:
                         feed.announce(PEER, version)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_a_large_configuration_comes_in_parts():
+def test_large_configuration_is_fetched_in_parts():
     newest = configuration(5, many_queues(4_000))
-    own = follower_at()
-    to_peer = ToPeer(follower_at(newest))
-    fetch(own, to_peer, 5)
-    assert own.current == newest
-    assert own.revision == REVISION
-    assert len(to_peer.questions) > 3
+    receiver = follower_at()
+    mesh = FakeMesh(follower_at(newest))
+    fetch(receiver, mesh, 5)
+    assert receiver.current == newest
+    assert receiver.revision == REVISION
+    assert len(mesh.requests) > 3
 
 
-def test_a_lost_part_costs_only_itself():
+def test_only_the_lost_part_is_requested_again():
     newest = configuration(5, many_queues(4_000))
-    own = follower_at()
-    to_peer = ToPeer(follower_at(newest), lost=(3,))
-    fetch(own, to_peer, 5)
-    assert own.current == newest
-    assert to_peer.questions[3] == to_peer.questions[2]
-    assert to_peer.questions[2].offset == 2 * PART_BYTES
+    receiver = follower_at()
+    mesh = FakeMesh(follower_at(newest), lost_replies=(3,))
+    fetch(receiver, mesh, 5)
+    assert receiver.current == newest
+    assert mesh.requests[3] == mesh.requests[2]
+    assert mesh.requests[2].offset == 2 * PART_BYTES
 
 
-def test_a_peer_that_falls_silent_is_given_up():
-    own = follower_at()
-    to_peer = ToPeer(follower_at(configuration(5, many_queues(4_000))), lost=range(3, 100))
-    fetch(own, to_peer, 5)
-    assert own.version == NO_VERSION
-    assert len(to_peer.questions) < 6
+def test_fetch_ends_when_the_peer_stops_replying():
+    receiver = follower_at()
+    mesh = FakeMesh(follower_at(configuration(5, many_queues(4_000))), lost_replies=range(3, 100))
+    fetch(receiver, mesh, 5)
+    assert receiver.version == NO_VERSION
+    assert len(mesh.requests) < 6
 
 
-def test_only_what_has_changed_travels():
+def test_update_holds_only_the_changes():
     old = many_queues(4_000)
     older, newer = configuration(5, old), configuration(9, [*old, *many_queues(3)])
-    own = follower_at(older)
-    to_peer = ToPeer(follower_at(older, newer))
-    fetch(own, to_peer, 9)
-    assert own.current == newer
-    part = to_peer.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
+    receiver = follower_at(older)
+    mesh = FakeMesh(follower_at(older, newer))
+    fetch(receiver, mesh, 9)
+    assert receiver.current == newer
+    part = mesh.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
     assert part.total_bytes == len(part.data) < 1_000
 
 
-def test_several_changes_travel_together():
+def test_update_holds_several_changes():
     old = many_queues(100)
     versions = [configuration(number, old[: number * 10]) for number in range(1, 10)]
-    own = follower_at(versions[2])
-    fetch(own, ToPeer(follower_at(*versions)), 9)
-    assert own.current == versions[-1]
+    receiver = follower_at(versions[2])
+    fetch(receiver, FakeMesh(follower_at(*versions)), 9)
+    assert receiver.current == versions[-1]
 
 
-def test_a_version_that_the_peer_never_had_leads_to_the_whole():
-    own = follower_at(configuration(6, many_queues(50)))
+def test_unknown_base_version_yields_the_whole_configuration():
+    receiver = follower_at(configuration(6, many_queues(50)))
     peer = follower_at(configuration(5, many_queues(40)), configuration(9, many_queues(60)))
-    fetch(own, ToPeer(peer), 9)
-    assert own.current == peer.current
+    fetch(receiver, FakeMesh(peer), 9)
+    assert receiver.current == peer.current
 
 
-def test_versions_that_come_while_parts_travel_do_not_hold_them_up():
-    """The peer changes with every answer: what has begun is finished, the rest follows."""
+def test_new_versions_do_not_interrupt_a_fetch():
+    """With a new version after every reply, the fetch under way completes before the next one starts."""
     queues = many_queues(4_000)
     peer = follower_at(configuration(1, queues))
-    own = follower_at()
-    to_peer = ToPeer(peer)
+    receiver = follower_at()
+    mesh = FakeMesh(peer)
 
-    def change():
+    def advance_peer():
         before = peer.current
         if before.version < 30:
             after = configuration(before.version + 1, [*queues, Queue(f'n{before.version}', 'h', '/', 's')])
-            peer.take_update(Update((diff_configurations(before, after),), REVISION), 'test', 0)
+            peer.apply_update(Update((diff_configurations(before, after),), REVISION), 'test', 0)
 
-    to_peer.before_answer = change
-    fetch(own, to_peer, 1, within_s=10)
-    assert own.version == 2
-    fetch(own, to_peer, 30, within_s=10, is_announced_again=True)
-    assert own.current == peer.current
+    mesh.before_reply = advance_peer
+    fetch(receiver, mesh, 1, within_s=10)
+    assert receiver.version == 2
+    fetch(receiver, mesh, 30, within_s=10, repeats_announcement=True)
+    assert receiver.current == peer.current
 
 
-def test_nothing_is_taken_from_a_peer_that_has_nothing_newer():
-    own = follower_at(configuration(5, many_queues(3)))
-    to_peer = ToPeer(follower_at(configuration(5, many_queues(3))))
-    fetch(own, to_peer, 7)
-    assert own.version == 5
-    assert len(to_peer.questions) == 1
+def test_peer_without_a_newer_version_changes_nothing():
+    receiver = follower_at(configuration(5, many_queues(3)))
+    mesh = FakeMesh(follower_at(configuration(5, many_queues(3))))
+    fetch(receiver, mesh, 7)
+    assert receiver.version == 5
+    assert len(mesh.requests) == 1
 
 
-def test_an_update_that_does_not_fit_changes_nothing():
-    own = follower_at(configuration(5, many_queues(3)))
+def test_update_with_another_base_version_changes_nothing():
+    receiver = follower_at(configuration(5, many_queues(3)))
     change = diff_configurations(configuration(6, []), configuration(9, []))
-    own.take_update(Update((change,), REVISION), 'test', 0)
-    assert own.version == 5
+    receiver.apply_update(Update((change,), REVISION), 'test', 0)
+    assert receiver.version == 5
 
 
 @pytest.mark.parametrize('data', [b'', b'x', b'x\x9c' + bytes(20)])
-def test_what_is_not_an_update_is_refused(data):
+def test_malformed_update_is_rejected(data):
     with pytest.raises(ProtocolError):
         decode_update(data)
 
