--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -16,7 +16,7 @@
     WORKER_FAILURES,
     WorkerReplacedError,
     WorkerUnansweredError,
-    WorkerUngreetedError,
+    WorkerHandshakeError,
     WorkerUnreachableError,
 )
 
@@ -258,7 +258,7 @@
                     self._hedged = await self._session.survey(
                         acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_s, left_s)
                     )
-                except (WorkerUnansweredError, WorkerUngreetedError):
+                except (WorkerUnansweredError, WorkerHandshakeError):
                     left_s -= answer_s
                     answer_s += answer_s
                     continue
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -14,7 +14,7 @@
     ListedEnd,
     Survey,
     WorkerUnansweredError,
-    WorkerUngreetedError,
+    WorkerHandshakeError,
     WorkerUnreachableError,
 )
 
@@ -188,7 +188,7 @@
         elif len(self.surveys) % 3:
             await anyio.sleep(timeout_s)
             # What is asked beside another survey needs a new connection.
-            raise WorkerUnansweredError('lost') if lease_until_s else WorkerUngreetedError('lost')
+            raise WorkerUnansweredError('lost') if lease_until_s else WorkerHandshakeError('lost')
         else:
             await anyio.sleep(wait_s)
         return Survey(100.0, (), () if self.has_forgotten else ended)
