--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -224,7 +224,7 @@
                 lease_until_s=until_s,
                 wait_s=wait_s,
                 timeout_s=wait_s + self._answer_s(),
-                given_up=self._given_up,
+                cancellation=self._given_up,
             )
         except WorkerReplacedError:
             self.unanswered_at_s = earlier_s
--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -18,9 +18,9 @@
         self._whom = (address, worker_id)
         self._fence = fence
 
-    async def survey(self, *, given_up=None, **options):
+    async def survey(self, *, cancellation=None, **options):
         call = asyncio.ensure_future(self._workers.survey(*self._whom, fence=self._fence, **options))
-        awaited = {call} if given_up is None else {call, given_up}
+        awaited = {call} if cancellation is None else {call, cancellation}
         try:
             await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             if call.done():
