--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -88,7 +88,7 @@
                 after,
                 wait_s=self._timing.watch_wait_s,
                 timeout_s=self._timing.watch_s,
-                max_reply_bytes=self._store.largest_item_bytes,
+                max_reply_bytes=self._store.max_item_reply_bytes,
             )
         if scope.cancelled_caught:
             return
