--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -9,7 +9,7 @@
     Item,
     Page,
     STORE_FAILURES,
-    StoreAnswerTooLargeError,
+    StoreReplyTooLargeError,
     StoreClient,
 )
 
@@ -53,7 +53,7 @@
             while True:
                 try:
                     await self._read_or_wait()
-                except StoreAnswerTooLargeError as error:
+                except StoreReplyTooLargeError as error:
                     # Several versions at once: the newest alone is enough.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
                     self._seen = None
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreAnswerTooLargeError, StoreClient
+from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreReplyTooLargeError, StoreClient
 
 from .logs import log_event
 from .timing import StoreTiming
@@ -37,7 +37,7 @@
     """
     try:
         page = await watch_once(store, timing, prefix, after)
-    except StoreAnswerTooLargeError as error:
+    except StoreReplyTooLargeError as error:
         log_event('updates_too_large', prefix=prefix, revision=after, why=str(error))
     else:
         if page is not None:
