--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -139,7 +139,7 @@
 class SilentStore:
     """A store that answers nothing."""
 
-    async def keep_lease(self, lease, *, timeout_s):
+    async def renew_lease(self, lease, *, timeout_s):
         raise StoreUnansweredError('silent')
 
 
