--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -144,7 +144,7 @@
         if not self.is_own or not self._lease:
             return
         try:
-            await self._store.end_lease(self._lease, timeout_s=self._timing.call_s)
+            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
         self.deposed()
