--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -160,7 +160,7 @@
     def _(self, message: WorkerListed) -> None:
         self._links.keep_entry(message)
         known = self._links.named(message.incarnation.name)
-        if known is not None and not message.incarnation.may_be(known.incarnation):
+        if known is not None and not message.incarnation.may_match(known.incarnation):
             log_event(
                 'worker_entry_put_off', worker=known.incarnation.worker_id, entry_of=message.incarnation.worker_id
             )
