--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -9,8 +9,8 @@
     Item,
     Page,
     STORE_FAILURES,
-    StoreReplyTooLargeError,
     StoreClient,
+    StoreReplyTooLargeError,
 )
 
 from ..logs import log_event
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -14,9 +14,9 @@
     OrderStatus,
     Survey,
     WORKER_FAILURES,
+    WorkerHandshakeError,
     WorkerReplacedError,
     WorkerUnansweredError,
-    WorkerHandshakeError,
     WorkerUnreachableError,
 )
 
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -13,8 +13,8 @@
 from dahliaarch_platform.workers import (
     ListedEnd,
     Survey,
-    WorkerUnansweredError,
     WorkerHandshakeError,
+    WorkerUnansweredError,
     WorkerUnreachableError,
 )
 
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreReplyTooLargeError, StoreClient
+from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreClient, StoreReplyTooLargeError
 
 from .logs import log_event
 from .timing import StoreTiming
