--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -16,7 +16,7 @@
 
 from dahliaarch_kernel.codec import decode
 from dahliaarch_node.records import Member, OWNER_KEY
-from dahliaarch_platform.http import RequestNotSentError, CallUnansweredError, HttpClient, Reply
+from dahliaarch_platform.http import RequestNotSentError, RequestUnansweredError, HttpClient, Reply
 from dahliaarch_platform.settings import Address, PATH_VARIABLE
 
 from ..platform import PolicyStandIn, StoreStandIn, WorkerStandIn
@@ -68,7 +68,7 @@
                 timeout_s=timeout_s,
                 headers=headers,
             )
-        except (RequestNotSentError, CallUnansweredError):
+        except (RequestNotSentError, RequestUnansweredError):
             return None
 
     async def submit(self, queue: str, steps: list[dict[str, Any]], payload: str, job_id: str = '') -> str:
--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from dahliaarch_platform.http import CallUnansweredError, HttpClient
+from dahliaarch_platform.http import RequestUnansweredError, HttpClient
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
 
 TASK = '97cff274424edd7f.0.0.0'
@@ -28,7 +28,7 @@
             while not worker.address.port:
                 await anyio.sleep(0.01)
             worker.faults.lost_share, worker.faults.late_s = 1.0, 0.3
-            with pytest.raises(CallUnansweredError):
+            with pytest.raises(RequestUnansweredError):
                 await call(worker, '/run-start', start(fence=1), incarnation='w0')
             worker.faults.lost_share = 0.0
             await meanwhile(worker)
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -4,7 +4,7 @@
 import pytest
 
 from dahliaarch_node.peers import AskPending, Mesh, PeerSilentError, PendingReply
-from dahliaarch_platform.http import CallUnansweredError, HttpClient, HttpServer, Response
+from dahliaarch_platform.http import RequestUnansweredError, HttpClient, HttpServer, Response
 from dahliaarch_platform.settings import Address, StoreSettings
 from dahliaarch_platform.store import CONFIGURATION_KEY, STORE_FAILURES, StoreClient, StoreUnansweredError
 from dahliaarch_standins.deployment.core import free_ports
@@ -40,7 +40,7 @@
                     calls.start_soon(ask, client, proxy.address)
             assert proxy.connections == 3
             proxy.silence()
-            with pytest.raises(CallUnansweredError):
+            with pytest.raises(RequestUnansweredError):
                 await ask(client, proxy.address)
             reply = await ask(client, proxy.address)
             tasks.cancel_scope.cancel()
@@ -95,7 +95,7 @@
             async def watch():
                 try:
                     await HttpClient().call(proxy.address, 'GET', '/', timeout_s=10)
-                except CallUnansweredError as error:
+                except RequestUnansweredError as error:
                     failures.append(error)
 
             with anyio.fail_after(5):
@@ -129,7 +129,7 @@
             await client.call(proxy.address, 'GET', '/before', timeout_s=1)
             tasks.start_soon(proxy.lose_answers)
             await anyio.sleep(0.05)
-            with pytest.raises(CallUnansweredError):
+            with pytest.raises(RequestUnansweredError):
                 await client.call(proxy.address, 'GET', '/cut', timeout_s=0.5)
             tasks.cancel_scope.cancel()
         server.close()
