--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -16,7 +16,7 @@
 
 from dahliaarch_kernel.codec import decode
 from dahliaarch_node.records import Member, OWNER_KEY
-from dahliaarch_platform.http import RequestNotSentError, RequestUnansweredError, HttpClient, Reply
+from dahliaarch_platform.http import HttpClient, Reply, RequestNotSentError, RequestUnansweredError
 from dahliaarch_platform.settings import Address, PATH_VARIABLE
 
 from ..platform import PolicyStandIn, StoreStandIn, WorkerStandIn
--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from dahliaarch_platform.http import RequestUnansweredError, HttpClient
+from dahliaarch_platform.http import HttpClient, RequestUnansweredError
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
 
 TASK = '97cff274424edd7f.0.0.0'
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -4,7 +4,7 @@
 import pytest
 
 from dahliaarch_node.peers import AskPending, Mesh, PeerSilentError, PendingReply
-from dahliaarch_platform.http import RequestUnansweredError, HttpClient, HttpServer, Response
+from dahliaarch_platform.http import HttpClient, HttpServer, RequestUnansweredError, Response
 from dahliaarch_platform.settings import Address, StoreSettings
 from dahliaarch_platform.store import CONFIGURATION_KEY, STORE_FAILURES, StoreClient, StoreUnansweredError
 from dahliaarch_standins.deployment.core import free_ports
