--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -9,8 +9,8 @@
     Item,
     Page,
     STORE_FAILURES,
-    StoreAnswerTooLargeError,
     StoreClient,
+    StoreReplyTooLargeError,
 )
 
 from ..logs import log_event
@@ -53,7 +53,7 @@
             while True:
                 try:
                     await self._read_or_watch()
-                except StoreAnswerTooLargeError as error:
+                except StoreReplyTooLargeError as error:
                     # The answer holds several versions; read only the newest.
                     log_event('configuration_updates_too_large', why=str(error), version=self._follower.version)
                     self._seen_revision = None
@@ -88,7 +88,7 @@
                 after,
                 wait_s=self._timing.watch_wait_s,
                 timeout_s=self._timing.watch_s,
-                largest_bytes=self._store.largest_item_bytes,
+                max_reply_bytes=self._store.max_item_reply_bytes,
             )
         if scope.cancelled_caught:
             return
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -160,7 +160,7 @@
     def _(self, message: WorkerListed) -> None:
         self._links.save_entry(message)
         known_link = self._links.find_by_name(message.incarnation.name)
-        if known_link is not None and not message.incarnation.may_be(known_link.incarnation):
+        if known_link is not None and not message.incarnation.may_match(known_link.incarnation):
             log_event(
                 'worker_entry_put_off', worker=known_link.incarnation.worker_id, entry_of=message.incarnation.worker_id
             )
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -14,9 +14,9 @@
     OrderStatus,
     Survey,
     WORKER_FAILURES,
+    WorkerHandshakeError,
     WorkerReplacedError,
     WorkerUnansweredError,
-    WorkerUngreetedError,
     WorkerUnreachableError,
 )
 
@@ -232,7 +232,7 @@
                 lease_until_s=lease_end_s,
                 wait_s=wait_s,
                 timeout_s=wait_s + self._answer_timeout_s(),
-                given_up=self._survey_abort,
+                cancellation=self._survey_abort,
             )
         except WorkerReplacedError:
             self.unanswered_at_s = earlier_s
@@ -266,7 +266,7 @@
                     self._hedge_answer = await self._session.survey(
                         acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_s, left_s)
                     )
-                except (WorkerUnansweredError, WorkerUngreetedError):
+                except (WorkerUnansweredError, WorkerHandshakeError):
                     left_s -= answer_s
                     answer_s += answer_s
                     continue
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -144,7 +144,7 @@
         if not self.is_own or not self._lease:
             return
         try:
-            await self._store.end_lease(self._lease, timeout_s=self._timing.call_s)
+            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
         self.deposed()
@@ -195,7 +195,7 @@
 
     async def _renew_once(self) -> bool:
         asked_s = steady_s()
-        is_kept = await self._store.keep_lease(self._lease, timeout_s=self._timing.keep_s)
+        is_kept = await self._store.renew_lease(self._lease, timeout_s=self._timing.keep_s)
         if is_kept:
             self._authority.confirm(asked_s)
         return is_kept
