--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -56,7 +56,7 @@
             return ''
         return known.text
 
-    def to_ask(self, workers: Iterable[WorkerState], now_s: float) -> tuple[str, ...]:
+    def workers_to_query(self, workers: Iterable[WorkerState], now_s: float) -> tuple[str, ...]:
         """Return the workers to query the policy about now, and mark the query as pending.
 
         Parameters
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -217,7 +217,7 @@
         if consenting and not any(fits(free_by_id[worker.worker_id], demand) for worker in consenting):
             return
         most_free_first = sorted(consenting or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
-        asked = advice.to_ask(most_free_first, self._now.steady_s)
+        asked = advice.workers_to_query(most_free_first, self._now.steady_s)
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
 
