--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -76,7 +76,7 @@
         self._is_request_pending = bool(worker_ids)
         return tuple(worker_ids[:MAX_WORKERS_PER_REQUEST])
 
-    def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
+    def record_answer(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Record an answer; workers without a ticket in it are refused."""
         self._is_request_pending = False
         self._refused_worker_ids.update(worker_id for worker_id in asked if worker_id not in tickets)
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -240,7 +240,7 @@
         """Record for which of the workers that were asked about the outside policy gave tickets, and until when."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
-            step.advice.take_in(asked, tickets, until_s)
+            step.advice.record_answer(asked, tickets, until_s)
 
     def advice_failed(self, key: StepKey, now: Moment) -> None:
         """Record that the outside policy failed to answer."""
