--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -83,7 +83,7 @@
         for worker_id, text in tickets.items():
             self._ticket_by_worker[worker_id] = Ticket(text, until_s)
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Record that a query failed, and delay the next one."""
         self._is_request_pending = False
         self._retry_at_s = now_s + _RETRY_DELAY_S
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -246,7 +246,7 @@
         """Record that the outside policy failed to answer."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
-            step.advice.failed(now.steady_s)
+            step.advice.record_failure(now.steady_s)
 
     def worker_surveyed(
         self,
