--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -64,7 +64,7 @@
         """Wrap a scheduler state."""
         self._state = state
 
-    def take_unkept(self) -> set[AssignmentsPart]:
+    def take_unsaved(self) -> set[AssignmentsPart]:
         """Return the parts with unsaved changes, and clear that set."""
         unsaved = self._state.unkept_assignments
         self._state.unkept_assignments = set()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -109,7 +109,7 @@
         for job_id in self.scheduler.take_dirty_jobs():
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
             self.scheduler.mark_kept(job_id)
-        for part in self.scheduler.assignments.take_unkept():
+        for part in self.scheduler.assignments.take_unsaved():
             self.kept_by_part[part] = encode(self.scheduler.assignments.of_part(part))
 
     def progress_of(self, job_id):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -110,7 +110,7 @@
     owners.workers[starts[0].worker_id].end(starts[0].key, EndKind.LAPSED)
     owners.survey(starts[0].worker_id)
     owners.scheduler.decide(owners.now)
-    assert owners.scheduler.assignments.take_unkept() == {part_of(starts[0].key)}
+    assert owners.scheduler.assignments.take_unsaved() == {part_of(starts[0].key)}
 
 
 def test_a_list_that_the_owner_before_waited_for_is_waited_for():
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -193,7 +193,7 @@
         processed_ends = self._processed_ends()
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
-            self._scheduler.assignments.take_unkept(),
+            self._scheduler.assignments.take_unsaved(),
             self._held_starts.runs_by_part(),
         )
         roster_version = self._roster_version
