--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -70,7 +70,7 @@
         self._state.unkept_assignments = set()
         return unsaved
 
-    def mark_unkept(self, parts: Iterable[AssignmentsPart]) -> None:
+    def mark_unsaved(self, parts: Iterable[AssignmentsPart]) -> None:
         """Mark parts as unsaved again after a failed write."""
         self._state.unkept_assignments.update(parts)
 
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -231,7 +231,7 @@
         for change in changes:
             self._persisted_part_by_key.pop(change.key, None)
         self._scheduler.mark_dirty(pending.job_ids)
-        self._scheduler.assignments.mark_unkept(pending.parts)
+        self._scheduler.assignments.mark_unsaved(pending.parts)
         self.flush_requested.set()
 
     def _mark_persisted(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
