--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -74,7 +74,7 @@
         """Mark parts as unsaved again after a failed write."""
         self._state.unkept_assignments.update(parts)
 
-    def of_part(self, part: AssignmentsPart) -> StepAssignments:
+    def for_part(self, part: AssignmentsPart) -> StepAssignments:
         """Return the current assignments of a part; none once the job has ended."""
         step = self._state.step_of(part.first_task)
         if step is None or step.job.has_ended:
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -110,7 +110,7 @@
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
             self.scheduler.mark_kept(job_id)
         for part in self.scheduler.assignments.take_unsaved():
-            self.kept_by_part[part] = encode(self.scheduler.assignments.of_part(part))
+            self.kept_by_part[part] = encode(self.scheduler.assignments.for_part(part))
 
     def progress_of(self, job_id):
         value = self.progress_by_id.get(job_id)
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -298,7 +298,7 @@
         """Yield changes of assignments; a part without assignments is removed."""
         for part in parts:
             key = assignments_key(part)
-            assignments = self._scheduler.assignments.of_part(part)
+            assignments = self._scheduler.assignments.for_part(part)
             if any(assignments):
                 yield _Change(key, encode(assignments), part)
             elif self._revision(key):
