--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -85,7 +85,7 @@
             () if part.number else tuple(step.awaited_until_by_worker),
         )
 
-    def sent(self, worker_id: str, key: TaskKey, number: int, now: Moment) -> bool:
+    def record_sent(self, worker_id: str, key: TaskKey, number: int, now: Moment) -> bool:
         """Record that a start order is about to be sent; return false if the run is no longer wanted."""
         worker = self._state.worker_by_id.get(worker_id)
         run = None if worker is None else worker.run_by_key.get(key)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -98,7 +98,7 @@
         """Send the starts that were held, unless they are not wanted any more."""
         held, self.held = self.held, []
         for start, fate in held:
-            if self.scheduler.assignments.sent(start.worker_id, start.key, start.run, self.now):
+            if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
                 self.send_kept(start, fate)
 
     def percent_of(self, key):
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -88,7 +88,7 @@
         if link is None:
             self._post(RunRuledOut(start.worker_id, start.key, start.run))
             return
-        if not self._scheduler.assignments.sent(start.worker_id, start.key, start.run, now):
+        if not self._scheduler.assignments.record_sent(start.worker_id, start.key, start.run, now):
             log_event('start_dropped', worker=start.worker_id, task=start.key, run=start.run)
             return
         log_event(
