--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -66,13 +66,13 @@
 
     def take_unsaved(self) -> set[AssignmentsPart]:
         """Return the parts with unsaved changes, and clear that set."""
-        unsaved = self._state.unkept_assignments
-        self._state.unkept_assignments = set()
+        unsaved = self._state.unsaved_assignments
+        self._state.unsaved_assignments = set()
         return unsaved
 
     def mark_unsaved(self, parts: Iterable[AssignmentsPart]) -> None:
         """Mark parts as unsaved again after a failed write."""
-        self._state.unkept_assignments.update(parts)
+        self._state.unsaved_assignments.update(parts)
 
     def for_part(self, part: AssignmentsPart) -> StepAssignments:
         """Return the current assignments of a part; none once the job has ended."""
@@ -122,7 +122,7 @@
             if worker is not None:
                 wait_for_survey(state, step, worker_id, now.steady_s + worker.late_order_s)
         # The store already holds this part, except that some of its runs may have ended since.
-        state.unkept_assignments.discard(part)
+        state.unsaved_assignments.discard(part)
 
 
 def _restore_run(state: SchedulerState, step: StepState, assignment: Assignment, now: Moment) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -128,7 +128,7 @@
         self.reservations = Reservations()
         self.dirty_jobs: set[str] = set()
         # Parts whose assignments have changed and are not saved yet.
-        self.unkept_assignments: set[AssignmentsPart] = set()
+        self.unsaved_assignments: set[AssignmentsPart] = set()
         self.notes: list[Note] = []
         self.silent_loss_by_worker: dict[str, SilentLoss] = {}
         # Incarnations whose lists of runs a step waits for or has waited for; and those of them that have since been
@@ -166,7 +166,7 @@
         """Add a run, which takes its task and its capacity on the worker."""
         step.pending.discard(run.key.task_index)
         step.run_by_index[run.key.task_index] = run
-        self.unkept_assignments.add(part_of(run.key))
+        self.unsaved_assignments.add(part_of(run.key))
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None:
             worker.add_run(run)
@@ -181,7 +181,7 @@
         if step is None or step.run_by_index.get(run.key.task_index) is not run:
             return
         del step.run_by_index[run.key.task_index]
-        self.unkept_assignments.add(part_of(run.key))
+        self.unsaved_assignments.add(part_of(run.key))
         if run.key.task_index not in step.done:
             step.pending.add(run.key.task_index)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/successors.py
@@ -51,7 +51,7 @@
     """Make tasks of a step wait until an incarnation has listed its runs; an existing deadline stays in force."""
     step.awaited_until_by_worker.setdefault(worker_id, until_s)
     state.awaited_incarnations.add(worker_id)
-    state.unkept_assignments.add(part_of(step.key(0)))
+    state.unsaved_assignments.add(part_of(step.key(0)))
 
 
 def is_waiting_for_survey(state: SchedulerState, step: StepState, now: Moment) -> bool:
