--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -13,7 +13,7 @@
         return WaitReason.CRASH_REVIEW
     if job.known_since_s > now.steady_s:
         return WaitReason.PREVIOUS_OWNER
-    return WaitReason.CRASHES_NOT_SAVED if job.has_unkept_crashes else None
+    return WaitReason.CRASHES_NOT_SAVED if job.has_unsaved_crashes else None
 
 
 def step_gate(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -105,7 +105,7 @@
         self.alone_until_s = None
         # A crash that one owner counts but cannot save allows one more start under the next
         # owner: with the store unavailable, three successive owners started a task six times.
-        self.job.has_unkept_crashes = self.job.has_unkept_crashes or is_suspect(crashes)
+        self.job.has_unsaved_crashes = self.job.has_unsaved_crashes or is_suspect(crashes)
         return True
 
     def discount_crash(self, index: int, run: int) -> bool:
@@ -173,7 +173,7 @@
         self.failed_on: set[str] = set()
         self.has_success = False
         # Whether worker crashes were counted that are not saved, so that the next owner would not know of them.
-        self.has_unkept_crashes = False
+        self.has_unsaved_crashes = False
         # When the crash limit is applied to its tasks, on the steady clock; None if no decision is pending.
         self.crash_limit_at_s: float | None = None
         self.is_end_kept = False
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -324,7 +324,7 @@
         job = self._state.job_by_id.get(job_id)
         if job is None or job_id in self._state.dirty_jobs:
             return False
-        job.has_unkept_crashes = False
+        job.has_unsaved_crashes = False
         if not job.has_ended or job.is_end_kept:
             return False
         job.is_end_kept = True
