--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -176,7 +176,7 @@
         self.has_unsaved_crashes = False
         # When the crash limit is applied to its tasks, on the steady clock; None if no decision is pending.
         self.crash_limit_at_s: float | None = None
-        self.is_end_kept = False
+        self.is_end_saved = False
 
     @property
     def has_ended(self) -> bool:
@@ -186,7 +186,7 @@
     @property
     def shown_phase(self) -> JobPhase:
         """Phase to show to callers: success or failure only once it is saved and can no longer be lost."""
-        if self.has_ended and not self.is_end_kept and self.phase is not JobPhase.CANCELLED:
+        if self.has_ended and not self.is_end_saved and self.phase is not JobPhase.CANCELLED:
             return JobPhase.RUNNING
         return self.phase
 
@@ -253,7 +253,7 @@
         """Restore saved progress."""
         self.phase = JobPhase(saved.phase)
         self.ended_s = saved.ended_s
-        self.is_end_kept = self.has_ended
+        self.is_end_saved = self.has_ended
         for each in saved.steps:
             step = self.step_of(TaskKey(self.spec.job_id, each.occurrence, each.step, 0))
             if step is not None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -325,9 +325,9 @@
         if job is None or job_id in self._state.dirty_jobs:
             return False
         job.has_unsaved_crashes = False
-        if not job.has_ended or job.is_end_kept:
+        if not job.has_ended or job.is_end_saved:
             return False
-        job.is_end_kept = True
+        job.is_end_saved = True
         return True
 
     def mark_dirty(self, job_ids: set[str]) -> None:
--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -216,7 +216,7 @@
         owner.post(JobCancelled(NEW))
         await anyio.sleep(0.1)
         store.refuses = False
-        await until(lambda: owner.scheduler.job_by_id[NEW].is_end_kept, 2.0)
+        await until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
     store, workers = play(scenario, [worker_entry('w0')])
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -167,7 +167,7 @@
         scheduler.run_ended(RunEnd('w', TaskKey(job_id, 0, 0, 0), 1, EndKind.DONE), Moment(1.0, 1.0))
     recorder = recorder_of(store, scheduler, [], kept.append)
     anyio.run(keep, recorder, lambda: kept)
-    assert all(job.is_end_kept for job in scheduler.job_by_id.values())
+    assert all(job.is_end_saved for job in scheduler.job_by_id.values())
     # Twenty transactions, and those refused among them.
     assert store.commits <= 25
 
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -103,7 +103,7 @@
             return StateReply(is_known=False)
         if job.is_end_near and message.wait_s > 0:
             await self.owner.end_notifier.wait(message.job_id, message.wait_s)
-        return StateReply(True, job.shown_phase.value, job.has_ended and job.is_end_kept)
+        return StateReply(True, job.shown_phase.value, job.has_ended and job.is_end_saved)
 
     @_reply.register
     async def _(self, message: AskPending) -> Message | None:
