--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -319,7 +319,7 @@
         jobs = self._state.job_by_id
         return any(jobs[job_id].has_ended for job_id in self._state.dirty_jobs if job_id in jobs)
 
-    def mark_kept(self, job_id: str) -> bool:
+    def mark_saved(self, job_id: str) -> bool:
         """Record that a job's progress is stored; return True if its end may now be reported to callers."""
         job = self._state.job_by_id.get(job_id)
         if job is None or job_id in self._state.dirty_jobs:
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -110,7 +110,7 @@
     def keep_progress(self):
         """Keep what must outlast the owner, as its recorder does."""
         for job_id in self.scheduler.take_dirty_jobs():
-            self.scheduler.mark_kept(job_id)
+            self.scheduler.mark_saved(job_id)
 
     def crash(self, worker_id):
         """Let a worker die with all that runs there, and come back as another incarnation."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -108,7 +108,7 @@
     def keep(self):
         for job_id in self.scheduler.take_dirty_jobs():
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
-            self.scheduler.mark_kept(job_id)
+            self.scheduler.mark_saved(job_id)
         for part in self.scheduler.assignments.take_unsaved():
             self.kept_by_part[part] = encode(self.scheduler.assignments.for_part(part))
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -28,7 +28,7 @@
     assert job.shown_phase == 'running'
     kept = pool.scheduler.take_dirty_jobs()
     for job_id in kept:
-        pool.scheduler.mark_kept(job_id)
+        pool.scheduler.mark_saved(job_id)
     assert job.shown_phase == 'succeeded'
 
 
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -246,7 +246,7 @@
 
     def _mark_progress_persisted(self, job_id: str, pending: _PendingChanges) -> None:
         pending.job_ids.discard(job_id)
-        if self._scheduler.mark_kept(job_id):
+        if self._scheduler.mark_saved(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
             self._on_end_persisted(job_id)
 
--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -46,7 +46,7 @@
 
     def keep(self):
         self.scheduler.take_dirty_jobs()
-        if self.scheduler.mark_kept(JOB):
+        if self.scheduler.mark_saved(JOB):
             self.end_notifier.notify(JOB)
 
 
