--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -130,7 +130,7 @@
     return step is None or step.spec.lasting or not run.may_have_ended(crashed_s)
 
 
-def check_kept_crashes(job: JobState, now: Moment) -> None:
+def check_restored_crashes(job: JobState, now: Moment) -> None:
     """Schedule the crash limit for a restored job: its previous owner may have stopped before applying it."""
     saved = (crashes for step in job.step_by_key.values() for crashes in step.crashes_by_index.values())
     if any(_is_over_crash_limit(crashes) for crashes in saved):
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -7,7 +7,7 @@
 from ..workload import JobSpec, StepKey, TaskKey
 from .assignments import Assignments, restore_assignments, StepAssignments
 from .clock import Moment
-from .crashes import apply_crash_limit, check_kept_crashes, silent_worker_crashed, worker_answered, worker_crashed
+from .crashes import apply_crash_limit, check_restored_crashes, silent_worker_crashed, worker_answered, worker_crashed
 from .effects import Effect
 from .ends import take_in_end
 from .events import EndKind, LossCause, Note, RunEnd, RunSeen
@@ -110,7 +110,7 @@
         job.known_since_s = not_before_s
         if progress is not None:
             job.restore(progress)
-            check_kept_crashes(job, now)
+            check_restored_crashes(job, now)
         self._state.job_by_id[spec.job_id] = job
         if not job.has_ended:
             self._state.active_job_by_id[spec.job_id] = job
