--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -90,7 +90,7 @@
     return set(step.pending) if found and step.spec.gang else found
 
 
-def waits_for_own_place(step: StepState, now_s: float) -> bool:
+def waits_for_empty_worker(step: StepState, now_s: float) -> bool:
     """Return whether the suspects of a step still wait for empty workers; the wait is bounded."""
     if step.alone_until_s is None:
         step.alone_until_s = now_s + _EMPTY_WORKER_WAIT_S
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -5,7 +5,7 @@
 
 from .advice import Advice
 from .clock import Moment
-from .crashes import isolation_s, suspects, waits_for_own_place
+from .crashes import isolation_s, suspects, waits_for_empty_worker
 from .effects import AskAdvice
 from .gates import job_gate, step_gate
 from .job_state import StepState
@@ -147,7 +147,7 @@
     def _schedule(self, request: PlacementRequest) -> None:
         """Start the tasks that fit; for the rest, preempt runs or reserve capacity."""
         step = request.step
-        if request.isolation_s and waits_for_own_place(step, self._now.steady_s):
+        if request.isolation_s and waits_for_empty_worker(step, self._now.steady_s):
             self._start_isolated(request)
             return
         step.was_considered = True
