--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -92,9 +92,9 @@
 
 def waits_for_empty_worker(step: StepState, now_s: float) -> bool:
     """Return whether the suspects of a step still wait for empty workers; the wait is bounded."""
-    if step.alone_until_s is None:
-        step.alone_until_s = now_s + _EMPTY_WORKER_WAIT_S
-    return now_s <= step.alone_until_s
+    if step.empty_worker_wait_until_s is None:
+        step.empty_worker_wait_until_s = now_s + _EMPTY_WORKER_WAIT_S
+    return now_s <= step.empty_worker_wait_until_s
 
 
 def isolation_s(step: StepState) -> float:
--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -48,7 +48,7 @@
         self.crashes_by_index: dict[int, list[Crash]] = {}
         # Tasks suspected of crashing workers, and until when they wait for an empty worker, on the steady clock.
         self.suspects: set[int] = set()
-        self.alone_until_s: float | None = None
+        self.empty_worker_wait_until_s: float | None = None
         self.failed_on: set[str] = set()
         self.checkpoint_by_index: dict[int, str] = {}
         self.refused_until_s = 0.0
@@ -102,7 +102,7 @@
         if any(known.run == crash.run for known in crashes):
             return False
         crashes.append(crash)
-        self.alone_until_s = None
+        self.empty_worker_wait_until_s = None
         # A crash that one owner counts but cannot save allows one more start under the next
         # owner: with the store unavailable, three successive owners started a task six times.
         self.job.has_unsaved_crashes = self.job.has_unsaved_crashes or is_suspect(crashes)
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -284,7 +284,7 @@
                 self._free_capacity.allocate(allocation.worker, demand)
             if request.isolation_s:
                 self._free_capacity.mark_full(allocation.worker)
-        step.alone_until_s = None
+        step.empty_worker_wait_until_s = None
         self._drop_reservation(step)
 
     def _preempt(self, request: PlacementRequest, count: int) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -45,7 +45,11 @@
     def _capacity_reason(self, request: PlacementRequest) -> WaitReason:
         """Return why no place was found for a step that no gate holds back."""
         step = request.step
-        if request.isolation_s and step.alone_until_s is not None and self._now.steady_s <= step.alone_until_s:
+        if (
+            request.isolation_s
+            and step.empty_worker_wait_until_s is not None
+            and self._now.steady_s <= step.empty_worker_wait_until_s
+        ):
             return WaitReason.ISOLATION
         if place(request, self._unreserved_capacity).task_count:
             return WaitReason.RESERVED
