--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -84,7 +84,7 @@
     state.silent_loss_by_worker.pop(worker_id, None)
 
 
-def suspects(step: StepState) -> set[int]:
+def pending_suspects(step: StepState) -> set[int]:
     """Return the pending suspects of a step; in a gang, one makes all suspects, since members start together."""
     found = step.suspects & step.pending
     return set(step.pending) if found and step.spec.gang else found
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -5,7 +5,7 @@
 
 from .advice import Advice
 from .clock import Moment
-from .crashes import isolation_s, suspects, waits_for_empty_worker
+from .crashes import isolation_s, pending_suspects, waits_for_empty_worker
 from .effects import AskAdvice
 from .gates import job_gate, step_gate
 from .job_state import StepState
@@ -107,7 +107,7 @@
 
     def _requests_for_step(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
         """Yield the requests of a step, a separate one for tasks that must run in isolation."""
-        suspected = suspects(step)
+        suspected = pending_suspects(step)
         others = step.pending - suspected
         if others:
             yield self._request(step, rank, others)
