--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -59,7 +59,7 @@
         _record_crash(state, crash_by_task, now)
 
 
-def silent_worker_crashed(state: SchedulerState, worker_id: str, now: Moment) -> None:
+def record_silent_worker_crash(state: SchedulerState, worker_id: str, now: Moment) -> None:
     """Record that a worker given up in silence had crashed, since another incarnation answers at its address."""
     silent_loss = state.silent_loss_by_worker.pop(worker_id, None)
     if silent_loss is not None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -7,7 +7,13 @@
 from ..workload import JobSpec, StepKey, TaskKey
 from .assignments import Assignments, restore_assignments, StepAssignments
 from .clock import Moment
-from .crashes import apply_crash_limit, check_restored_crashes, silent_worker_crashed, worker_answered, worker_crashed
+from .crashes import (
+    apply_crash_limit,
+    check_restored_crashes,
+    record_silent_worker_crash,
+    worker_answered,
+    worker_crashed,
+)
 from .effects import Effect
 from .ends import take_in_end
 from .events import EndKind, LossCause, Note, RunEnd, RunSeen
@@ -211,7 +217,7 @@
         self._state.given_up_unacknowledged.discard(worker_id)
         worker = self._state.worker_by_id.pop(worker_id, None)
         if worker is None:
-            silent_worker_crashed(self._state, worker_id, now)
+            record_silent_worker_crash(self._state, worker_id, now)
             return
         self._state.note_losses(worker, LossCause.WORKER_OVER)
         for run in tuple(worker.run_by_key.values()):
