--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -49,7 +49,7 @@
 _SILENT_LOSS_RETENTION_S = 120.0
 
 
-def worker_crashed(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
+def record_worker_crash(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Record the crash of a worker for all tasks that ran there; the end of a draining worker counts against none."""
     crash_by_task = _crash_by_task(state, worker, now)
     silent_loss = state.silent_loss_by_worker.pop(worker.worker_id, None)
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -11,8 +11,8 @@
     apply_crash_limit,
     check_restored_crashes,
     record_silent_worker_crash,
+    record_worker_crash,
     worker_answered,
-    worker_crashed,
 )
 from .effects import Effect
 from .ends import take_in_end
@@ -223,7 +223,7 @@
         for run in tuple(worker.run_by_key.values()):
             end = RunEnd(worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint)
             take_in_end(self._state, end, now)
-        worker_crashed(self._state, worker, now)
+        record_worker_crash(self._state, worker, now)
 
     def run_started(self, worker_id: str, key: TaskKey, run: int, now: Moment) -> None:
         """Record that a worker acknowledged a start."""
