--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -66,7 +66,7 @@
         _record_crash(state, silent_loss.crash_by_task, now)
 
 
-def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
+def retain_silent_loss(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Remember the runs of a worker whose lease ended in silence until it is known whether it crashed."""
     retained = {
         worker_id: silent_loss
--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -1,7 +1,7 @@
 """Drains workers that are about to leave, and gives up silent workers whose leases have ended."""
 
 from .clock import Moment
-from .crashes import worker_given_up
+from .crashes import retain_silent_loss
 from .events import LossCause
 from .runs import RunPhase
 from .state import SchedulerState
@@ -28,7 +28,7 @@
 
 def _give_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     state.note_losses(worker, LossCause.LEASE_ENDED)
-    worker_given_up(state, worker, now)
+    retain_silent_loss(state, worker, now)
     note_given_up(state, worker)
     for run in tuple(worker.run_by_key.values()):
         state.remove_run(run)
