--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -79,7 +79,7 @@
     state.silent_loss_by_worker = retained
 
 
-def worker_answered(state: SchedulerState, worker_id: str) -> None:
+def discard_silent_loss(state: SchedulerState, worker_id: str) -> None:
     """Discard the possible crash of a worker that answers again: it was only unreachable."""
     state.silent_loss_by_worker.pop(worker_id, None)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -10,9 +10,9 @@
 from .crashes import (
     apply_crash_limit,
     check_restored_crashes,
+    discard_silent_loss,
     record_silent_worker_crash,
     record_worker_crash,
-    worker_answered,
 )
 from .effects import Effect
 from .ends import take_in_end
@@ -280,7 +280,7 @@
         """
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None:
-            worker_answered(self._state, worker_id)
+            discard_silent_loss(self._state, worker_id)
             self._state.given_up_unacknowledged.discard(worker_id)
             if lists_ends and worker.may_hide_ends:
                 worker.may_hide_ends = False
