--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -22,7 +22,7 @@
 _REFUSING_WORKER_AVOIDANCE_S = 4.0
 
 
-def take_in_end(state: SchedulerState, end: RunEnd, now: Moment) -> None:
+def apply_run_end(state: SchedulerState, end: RunEnd, now: Moment) -> None:
     """Apply the end of a run; a repeated report has no effect."""
     step = state.step_of(end.key)
     if step is None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -15,7 +15,7 @@
     record_worker_crash,
 )
 from .effects import Effect
-from .ends import take_in_end
+from .ends import apply_run_end
 from .events import EndKind, LossCause, Note, RunEnd, RunSeen
 from .health import assess_workers
 from .job_state import ENDED_PHASES, JobPhase, JobState
@@ -222,7 +222,7 @@
         self._state.note_losses(worker, LossCause.WORKER_OVER)
         for run in tuple(worker.run_by_key.values()):
             end = RunEnd(worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint)
-            take_in_end(self._state, end, now)
+            apply_run_end(self._state, end, now)
         record_worker_crash(self._state, worker, now)
 
     def run_started(self, worker_id: str, key: TaskKey, run: int, now: Moment) -> None:
@@ -240,7 +240,7 @@
 
     def run_ended(self, end: RunEnd, now: Moment) -> None:
         """Apply the end of a run; repeated reports have no effect."""
-        take_in_end(self._state, end, now)
+        apply_run_end(self._state, end, now)
 
     def advice_given(self, key: StepKey, asked: Sequence[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Record for which of the workers that were asked about the outside policy gave tickets, and until when."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -4,7 +4,7 @@
 
 from .clock import Moment
 from .crashes import clear_suspect
-from .ends import take_in_end
+from .ends import apply_run_end
 from .events import EndKind, LossCause, RunEnd, RunSeen
 from .learning import observe_pace
 from .ranks import rank_of_queue
@@ -53,7 +53,7 @@
             run.was_absent = run.was_absent or run.started_s < requested_s
             continue
         state.note_loss(worker, run, LossCause.NOT_LISTED)
-        take_in_end(state, RunEnd(worker.worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint), now)
+        apply_run_end(state, RunEnd(worker.worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint), now)
 
 
 def _is_known_absent(run: Run, requested_s: float) -> bool:
