--- a/packages/kernel/dahliaarch_kernel/scheduler/events.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/events.py
@@ -181,7 +181,7 @@
 Note = RunLost | CrashCounted | TaskGivenUp | StepWaiting
 
 
-class RunSeen(NamedTuple):
+class ListedRun(NamedTuple):
     """A run that a worker lists as running in a survey.
 
     Parameters
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -16,7 +16,7 @@
 )
 from .effects import Effect
 from .ends import apply_run_end
-from .events import EndKind, LossCause, Note, RunEnd, RunSeen
+from .events import EndKind, ListedRun, LossCause, Note, RunEnd
 from .health import assess_workers
 from .job_state import ENDED_PHASES, JobPhase, JobState
 from .learning import update_slowdowns
@@ -257,7 +257,7 @@
     def worker_surveyed(
         self,
         worker_id: str,
-        running: Sequence[RunSeen],
+        running: Sequence[ListedRun],
         begun_s: float,
         now: Moment,
         *,
@@ -269,7 +269,7 @@
         ----------
         worker_id : str
             The worker that was surveyed.
-        running : sequence of RunSeen
+        running : sequence of ListedRun
             Runs on the worker; the ends that it listed must have been applied before.
         begun_s : float
             Steady time of the request: the list does not cover starts after it.
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -5,7 +5,7 @@
 from .clock import Moment
 from .crashes import clear_suspect
 from .ends import apply_run_end
-from .events import EndKind, LossCause, RunEnd, RunSeen
+from .events import EndKind, ListedRun, LossCause, RunEnd
 from .learning import observe_pace
 from .ranks import rank_of_queue
 from .room import effective_demand
@@ -20,7 +20,7 @@
 def apply_survey(
     state: SchedulerState,
     worker: WorkerState,
-    running: Sequence[RunSeen],
+    running: Sequence[ListedRun],
     requested_s: float,
     now: Moment,
 ) -> None:
@@ -32,7 +32,7 @@
         State of the scheduler.
     worker : WorkerState
         The worker that was surveyed.
-    running : sequence of RunSeen
+    running : sequence of ListedRun
         Runs on the worker; the ends that it listed must have been applied before.
     requested_s : float
         Steady time of the request: the list does not cover starts after it.
@@ -62,7 +62,7 @@
     return run.is_inherited or (run.is_confirmed and run.seen_s < requested_s)
 
 
-def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> None:
+def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: ListedRun, now: Moment) -> None:
     run = worker.run_by_key.get(seen.key)
     if run is None or run.number != seen.run:
         run = _adopt(state, worker, seen, now)
@@ -82,7 +82,7 @@
         run.checkpoint = seen.checkpoint
 
 
-def _adopt(state: SchedulerState, worker: WorkerState, seen: RunSeen, now: Moment) -> Run | None:
+def _adopt(state: SchedulerState, worker: WorkerState, seen: ListedRun, now: Moment) -> Run | None:
     """Adopt a run that a previous owner started, or stop one that is not needed."""
     step = state.step_of(seen.key)
     unexpected = Run(seen.key, seen.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from dahliaarch_kernel.scheduler import EndKind, Moment, Scheduler, SchedulerSettings, StartRun, StopRun, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec, TaskKey
 
 from .pool import START_S, WALL_S, WORKER
@@ -163,7 +163,7 @@
         ends, worker.ends = worker.ends, []
         for end in ends:
             self.scheduler.run_ended(end, self.now)
-        rows = tuple(RunSeen(key, run, '', 50.0) for key, run in worker.run_by_key.items())
+        rows = tuple(ListedRun(key, run, '', 50.0) for key, run in worker.run_by_key.items())
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def end(self, order, kind):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -4,7 +4,7 @@
 
 from dahliaarch_kernel.configuration import Queue
 from dahliaarch_kernel.scheduler import EndKind, Moment, Scheduler, SchedulerSettings, StartRun, StopRun, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec, Resources, StepSpec
 
 WORKER = Resources(64_000, 262_144, 8)
@@ -103,7 +103,7 @@
 
     def survey(self, worker_id, percent=50.0):
         rows = tuple(
-            RunSeen(key, run, '', percent) for (worker, key), run in self.running.items() if worker == worker_id
+            ListedRun(key, run, '', percent) for (worker, key), run in self.running.items() if worker == worker_id
         )
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -12,7 +12,7 @@
     StopRun,
     WorkerProfile,
 )
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec
 
 from .late_workers import LateWorker, LONGEST_LEASE_S, Order
@@ -93,7 +93,7 @@
             self.scheduler.run_ended(end, self.now)
         self.keep()
         self.acknowledge(worker)
-        rows = tuple(RunSeen(key, run, '', self.percent_of(key)) for key, run in worker.run_by_key.items())
+        rows = tuple(ListedRun(key, run, '', self.percent_of(key)) for key, run in worker.run_by_key.items())
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def percent_of(self, key):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dahliaarch_kernel.scheduler import EndKind, StartRun
-from dahliaarch_kernel.scheduler.events import RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun
 
 from .pool import Pool, task
 
@@ -50,7 +50,7 @@
     start = replaced_unacknowledged(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
-    seen = RunSeen(start.key, start.run, '', 10.0)
+    seen = ListedRun(start.key, start.run, '', 10.0)
     pool.scheduler.worker_surveyed(successor, (seen,), pool.now_s, pool.now)
     assert not starts(pool, 1.0)
     assert start.key in pool.scheduler.worker_by_id[successor].run_by_key
@@ -219,7 +219,7 @@
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
     may_hide_ends(pool, successor)
-    pool.scheduler.worker_surveyed(successor, (RunSeen(start.key, start.run, '', 10.0),), pool.now_s, pool.now)
+    pool.scheduler.worker_surveyed(successor, (ListedRun(start.key, start.run, '', 10.0),), pool.now_s, pool.now)
     pool.running[successor, start.key] = start.run
     pool.step()
     assert [(stop.worker_id, stop.run) for stop in pool.stops] == [(successor, start.run)]
--- a/packages/node/dahliaarch_node/owner/messages.py
+++ b/packages/node/dahliaarch_node/owner/messages.py
@@ -5,7 +5,7 @@
 
 from dahliaarch_kernel.configuration import Queue
 from dahliaarch_kernel.scheduler import EndKind, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec, StepKey, TaskKey
 from dahliaarch_platform.incarnations import WorkerIncarnation
 from dahliaarch_platform.settings import Address
@@ -82,7 +82,7 @@
     ----------
     worker_id : str
         Identifier of the worker.
-    running : tuple of RunSeen
+    running : tuple of ListedRun
         Runs in progress.
     ended : tuple of RunEnd
         Ends that earlier surveys did not list.
@@ -93,7 +93,7 @@
     """
 
     worker_id: str
-    running: tuple[RunSeen, ...]
+    running: tuple[ListedRun, ...]
     ended: tuple[RunEnd, ...]
     last_end: int
     begun_s: float
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -14,7 +14,7 @@
 
 from dahliaarch_kernel.codec import encode
 from dahliaarch_kernel.scheduler import EndKind, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import Resources, StepSpec, TaskKey
 from dahliaarch_platform.incarnations import WorkerIncarnation
 from dahliaarch_platform.settings import Address
@@ -109,7 +109,7 @@
             return OrderReply(OrderStatus.NO_ROOM, time.monotonic())
         self.starts.append((worker_id, order.key))
         self.started_at_s = time.monotonic()
-        self.running += (RunSeen(order.key, order.run, '', 1.0),)
+        self.running += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
     async def stop(self, address, worker_id, key, run, fence, *, timeout_s):
@@ -499,7 +499,7 @@
 def test_a_new_owner_contacts_the_incarnation_that_answers_before_it_starts_previous_work(entries):
     """The previous owner had started a task there, and its list of workers names the incarnation before."""
     worker = RestartingWorker()
-    worker.start_again(SECOND, (RunSeen(TASK, 1, '', 10.0),))
+    worker.start_again(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     play(
         worker,
         (lambda owner: None, runs_one(SECOND)),
@@ -513,7 +513,7 @@
 def test_previous_work_waits_for_the_list_of_an_incarnation_that_replaces_one():
     """Its name was contacted as soon as the incarnation before was over, and the task ran a second time elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
-    worker.start_again(SECOND, (RunSeen(TASK, 1, '', 10.0),))
+    worker.start_again(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     worker.list_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -11,7 +11,7 @@
 import anyio
 
 from dahliaarch_kernel.scheduler import EndKind, Lease, StopRun
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_platform.incarnations import WorkerIncarnation
 from dahliaarch_platform.settings import Address
@@ -44,7 +44,7 @@
         if len(self.ended_at_s) <= self.acknowledged:
             with anyio.move_on_after(wait_s):
                 await self.updated.wait()
-        running = tuple(RunSeen(key, 1, '', 10.0) for key in END_S if key not in self.ended_at_s)
+        running = tuple(ListedRun(key, 1, '', 10.0) for key in END_S if key not in self.ended_at_s)
         ends = tuple(
             ListedEnd(number, RunEnd('w', key, 1, EndKind.STOPPED))
             for number, key in enumerate(self.ended_at_s, start=1)
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -13,7 +13,7 @@
 import pytest
 
 from dahliaarch_kernel.scheduler import StartRun
-from dahliaarch_kernel.scheduler.events import RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_platform.settings import Bounds
 from dahliaarch_platform.store import StoreUnansweredError
@@ -53,7 +53,7 @@
 
     async def start(self, address, incarnation, order, **options):
         self.starts.append(order.key)
-        self.running += (RunSeen(order.key, order.run, '', 1.0),)
+        self.running += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -9,7 +9,7 @@
 from dahliaarch_kernel.codec import decode, encode
 from dahliaarch_kernel.configuration import Queue
 from dahliaarch_kernel.scheduler import WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun
 from dahliaarch_kernel.workload import JobSpec, Resources, StepSpec, TaskKey
 from dahliaarch_platform.incarnations import WorkerIncarnation
 from dahliaarch_platform.settings import Address, Bounds
@@ -199,7 +199,7 @@
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_owner_before():
     """Its runs were given up at once and started elsewhere, while they ran on."""
     task = TaskKey(LAST, 0, 0, 0)
-    workers = Workers({'w0': (RunSeen(task, 1, '', 10.0),)})
+    workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -13,7 +13,7 @@
 import anyio
 
 from dahliaarch_kernel.codec import decode, encode
-from dahliaarch_kernel.scheduler.events import RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun
 from dahliaarch_kernel.workload import JobSpec, TaskKey
 from dahliaarch_platform.settings import Bounds
 from dahliaarch_platform.workers import OrderReply, OrderStatus, Survey, WorkerUnreachableError
@@ -47,7 +47,7 @@
     async def start(self, address, incarnation, order, *, fence, timeout_s):
         self._reach(incarnation, fence)
         self.starts.append((incarnation, order.key, fence))
-        self.running_by_id[incarnation] += (RunSeen(order.key, order.run, '', 1.0),)
+        self.running_by_id[incarnation] += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -4,7 +4,7 @@
 import pytest
 
 from dahliaarch_kernel.scheduler import EndKind, Lease, StartRun
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.scheduler.ranks import RANK_ORDINARY
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_node.metrics import Metrics
@@ -48,7 +48,7 @@
         with anyio.move_on_after(wait_s):
             while len(self.ended) <= acknowledged:
                 await anyio.sleep(0.01)
-        running = tuple(RunSeen(key, run, '', 0.0) for key, run in self.running.items())
+        running = tuple(ListedRun(key, run, '', 0.0) for key, run in self.running.items())
         ended = tuple(ListedEnd(number, end) for number, end in enumerate(self.ended, 1) if number > acknowledged)
         return Survey(anyio.current_time(), running, ended)
 
--- a/packages/standins/dahliaarch_standins/comparison/decider.py
+++ b/packages/standins/dahliaarch_standins/comparison/decider.py
@@ -5,7 +5,7 @@
 
 from dahliaarch_kernel.configuration import Queue
 from dahliaarch_kernel.scheduler import Effect, Moment, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.scheduler.workers import WorkerState
 from dahliaarch_kernel.workload import JobSpec, TaskKey
 
@@ -38,7 +38,7 @@
         """Take in that a worker has ended."""
         ...
 
-    def worker_surveyed(self, worker_id: str, running: list[RunSeen], begun_s: float, now: Moment) -> None:
+    def worker_surveyed(self, worker_id: str, running: list[ListedRun], begun_s: float, now: Moment) -> None:
         """Take in what runs on a worker."""
         ...
 
--- a/packages/standins/dahliaarch_standins/comparison/simulation.py
+++ b/packages/standins/dahliaarch_standins/comparison/simulation.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from dahliaarch_kernel.scheduler import EndKind, Moment, StartRun, StopRun, WorkerProfile
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 
 from .chances import Chances
 from .decider import Decider
@@ -167,7 +167,7 @@
     def _report_survey(self, worker: PlayedWorker) -> None:
         every_s = self._pool.checkpoint_s
         running = [
-            RunSeen(key, run, unit.checkpoint(every_s, is_stop=False), unit.percent(self._now_s))
+            ListedRun(key, run, unit.checkpoint(every_s, is_stop=False), unit.percent(self._now_s))
             for (key, run), unit in worker.unit_by_run.items()
         ]
         worker_id = worker.profile.worker_id
