--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -7,7 +7,7 @@
 from .successors import is_waiting_for_survey
 
 
-def job_gate(job: JobState, now: Moment) -> WaitReason | None:
+def job_wait_reason(job: JobState, now: Moment) -> WaitReason | None:
     """Return why no task of a job may start now, or None if tasks may start."""
     if job.crash_limit_at_s is not None:
         return WaitReason.CRASH_REVIEW
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -7,7 +7,7 @@
 from .clock import Moment
 from .crashes import isolation_s, pending_suspects, waits_for_empty_worker
 from .effects import AskAdvice
-from .gates import job_gate, step_gate
+from .gates import job_wait_reason, step_gate
 from .job_state import StepState
 from .mechanisms import Mechanism
 from .memory import SearchKey
@@ -98,7 +98,7 @@
     def _requests(self) -> Iterator[PlacementRequest]:
         """Yield the requests of all ready steps that no gate holds back."""
         for job in self._state.active_jobs():
-            if job_gate(job, self._now) is not None:
+            if job_wait_reason(job, self._now) is not None:
                 continue
             rank = self._ranks.get(job.spec.job_id, RANK_ORDINARY)
             for step in job.ready_steps():
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -5,7 +5,7 @@
 
 from .clock import Moment
 from .events import StepWaiting, WaitReason
-from .gates import job_gate, step_gate
+from .gates import job_wait_reason, step_gate
 from .job_state import StepState
 from .placement import place, PlacementRequest
 from .reservations import Reservations
@@ -37,7 +37,9 @@
         """Report why a request was not granted, unless the reason is unchanged since the last report."""
         step = request.step
         reason = (
-            job_gate(step.job, self._now) or step_gate(self._state, step, self._now) or self._capacity_reason(request)
+            job_wait_reason(step.job, self._now)
+            or step_gate(self._state, step, self._now)
+            or self._capacity_reason(request)
         )
         if self._state.stalls.set_reason(step, reason, self._now.steady_s):
             self._state.notes.append(self._build_report(request, reason))
