--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -16,7 +16,7 @@
     return WaitReason.CRASHES_NOT_SAVED if job.has_unsaved_crashes else None
 
 
-def step_gate(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
+def step_wait_reason(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
     """Return why no task of a step may start now, or None if tasks may start."""
     if step.refused_until_s > now.steady_s:
         return WaitReason.REFUSED
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -7,7 +7,7 @@
 from .clock import Moment
 from .crashes import isolation_s, pending_suspects, waits_for_empty_worker
 from .effects import AskAdvice
-from .gates import job_wait_reason, step_gate
+from .gates import job_wait_reason, step_wait_reason
 from .job_state import StepState
 from .mechanisms import Mechanism
 from .memory import SearchKey
@@ -102,7 +102,7 @@
                 continue
             rank = self._ranks.get(job.spec.job_id, RANK_ORDINARY)
             for step in job.ready_steps():
-                if step_gate(self._state, step, self._now) is None:
+                if step_wait_reason(self._state, step, self._now) is None:
                     yield from self._requests_for_step(step, rank)
 
     def _requests_for_step(self, step: StepState, rank: int) -> Iterator[PlacementRequest]:
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -5,7 +5,7 @@
 
 from .clock import Moment
 from .events import StepWaiting, WaitReason
-from .gates import job_wait_reason, step_gate
+from .gates import job_wait_reason, step_wait_reason
 from .job_state import StepState
 from .placement import place, PlacementRequest
 from .reservations import Reservations
@@ -38,7 +38,7 @@
         step = request.step
         reason = (
             job_wait_reason(step.job, self._now)
-            or step_gate(self._state, step, self._now)
+            or step_wait_reason(self._state, step, self._now)
             or self._capacity_reason(request)
         )
         if self._state.stalls.set_reason(step, reason, self._now.steady_s):
