--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -69,7 +69,7 @@
         self.advice = Advice() if job.queue.advice else None
 
     @property
-    def identity(self) -> StepKey:
+    def step_key(self) -> StepKey:
         """Key of the step."""
         return StepKey(self.job.spec.job_id, self.occurrence, self.number)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -137,7 +137,7 @@
         return sort_key
 
     def _compute_sort_key(self, step: StepState, rank: int) -> SortKey:
-        sort_key = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.identity)
+        sort_key = SortKey(rank, 0.0, begin_s(step.job.spec, step.occurrence), step.step_key)
         policy = self._state.policy
         if not policy.has_priority:
             return sort_key
@@ -219,7 +219,7 @@
         most_free_first = sorted(consenting or eligible, key=lambda worker: -free_by_id[worker.worker_id].accelerators)
         asked = advice.workers_to_query(most_free_first, self._now.steady_s)
         if asked and step.job.queue.advice is not None:
-            self._state.effects.append(AskAdvice(step.identity, asked, step.job.queue.advice))
+            self._state.effects.append(AskAdvice(step.step_key, asked, step.job.queue.advice))
 
     def _place(self, request: PlacementRequest, signature: SearchKey) -> Placement:
         """Return a placement, unless one for an equal signature failed since free capacity last grew."""
@@ -258,7 +258,7 @@
             is_gang=spec.gang,
             in_one_rack=spec.same_rack,
             allows_far_workers=request.allows_far_workers,
-            owner=step.identity if is_unique else None,
+            owner=step.step_key if is_unique else None,
         )
 
     def _start(self, request: PlacementRequest, placement: Placement) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/stall_reports.py
@@ -81,7 +81,7 @@
         stalls = self._state.stalls
         wanted = request.min_task_count
         return StepWaiting(
-            step.identity,
+            step.step_key,
             reason,
             stalls.waited_s(step, self._now.steady_s),
             wanted,
