--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -68,7 +68,7 @@
     if step.spec.lasting or end.key.task_index in step.done:
         return
     failures = step.count_failure(end.key.task_index, end.run)
-    step.failed_on.add(end.worker_id)
+    step.failed_worker_ids.add(end.worker_id)
     if job.has_ended:
         return
     state.dirty_jobs.add(job.spec.job_id)
@@ -79,11 +79,11 @@
 def _attribute_failure(state: SchedulerState, step: StepState, end: RunEnd) -> None:
     """Attribute a failure to the worker, or to the job if it has failed on several workers without a success."""
     job = step.job
-    job.failed_on.add(end.worker_id)
+    job.failed_worker_ids.add(end.worker_id)
     worker = state.worker_by_id.get(end.worker_id)
     if worker is None:
         return
-    if len(job.failed_on) >= _FAULTY_JOB_MIN_WORKERS and not job.has_success:
+    if len(job.failed_worker_ids) >= _FAULTY_JOB_MIN_WORKERS and not job.has_success:
         worker.failed_jobs.discard(job.spec.job_id)
         return
     worker.failed_jobs.add(job.spec.job_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -49,7 +49,7 @@
         # Tasks suspected of crashing workers, and until when they wait for an empty worker, on the steady clock.
         self.suspects: set[int] = set()
         self.empty_worker_wait_until_s: float | None = None
-        self.failed_on: set[str] = set()
+        self.failed_worker_ids: set[str] = set()
         self.checkpoint_by_index: dict[int, str] = {}
         self.refused_until_s = 0.0
         # Workers that refused the step, and until when other workers are preferred, on the steady clock.
@@ -170,7 +170,7 @@
         self.known_since_s = 0.0
         self.step_by_key: dict[tuple[int, int], StepState] = {}
         self.opened_occurrences = 0
-        self.failed_on: set[str] = set()
+        self.failed_worker_ids: set[str] = set()
         self.has_success = False
         # Whether worker crashes were counted that are not saved, so that the next owner would not know of them.
         self.has_unsaved_crashes = False
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -242,7 +242,7 @@
         spec = step.spec
         unique_reasons = (
             spec.max_per_worker,
-            step.failed_on,
+            step.failed_worker_ids,
             step.refused_until_by_worker,
             step.advice,
             request.isolation_s,
--- a/packages/kernel/dahliaarch_kernel/scheduler/placement.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/placement.py
@@ -133,9 +133,9 @@
 
 def without_failed(step: StepState, eligible: list[WorkerState]) -> list[WorkerState]:
     """Exclude workers on which a step failed, unless fewer than half would remain."""
-    if not step.failed_on:
+    if not step.failed_worker_ids:
         return eligible
-    others = [worker for worker in eligible if worker.worker_id not in step.failed_on]
+    others = [worker for worker in eligible if worker.worker_id not in step.failed_worker_ids]
     return others if len(others) * 2 >= len(eligible) else eligible
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -107,7 +107,7 @@
         takers = [worker for worker in state.worker_by_id.values() if worker.takes_starts]
         for job in state.active_jobs():
             for step in job.ready_steps():
-                if step.spec.gang or step.spec.max_per_worker or step.spec.data_rack or step.failed_on:
+                if step.spec.gang or step.spec.max_per_worker or step.spec.data_rack or step.failed_worker_ids:
                     continue
                 assert not any(worker.free.covers(step.spec.demand) for worker in takers)
 
