--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -60,7 +60,7 @@
         # Whether a scheduling pass has already tried to place the step and looked for preemption victims.
         self.was_considered = False
         # Logarithms of the run times of its tasks, normalized by the pace of their workers.
-        self.log_times: list[float] = []
+        self.log_run_times: list[float] = []
         self.sort_key: CachedSortKey | None = None
         # Whether any worker near the step's data, or any single rack, could hold it, and when that was last checked,
         # on the steady clock.
--- a/packages/kernel/dahliaarch_kernel/scheduler/learning.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/learning.py
@@ -73,7 +73,7 @@
     median = _median_log_time(step)
     if median is not None:
         worker.pace.observe(log_time - median)
-    step.log_times.append(log_time - worker.pace.log_ratio)
+    step.log_run_times.append(log_time - worker.pace.log_ratio)
 
 
 def update_slowdowns(workers: Collection[WorkerState]) -> None:
@@ -86,7 +86,7 @@
 
 def _median_log_time(step: StepState) -> float | None:
     """Return the median logarithm of the run times of a step; None if too few are known."""
-    ordered = sorted(step.log_times)
+    ordered = sorted(step.log_run_times)
     if len(ordered) < _MIN_PEERS:
         return None
     return ordered[len(ordered) // 2]
