--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -11,7 +11,7 @@
     """Return why no task of a job may start now, or None if tasks may start."""
     if job.crash_limit_at_s is not None:
         return WaitReason.CRASH_REVIEW
-    if job.known_since_s > now.steady_s:
+    if job.not_before_s > now.steady_s:
         return WaitReason.PREVIOUS_OWNER
     return WaitReason.CRASHES_NOT_SAVED if job.has_unsaved_crashes else None
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/job_state.py
@@ -167,7 +167,7 @@
         self.phase = JobPhase.QUEUED
         self.has_begun = False
         self.ended_s = 0.0
-        self.known_since_s = 0.0
+        self.not_before_s = 0.0
         self.step_by_key: dict[tuple[int, int], StepState] = {}
         self.opened_occurrences = 0
         self.failed_worker_ids: set[str] = set()
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -113,7 +113,7 @@
         if spec.job_id in self._state.job_by_id:
             return False
         job = JobState(spec, queue)
-        job.known_since_s = not_before_s
+        job.not_before_s = not_before_s
         if progress is not None:
             job.restore(progress)
             check_restored_crashes(job, now)
@@ -191,7 +191,7 @@
     def all_workers_reported(self) -> None:
         """Record that no unknown run of a previous owner can remain, so that jobs need not wait for silent workers."""
         for job in self._state.job_by_id.values():
-            job.known_since_s = 0.0
+            job.not_before_s = 0.0
 
     def worker_silent(self, worker_id: str, now: Moment) -> None:
         """Record that a worker has stopped answering."""
