--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -135,7 +135,7 @@
     key = step.key(assignment.task_index)
     run = Run(key, assignment.run, worker.worker_id, effective_demand(step), started_s, work_s)
     run.assigned_s = assignment.assigned_s
-    run.seen_s = now.steady_s
+    run.last_seen_s = now.steady_s
     run.is_inherited = True
     run.rank = rank_of_queue(step.job.queue)
     # Only the worker knows the run's progress and pace, so pace is not learned from this run.
--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -152,7 +152,7 @@
 def _estimate_move(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     repeated_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
-    delay_s = run.seen_s - run.started_s - (run.work_s - left_s)
+    delay_s = run.last_seen_s - run.started_s - (run.work_s - left_s)
     # A degradation is expected to last at least as long again as it has lasted so far.
     degraded_s = max(_MIN_DEGRADATION_S, delay_s)
     remaining_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -76,7 +76,7 @@
         'rank',
         'report_gain',
         'report_span_s',
-        'seen_s',
+        'last_seen_s',
         'slowdown',
         'started_s',
         'was_absent',
@@ -112,7 +112,7 @@
         self.slowdown = 1.0
         self.percent = 0.0
         self.progressed_s = started_s
-        self.seen_s = started_s
+        self.last_seen_s = started_s
         self.report_span_s = 0.0
         self.report_gain = 0.0
         self._baseline_s: float | None = started_s
@@ -122,7 +122,7 @@
     @property
     def ran_s(self) -> float:
         """How long the run is known to have lasted, in seconds."""
-        return self.seen_s - self.started_s
+        return self.last_seen_s - self.started_s
 
     @property
     def is_isolated(self) -> bool:
@@ -133,7 +133,7 @@
         """Set the start time, on the steady clock, when the order is sent: it waited for the assignment to be saved."""
         self.started_s = started_s
         self.progressed_s = started_s
-        self.seen_s = started_s
+        self.last_seen_s = started_s
         self.was_absent = False
         if self._baseline_s is not None:
             self._baseline_s = started_s
@@ -145,7 +145,7 @@
     def saw_progress(self, percent: float, now_s: float) -> None:
         """Record a progress report."""
         self._update_measured_pace(percent, now_s)
-        self.seen_s = now_s
+        self.last_seen_s = now_s
         if percent > self.percent:
             self.percent = percent
             self.progressed_s = now_s
@@ -164,7 +164,7 @@
 
     def may_have_ended(self, at_s: float) -> bool:
         """Return whether the run, last listed earlier, is expected to have ended by a time on the steady clock."""
-        return at_s > self.seen_s and self.left_s(at_s) <= _MIN_LEFT_S
+        return at_s > self.last_seen_s and self.left_s(at_s) <= _MIN_LEFT_S
 
     def left_s(self, now_s: float) -> float:
         """Return the expected remaining time, in seconds."""
@@ -172,8 +172,8 @@
         if self.percent < _MIN_PACE_PERCENT:
             return max(estimated_left_s, _MIN_LEFT_S)
         # The measured pace is a better predictor than the estimate made before the start.
-        pace_s = (self.seen_s - self.started_s) / self.percent
-        left_s = pace_s * (100.0 - self.percent) - (now_s - self.seen_s)
+        pace_s = (self.last_seen_s - self.started_s) / self.percent
+        left_s = pace_s * (100.0 - self.percent) - (now_s - self.last_seen_s)
         return max(left_s, _MIN_LEFT_S)
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -233,7 +233,7 @@
             return
         worker.refusal_backoff.started()
         found.is_confirmed = True
-        found.seen_s = max(found.seen_s, now.steady_s)
+        found.last_seen_s = max(found.last_seen_s, now.steady_s)
         if found.phase is RunPhase.STARTING:
             found.phase = RunPhase.RUNNING
         self._state.job_by_id[found.key.job_id].mark_begun()
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -59,7 +59,7 @@
 def _is_known_absent(run: Run, requested_s: float) -> bool:
     """Return whether a run that is missing from a list requested at a given time is certainly not on the worker."""
     # A worker refuses orders of previous owners once it has answered this one.
-    return run.is_inherited or (run.is_confirmed and run.seen_s < requested_s)
+    return run.is_inherited or (run.is_confirmed and run.last_seen_s < requested_s)
 
 
 def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: ListedRun, now: Moment) -> None:
@@ -105,7 +105,7 @@
     run.has_reported_pace = True
     run.went_on()
     run.rank = rank_of_queue(step.job.queue)
-    run.seen_s = now.steady_s
+    run.last_seen_s = now.steady_s
     run.assigned_s = now.wall_s - (now.steady_s - started_s)
     state.add_run(step, run)
     step.job.mark_begun()
