--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -124,7 +124,7 @@
 
 def _counts_as_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
     """Return whether a run counts as running when its worker crashed: it did not fail to start or end unreported."""
-    if not run.is_confirmed and (run.was_absent or run.is_inherited):
+    if not run.is_confirmed and (run.was_unlisted or run.is_inherited):
         return False
     step = state.step_of(run.key)
     return step is None or step.spec.lasting or not run.may_have_ended(crashed_s)
--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -48,7 +48,7 @@
     is_confirmed : bool
         Whether its worker has acknowledged the start or listed the run. Until then the
         start may still be carried out, even if a list of runs omits it.
-    was_absent : bool
+    was_unlisted : bool
         Whether its worker has sent a list of runs since the start was sent, without this one.
     is_inherited : bool
         Whether a previous owner assigned it and its worker has not listed it since. A list
@@ -79,7 +79,7 @@
         'last_seen_s',
         'slowdown',
         'started_s',
-        'was_absent',
+        'was_unlisted',
         'work_s',
         'worker_id',
     )
@@ -105,7 +105,7 @@
         self.began_from_checkpoint = False
         self.has_reported_pace = False
         self.is_confirmed = False
-        self.was_absent = False
+        self.was_unlisted = False
         self.is_inherited = False
         self.assigned_s = 0.0
         self.isolation_s = 0.0
@@ -134,7 +134,7 @@
         self.started_s = started_s
         self.progressed_s = started_s
         self.last_seen_s = started_s
-        self.was_absent = False
+        self.was_unlisted = False
         if self._baseline_s is not None:
             self._baseline_s = started_s
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -50,7 +50,7 @@
         if (run.key, run.number) in seen_keys:
             continue
         if not _is_known_absent(run, requested_s):
-            run.was_absent = run.was_absent or run.started_s < requested_s
+            run.was_unlisted = run.was_unlisted or run.started_s < requested_s
             continue
         state.note_loss(worker, run, LossCause.NOT_LISTED)
         apply_run_end(state, RunEnd(worker.worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint), now)
