--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -140,7 +140,7 @@
     run.rank = rank_of_queue(step.job.queue)
     # Only the worker knows the run's progress and pace, so pace is not learned from this run.
     run.has_reported_pace = True
-    run.went_on()
+    run.discard_pace_baseline()
     if assignment.task_index in step.suspects:
         run.isolation_s = isolation_s(step)
     state.add_run(step, run)
--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -138,7 +138,7 @@
         if self._baseline_s is not None:
             self._baseline_s = started_s
 
-    def went_on(self) -> None:
+    def discard_pace_baseline(self) -> None:
         """Discard the pace baseline: the run did not start from the beginning, or its start time is not exact."""
         self._baseline_s = None
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -202,7 +202,7 @@
         run.checkpoint = step.gang_checkpoint() if step.spec.gang else checkpoints.get(task_index, '')
         run.began_from_checkpoint = bool(run.checkpoint)
         if run.began_from_checkpoint:
-            run.went_on()
+            run.discard_pace_baseline()
         self.add_run(step, run)
         ticket = step.advice.ticket(run.worker_id, run.started_s) if step.advice else ''
         self.effects.append(StartRun(run.worker_id, run.key, run.number, run.checkpoint, run.rank, run.work_s, ticket))
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -103,7 +103,7 @@
     run.phase = RunPhase.RUNNING
     # Its start time is unknown, so the worker's pace can't be learned from it.
     run.has_reported_pace = True
-    run.went_on()
+    run.discard_pace_baseline()
     run.rank = rank_of_queue(step.job.queue)
     run.last_seen_s = now.steady_s
     run.assigned_s = now.wall_s - (now.steady_s - started_s)
