--- a/packages/kernel/dahliaarch_kernel/scheduler/runs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/runs.py
@@ -142,7 +142,7 @@
         """Discard the pace baseline: the run did not start from the beginning, or its start time is not exact."""
         self._baseline_s = None
 
-    def saw_progress(self, percent: float, now_s: float) -> None:
+    def record_progress(self, percent: float, now_s: float) -> None:
         """Record a progress report."""
         self._update_measured_pace(percent, now_s)
         self.last_seen_s = now_s
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -73,7 +73,7 @@
         state.job_by_id[run.key.job_id].mark_begun()
     run.is_confirmed = True
     run.is_inherited = False
-    run.saw_progress(seen.percent, now.steady_s)
+    run.record_progress(seen.percent, now.steady_s)
     step = state.step_of(run.key)
     if step is not None:
         clear_suspect(step, run)
