--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -66,7 +66,7 @@
         self._workers = [
             worker
             for worker in accepting
-            if state.knows_room(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
+            if state.is_capacity_known(worker, now.steady_s) and worker.refusal_backoff.is_over(now.steady_s)
         ]
         self._free_capacity = FreeCapacity(self._workers, state.reservations)
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -151,7 +151,7 @@
         job = self.job_by_id.get(key.job_id)
         return None if job is None else job.step_of(key)
 
-    def knows_room(self, worker: WorkerState, now_s: float) -> bool:
+    def is_capacity_known(self, worker: WorkerState, now_s: float) -> bool:
         """Return whether a worker's published capacity is recent, or the worker enforces it itself."""
         if worker.profile.service not in self.unguarded_services:
             return True
