--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -127,7 +127,7 @@
     estimate = _estimate_move(step, run, slowness)
     if _meets_target_only_if_moved(state, step, estimate, now) or _is_far_behind(estimate):
         step.failed_worker_ids.add(run.worker_id)
-        state.stop_unit(run, 'stalled')
+        state.stop_with_gang(run, 'stalled')
 
 
 class _MoveEstimate(NamedTuple):
--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -52,4 +52,4 @@
     for run in tuple(worker.run_by_key.values()):
         ends_s = now.steady_s + run.left_s(now.steady_s)
         if run.phase is RunPhase.RUNNING and ends_s > leaves_at_s:
-            state.stop_unit(run, 'worker leaves')
+            state.stop_with_gang(run, 'worker leaves')
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -296,7 +296,7 @@
             self._reserve(request, count)
             return
         for victim in plan.victims:
-            self._state.stop_unit(victim, f'makes room for {step.job.spec.job_id}')
+            self._state.stop_with_gang(victim, f'makes room for {step.job.spec.job_id}')
         self._reserve_for_plan(request, plan)
 
     def _plan(self, request: PlacementRequest, wanted: int) -> PreemptionPlan | None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -214,7 +214,7 @@
         run.phase = RunPhase.STOPPING
         self.effects.append(StopRun(run.worker_id, run.key, run.number, reason))
 
-    def stop_unit(self, run: Run, reason: str) -> None:
+    def stop_with_gang(self, run: Run, reason: str) -> None:
         """Order a stop of a run or, for a gang, of all its members."""
         step = self.step_of(run.key)
         members = list(step.run_by_index.values()) if step is not None and step.spec.gang else [run]
