--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -60,7 +60,7 @@
         """Whether the worker's clock has been read."""
         return self._clock_s is not None
 
-    def read(self, clock_s: float, now_s: float) -> None:
+    def record_clock(self, clock_s: float, now_s: float) -> None:
         """Record a reading of the worker's clock, which shows at least ``clock_s`` at ``now_s``."""
         if self._clock_s is None or clock_s >= self._clock_s:
             self._clock_s = clock_s
--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -97,4 +97,4 @@
         """Record a reading of the worker's clock from an answer, if it has one."""
         if clock_s is not None:
             self.clock_s = clock_s
-            self.lease.read(clock_s, self.context.clock())
+            self.lease.record_clock(clock_s, self.context.clock())
--- a/packages/standins/dahliaarch_standins/comparison/simulation.py
+++ b/packages/standins/dahliaarch_standins/comparison/simulation.py
@@ -172,7 +172,7 @@
         ]
         worker_id = worker.profile.worker_id
         lease = self._scheduler.worker_by_id[worker_id].lease
-        lease.read(self._now_s, self._now_s)
+        lease.record_clock(self._now_s, self._now_s)
         lease.sent(self._now_s + self._pool.hold_s)
         self._scheduler.worker_surveyed(worker_id, running, self._now_s, self._moment)
 
