--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -72,7 +72,7 @@
             return 0.0
         return self._clock_s + (now_s - self._read_at_s) + hold_s
 
-    def sent(self, until_s: float) -> None:
+    def record_sent(self, until_s: float) -> None:
         """Record a lease end that was sent, whether it was answered or not; the lease is never shortened."""
         self._until_s = max(self._until_s, until_s)
 
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -168,10 +168,10 @@
             await self._handle_failed_survey(error)
             return
         except WORKER_FAILURES as error:
-            self._lease.sent(lease_end_s or 0.0)
+            self._lease.record_sent(lease_end_s or 0.0)
             await self._handle_failed_survey(error)
             return
-        self._lease.sent(lease_end_s or 0.0)
+        self._lease.record_sent(lease_end_s or 0.0)
         if isinstance(survey, OrderStatus):
             await self._handle_refused_survey(survey)
             return
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -215,7 +215,7 @@
         return _StartOutcome.NOT_STARTED
 
     async def _start_once(self, order: StartOrder, timeout_s: float) -> OrderStatus:
-        self._contact.lease.sent(order.lease_until_s)
+        self._contact.lease.record_sent(order.lease_until_s)
         reply = await self._contact.session.start(order, timeout_s=timeout_s)
         self._contact.record_clock(reply.clock_s)
         return reply.status
--- a/packages/standins/dahliaarch_standins/comparison/simulation.py
+++ b/packages/standins/dahliaarch_standins/comparison/simulation.py
@@ -173,7 +173,7 @@
         worker_id = worker.profile.worker_id
         lease = self._scheduler.worker_by_id[worker_id].lease
         lease.record_clock(self._now_s, self._now_s)
-        lease.sent(self._now_s + self._pool.hold_s)
+        lease.record_sent(self._now_s + self._pool.hold_s)
         self._scheduler.worker_surveyed(worker_id, running, self._now_s, self._moment)
 
     def _degrade(self, degraded: DegradedPlace) -> None:
