--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -100,7 +100,7 @@
         self.worker_by_id[worker_id].is_silent = True
         known = self.scheduler.worker_by_id.get(worker_id)
         if known is not None:
-            known.lease.assume(self.now_s + LONGEST_LEASE_S)
+            known.lease.assume_until(self.now_s + LONGEST_LEASE_S)
             self.scheduler.worker_silent(worker_id, self.now)
 
     def submit(self, job_id, steps, queue):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -63,7 +63,7 @@
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.workers:
             self.scheduler.update_worker(WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
-            self.scheduler.worker_by_id[worker_id].lease.assume(self.now_s + LONGEST_LEASE_S)
+            self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
         for job_id, (spec, queue) in self.spec_by_id.items():
             self.scheduler.add_job(
                 spec,
@@ -88,7 +88,7 @@
         worker = self.workers[worker_id]
         worker.fence = self.epoch
         worker.lease_until_s = self.now_s + LEASE_S
-        self.scheduler.worker_by_id[worker_id].lease.assume(self.now_s + LONGEST_LEASE_S)
+        self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
         for end in worker.ends:
             self.scheduler.run_ended(end, self.now)
         self.keep()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -163,7 +163,7 @@
 def fall_silent(pool, worker_id):
     """Let a worker be out of touch until its lease has ended."""
     worker = pool.scheduler.worker_by_id[worker_id]
-    worker.lease.assume(pool.now_s + 5.0)
+    worker.lease.assume_until(pool.now_s + 5.0)
     pool.scheduler.worker_silent(worker_id, pool.now)
     pool.scheduler.unlist_worker(worker_id)
     for running_on, key in sorted(pool.running):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -84,7 +84,7 @@
     def worker_is_silent(self, number):
         worker_id = f'w{number}'
         lease = self.pool.scheduler.worker_by_id[worker_id].lease
-        lease.assume(self.pool.now_s + 1000.0)
+        lease.assume_until(self.pool.now_s + 1000.0)
         self.pool.scheduler.worker_silent(worker_id, self.pool.now)
         self.pool.silent.add(worker_id)
         self.pool.step()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -300,7 +300,7 @@
     for worker_id in sorted(pool.profiles):
         if not any(worker == worker_id for worker, _ in pool.running):
             pool.scheduler.worker_silent(worker_id, pool.now)
-            pool.scheduler.worker_by_id[worker_id].lease.assume(pool.now_s + 60.0)
+            pool.scheduler.worker_by_id[worker_id].lease.assume_until(pool.now_s + 60.0)
     pool.submit(JOB, task(1))
     assert [note.reason for note in reasons_of(pool, 12)] == [WaitReason.UNAVAILABLE]
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -76,13 +76,13 @@
         """Record a lease end that was sent, whether it was answered or not; the lease is never shortened."""
         self._until_s = max(self._until_s, until_s)
 
-    def assume(self, latest_end_s: float) -> None:
+    def assume_until(self, latest_end_s: float) -> None:
         """Assume that a previous owner granted a lease until ``latest_end_s`` at the latest."""
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
     def assume_held_until(self, hold_s: float, now_s: float) -> None:
         """Assume that a previous owner granted leases of ``hold_s`` until now."""
-        self.assume(now_s + hold_s * _MAX_CLOCK_RATIO)
+        self.assume_until(now_s + hold_s * _MAX_CLOCK_RATIO)
 
     def latest_end_s(self) -> float:
         """Return the steady time after which the lease has ended and nothing runs on the worker any more."""
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -70,7 +70,7 @@
             until_s=self._leases_end_s,
         )
         for worker in silent:
-            worker.lease.assume(self._leases_end_s)
+            worker.lease.assume_until(self._leases_end_s)
 
     def on_worker_replaced(self, worker_id: str) -> None:
         """Wait for the report of a worker's new incarnation.
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -162,7 +162,7 @@
     state.worker_by_id['w0'] = worker
     worker.silent_since_s = now.steady_s
     worker.late_order_s = 12.0
-    worker.lease.assume(99.0)
+    worker.lease.assume_until(99.0)
     worker.unanswered_starts[TASK] = 95.0
     expire_leases(state, now)
     assert not worker.is_lapsed
