--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -165,7 +165,7 @@
     effect = pool.step()[0]
     worker = pool.scheduler.worker_by_id[effect.worker_id]
     worker.lease.record_clock(50.0, pool.now_s)
-    worker.lease.record_sent(worker.lease.until(6.0, pool.now_s))
+    worker.lease.record_sent(worker.lease.end_of(6.0, pool.now_s))
     pool.scheduler.worker_silent(effect.worker_id, pool.now)
     if not listed:
         pool.scheduler.unlist_worker(effect.worker_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -66,7 +66,7 @@
             self._clock_s = clock_s
             self._read_at_s = now_s
 
-    def until(self, hold_s: float, now_s: float) -> float:
+    def end_of(self, hold_s: float, now_s: float) -> float:
         """Return the end, on the worker's clock, of a lease of ``hold_s`` from now."""
         if self._clock_s is None:
             return 0.0
--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -91,7 +91,7 @@
         """Return the end of a lease that begins now, on the worker's clock; None before the first reading of it."""
         if not self.lease.has_reading:
             return None
-        return self.lease.until(hold_s, self.context.clock())
+        return self.lease.end_of(hold_s, self.context.clock())
 
     def record_clock(self, clock_s: float | None) -> None:
         """Record a reading of the worker's clock from an answer, if it has one."""
