--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -176,7 +176,7 @@
         self.slowdown = 1.0
 
     @property
-    def is_overfull(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether its runs hold more than its capacity, because the capacity has shrunk."""
         return min(self.free) < 0
 
--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -41,7 +41,7 @@
         Set and replaced by a new event each time a survey is answered.
     is_draining : bool
         Whether the worker has announced that it is shutting down.
-    is_overfull : bool
+    is_overcommitted : bool
         Whether running tasks exceed the capacity that the worker reports, because it has shrunk.
     may_hide_ends : bool
         Whether the worker may fail to list ends. Until it lists one, each run is stopped right after its start.
@@ -60,7 +60,7 @@
         self.clock_s = -math.inf
         self.failures = 0
         self.is_draining = False
-        self.is_overfull = False
+        self.is_overcommitted = False
         self.may_hide_ends = False
         self.unanswered_starts: dict[TaskKey, float] = {}
         self.survey_answered = anyio.Event()
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -180,7 +180,7 @@
                 'worker_listed', worker=profile.worker_id, draining=profile.draining, leaves_in_s=profile.leaves_in_s
             )
         link.is_draining = profile.draining
-        link.is_overfull = self._scheduler.worker_by_id[profile.worker_id].is_overfull
+        link.is_overcommitted = self._scheduler.worker_by_id[profile.worker_id].is_overcommitted
 
     @handle.register
     def _(self, message: WorkersSynced) -> None:
@@ -221,7 +221,7 @@
             link.processed = max(link.processed, message.last_end)
         worker = self._scheduler.worker_by_id.get(message.worker_id)
         if link is not None and worker is not None:
-            link.is_overfull = worker.is_overfull
+            link.is_overcommitted = worker.is_overcommitted
         self._previous.on_worker_reported(message.worker_id)
         predecessor = self._links.pop_predecessor(message.worker_id)
         if predecessor is not None:
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -91,13 +91,13 @@
         self._contact.is_draining = is_draining
 
     @property
-    def is_overfull(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether the running tasks exceed the capacity that the worker reports."""
-        return self._contact.is_overfull
+        return self._contact.is_overcommitted
 
-    @is_overfull.setter
-    def is_overfull(self, is_overfull: bool) -> None:
-        self._contact.is_overfull = is_overfull
+    @is_overcommitted.setter
+    def is_overcommitted(self, is_overcommitted: bool) -> None:
+        self._contact.is_overcommitted = is_overcommitted
 
     @property
     def may_hide_ends(self) -> bool:
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -116,7 +116,7 @@
     play(worker, scenario, is_draining=is_draining)
 
 
-@pytest.mark.parametrize('change', ['is_draining', 'is_overfull'])
+@pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
 def test_a_start_that_waited_for_its_turn_is_not_sent_to_a_worker_that_leaves_or_lost_the_room(change):
     """Behind hundreds of unanswered starts a turn comes seconds later; what starts then dies with its worker."""
     worker = Worker()
