--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -70,16 +70,16 @@
         ]
         self._free_capacity = FreeCapacity(self._workers, state.reservations)
         self._preemption = Preemption(lambda run: state.step_of(run.key), now.steady_s, state.policy, state.settings)
-        self._memory = state.memory
+        self._failed_searches = state.failed_searches
         self._ranks = rank_by_job(state.active_jobs(), state.guaranteed_by_account)
-        self._is_full = now.steady_s - self._memory.last_full_pass_s >= _FULL_PASS_INTERVAL_S
+        self._is_full = now.steady_s - self._failed_searches.last_full_pass_s >= _FULL_PASS_INTERVAL_S
 
     def run(self) -> None:
         """Place every step that fits, in order of sort keys."""
         self._drop_stale_reservations()
-        self._memory.invalidate(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
+        self._failed_searches.invalidate(self._free_capacity.free_by_id, self._reservations.pop_freed_workers())
         if self._is_full:
-            self._memory.begin_full_pass(self._now.steady_s)
+            self._failed_searches.begin_full_pass(self._now.steady_s)
             share = used_share(self._state.worker_by_id.values())
             self._state.stalls.update(self._state.active_jobs(), share, self._now.steady_s)
             self._reservations.blocks_only_later_steps = self._state.stalls.has_idle_capacity
@@ -121,7 +121,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._memory.is_known_to_lack_room(self._signature(request), request.min_task_count)
+        return not self._failed_searches.is_known_to_lack_room(self._signature(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's sort key, recomputed periodically."""
@@ -224,12 +224,12 @@
     def _place(self, request: PlacementRequest, signature: SearchKey) -> Placement:
         """Return a placement, unless one for an equal signature failed since free capacity last grew."""
         wanted = request.min_task_count
-        if self._memory.is_known_to_lack_room(signature, wanted):
+        if self._failed_searches.is_known_to_lack_room(signature, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
         # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
-            self._memory.record_no_room(signature, wanted)
+            self._failed_searches.record_no_room(signature, wanted)
         return placement
 
     def _signature(self, request: PlacementRequest) -> SearchKey:
@@ -305,13 +305,13 @@
         rank = request.rank
         signature = self._signature(request)
         since_s = self._now.steady_s - _VICTIM_SEARCH_INTERVAL_S
-        if self._memory.is_known_to_lack_victims(signature, rank, wanted, since_s):
+        if self._failed_searches.is_known_to_lack_victims(signature, rank, wanted, since_s):
             return None
         plan = self._preemption.plan(
             step, wanted, self._free_capacity, request.sort_key, allows_far_workers=request.allows_far_workers
         )
         if plan is None:
-            self._memory.record_no_victims(signature, rank, wanted, self._now.steady_s)
+            self._failed_searches.record_no_victims(signature, rank, wanted, self._now.steady_s)
         return plan
 
     def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -148,7 +148,7 @@
             worker = WorkerState(profile)
             self._state.worker_by_id[profile.worker_id] = worker
         if worker.profile.capacity != profile.capacity:
-            self._state.memory.grown_workers.add(profile.worker_id)
+            self._state.failed_searches.grown_workers.add(profile.worker_id)
         worker.profile = profile
         worker.is_listed = True
         worker.has_published_profile = True
@@ -284,7 +284,7 @@
             self._state.given_up_unacknowledged.discard(worker_id)
             if lists_ends and worker.may_hide_ends:
                 worker.may_hide_ends = False
-                self._state.memory.grown_workers.add(worker_id)
+                self._state.failed_searches.grown_workers.add(worker_id)
             apply_survey(self._state, worker, running, begun_s, now)
 
     def decide(self, now: Moment) -> list[Effect]:
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -142,7 +142,7 @@
         self.unguarded_services: frozenset[str] = frozenset()
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
-        self.memory = FailedSearches()
+        self.failed_searches = FailedSearches()
         self.stalls = StallTracker()
         self._runs_started = 0
 
@@ -176,7 +176,7 @@
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None:
             worker.remove_run(run)
-            self.memory.grown_workers.add(run.worker_id)
+            self.failed_searches.grown_workers.add(run.worker_id)
         step = self.step_of(run.key)
         if step is None or step.run_by_index.get(run.key.task_index) is not run:
             return
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -304,5 +304,5 @@
         pool.step(0.3)
         pool.scheduler.cancel(job_id, pool.now)
     pool.step(0.3)
-    memory = pool.scheduler._state.memory
-    assert len(memory._failed_placements) + len(memory._failed_victim_searches) < 5
+    failed_searches = pool.scheduler._state.failed_searches
+    assert len(failed_searches._failed_placements) + len(failed_searches._failed_victim_searches) < 5
