--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -121,7 +121,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._failed_searches.is_known_to_lack_room(self._signature(request), request.min_task_count)
+        return not self._failed_searches.is_known_to_lack_room(self._search_key(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's sort key, recomputed periodically."""
@@ -151,9 +151,9 @@
             self._start_isolated(request)
             return
         step.was_considered = True
-        signature = self._signature(request)
+        search_key = self._search_key(request)
         self._drop_outdated_reservation(step)
-        placement = self._place(request, signature)
+        placement = self._place(request, search_key)
         if not placement.task_count and step.advice is not None:
             self._ask_advice(request, step.advice)
         if placement.task_count:
@@ -221,19 +221,19 @@
         if asked and step.job.queue.advice is not None:
             self._state.effects.append(AskAdvice(step.step_key, asked, step.job.queue.advice))
 
-    def _place(self, request: PlacementRequest, signature: SearchKey) -> Placement:
-        """Return a placement, unless one for an equal signature failed since free capacity last grew."""
+    def _place(self, request: PlacementRequest, search_key: SearchKey) -> Placement:
+        """Return a placement, unless one for an equal search key failed since free capacity last grew."""
         wanted = request.min_task_count
-        if self._failed_searches.is_known_to_lack_room(signature, wanted):
+        if self._failed_searches.is_known_to_lack_room(search_key, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
         # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
-            self._failed_searches.record_no_room(signature, wanted)
+            self._failed_searches.record_no_room(search_key, wanted)
         return placement
 
-    def _signature(self, request: PlacementRequest) -> SearchKey:
-        """Return a signature that is equal for all steps with the same placement requirements.
+    def _search_key(self, request: PlacementRequest) -> SearchKey:
+        """Return a search key that is equal for all steps with the same placement requirements.
 
         It is unique for steps that failed or were refused on a worker, that are overdue,
         isolated, limited per worker or need advice, or that have a reservation.
@@ -300,18 +300,18 @@
         self._reserve_for_plan(request, plan)
 
     def _plan(self, request: PlacementRequest, wanted: int) -> PreemptionPlan | None:
-        """Search for victims, unless a search for an equal signature has just failed."""
+        """Search for victims, unless a search for an equal search key has just failed."""
         step = request.step
         rank = request.rank
-        signature = self._signature(request)
+        search_key = self._search_key(request)
         since_s = self._now.steady_s - _VICTIM_SEARCH_INTERVAL_S
-        if self._failed_searches.is_known_to_lack_victims(signature, rank, wanted, since_s):
+        if self._failed_searches.is_known_to_lack_victims(search_key, rank, wanted, since_s):
             return None
         plan = self._preemption.plan(
             step, wanted, self._free_capacity, request.sort_key, allows_far_workers=request.allows_far_workers
         )
         if plan is None:
-            self._failed_searches.record_no_victims(signature, rank, wanted, self._now.steady_s)
+            self._failed_searches.record_no_victims(search_key, rank, wanted, self._now.steady_s)
         return plan
 
     def _reserve_for_plan(self, request: PlacementRequest, plan: PreemptionPlan) -> None:
