--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -74,7 +74,7 @@
             if search_key.owner is None
         }
 
-    def is_known_to_lack_room(self, search_key: SearchKey, task_count: int) -> bool:
+    def is_known_to_lack_capacity(self, search_key: SearchKey, task_count: int) -> bool:
         """Return whether a search for this number of tasks, or for fewer, found no room."""
         return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -121,7 +121,7 @@
             return True
         if self._is_full or not step.was_considered or self._reservations.has(step):
             return True
-        return not self._failed_searches.is_known_to_lack_room(self._search_key(request), request.min_task_count)
+        return not self._failed_searches.is_known_to_lack_capacity(self._search_key(request), request.min_task_count)
 
     def _sort_key(self, step: StepState, rank: int) -> SortKey:
         """Return a step's sort key, recomputed periodically."""
@@ -224,7 +224,7 @@
     def _place(self, request: PlacementRequest, search_key: SearchKey) -> Placement:
         """Return a placement, unless one for an equal search key failed since free capacity last grew."""
         wanted = request.min_task_count
-        if self._failed_searches.is_known_to_lack_room(search_key, wanted):
+        if self._failed_searches.is_known_to_lack_capacity(search_key, wanted):
             return Placement(())
         placement = place(request, self._free_capacity)
         # Tickets are granted and expire between passes: steps that need them are always tried.
