--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -78,7 +78,7 @@
         """Return whether a search for this number of tasks, or for fewer, found no room."""
         return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
-    def record_no_room(self, search_key: SearchKey, task_count: int) -> None:
+    def record_no_capacity(self, search_key: SearchKey, task_count: int) -> None:
         """Record that a search for this number of tasks found no room."""
         self._failed_placements[search_key] = min(task_count, self._failed_placements.get(search_key, task_count))
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/passes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/passes.py
@@ -229,7 +229,7 @@
         placement = place(request, self._free_capacity)
         # Tickets are granted and expire between passes: steps that need them are always tried.
         if not placement.task_count and request.step.advice is None:
-            self._failed_searches.record_no_room(search_key, wanted)
+            self._failed_searches.record_no_capacity(search_key, wanted)
         return placement
 
     def _search_key(self, request: PlacementRequest) -> SearchKey:
