--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -24,7 +24,7 @@
 # How long the published capacity of workers that don't enforce it stays valid, in
 # seconds: entries are written every 1.5 s, and users tolerate starts on capacity that
 # shrank up to 4.5 s ago.
-_ROOM_VALID_S = 3.0
+_CAPACITY_VALID_S = 3.0
 
 
 # Number of tasks of a step whose assignments are saved together. It bounds the size of
@@ -155,7 +155,7 @@
         """Return whether a worker's published capacity is recent, or the worker enforces it itself."""
         if worker.profile.service not in self.unguarded_services:
             return True
-        return now_s - self.workers_synced_s <= _ROOM_VALID_S
+        return now_s - self.workers_synced_s <= _CAPACITY_VALID_S
 
     def next_run_number(self) -> int:
         """Return a run number larger than all previous ones."""
