--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -77,7 +77,7 @@
 
     def set_services_without_capacity_check(self, services: Iterable[str]) -> None:
         """Replace the services whose workers start tasks without checking their own capacity."""
-        self._state.unguarded_services = frozenset(services)
+        self._state.services_without_capacity_check = frozenset(services)
 
     def workers_synced(self, now: Moment) -> None:
         """Record that the published entries of all workers are up to date."""
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -139,7 +139,7 @@
         self.effects: list[Effect] = []
         self.guaranteed_by_account: dict[str, int] = {}
         # Services whose workers don't enforce their capacity, and when worker entries were last synced.
-        self.unguarded_services: frozenset[str] = frozenset()
+        self.services_without_capacity_check: frozenset[str] = frozenset()
         self.workers_synced_s = float('-inf')
         self.surveyed_workers: set[str] = set()
         self.failed_searches = FailedSearches()
@@ -153,7 +153,7 @@
 
     def is_capacity_known(self, worker: WorkerState, now_s: float) -> bool:
         """Return whether a worker's published capacity is recent, or the worker enforces it itself."""
-        if worker.profile.service not in self.unguarded_services:
+        if worker.profile.service not in self.services_without_capacity_check:
             return True
         return now_s - self.workers_synced_s <= _CAPACITY_VALID_S
 
