--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -320,7 +320,7 @@
         return bool(self._state.dirty_jobs)
 
     @property
-    def has_ends_to_keep(self) -> bool:
+    def has_unsaved_ends(self) -> bool:
         """Whether the end of any job has to be stored."""
         jobs = self._state.job_by_id
         return any(jobs[job_id].has_ended for job_id in self._state.dirty_jobs if job_id in jobs)
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -173,7 +173,7 @@
             with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
                 await self.flush_requested.wait()
             self.flush_requested = anyio.Event()
-            if not (self._held_starts or self._scheduler.has_ends_to_keep):
+            if not (self._held_starts or self._scheduler.has_unsaved_ends):
                 await anyio.sleep(_BATCH_DELAY_S)
             await self._flush()
 
