--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -165,7 +165,7 @@
                 'worker_entry_put_off', worker=known_link.incarnation.worker_id, entry_of=message.incarnation.worker_id
             )
             self._scheduler.unlist_worker(known_link.incarnation.worker_id)
-            known_link.look_again()
+            known_link.survey_now()
             return
         if known_link is not None:
             message = message.for_incarnation(known_link.incarnation)
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -128,7 +128,7 @@
         """Cancel the surveys and all pending orders."""
         self._contact.cancel_scope.cancel()
 
-    def look_again(self) -> None:
+    def survey_now(self) -> None:
         """Abort the pending survey and start a new one, e.g. because the worker may have restarted."""
         if self._survey_abort is not None and not self._survey_abort.done():
             self._survey_abort.set_result(None)
@@ -275,7 +275,7 @@
                     log_event('hedge_failed', worker=self._worker_id, why=str(error))
                     return
                 if not self._is_acknowledging:
-                    self.look_again()
+                    self.survey_now()
                 return
 
     @property
