--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -54,7 +54,7 @@
         self.listed = 0
         self.processed = 0
         # When the last unanswered acknowledgement was sent; the worker may still process it later.
-        self.unanswered_at_s = -math.inf
+        self.unanswered_acknowledgement_s = -math.inf
         # When the worker was inherited from the previous owner, which may have sent it an acknowledgement
         # that was never answered.
         self.inherited_at_s = -math.inf
@@ -222,10 +222,10 @@
         # After an unanswered acknowledgement the worker's next incarnation has to be probed, so a survey
         # that acknowledges is not aborted when a hedge is answered.
         self._is_acknowledging = bool(acknowledged)
-        earlier_s = self.unanswered_at_s
+        earlier_s = self.unanswered_acknowledgement_s
         if acknowledged:
             # Set before sending: other calls may close this link before the answer arrives.
-            self.unanswered_at_s = context.clock()
+            self.unanswered_acknowledgement_s = context.clock()
         try:
             survey = await self._session.survey(
                 acknowledged=acknowledged,
@@ -235,12 +235,12 @@
                 given_up=self._survey_abort,
             )
         except WorkerReplacedError:
-            self.unanswered_at_s = earlier_s
+            self.unanswered_acknowledgement_s = earlier_s
             raise
         except (WorkerUnansweredError, WorkerUnreachableError) as error:
             if isinstance(error, WorkerUnreachableError):
                 # The survey was never sent: the handshake that identifies the incarnation comes first.
-                self.unanswered_at_s = earlier_s
+                self.unanswered_acknowledgement_s = earlier_s
             if self._hedge_answer is None:
                 raise
             return self._hedge_answer
@@ -248,7 +248,7 @@
             for timer in timers:
                 timer.cancel()
             self._hedge_scope.cancel()
-        self.unanswered_at_s = earlier_s
+        self.unanswered_acknowledgement_s = earlier_s
         return survey
 
     def _start_hedge(self, left_s: float) -> None:
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -206,7 +206,7 @@
         earlier = self._unanswered_by_name.pop(name, None)
         acknowledgements = [
             _UnansweredAcknowledgement(
-                link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
+                link.unanswered_acknowledgement_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
             ),
             _UnansweredAcknowledgement(
                 link.inherited_at_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -236,7 +236,7 @@
     assert all(acknowledged == 0 for acknowledged, lease in worker.surveys if lease is None)
     assert any(acknowledged for acknowledged, _ in renewing)
     # The acknowledgement that got no answer may be carried out late, though another question was answered.
-    assert link.unanswered_at_s > 0
+    assert link.unanswered_acknowledgement_s > 0
 
 
 def test_an_acknowledgement_that_is_answered_late_is_waited_for():
@@ -245,4 +245,4 @@
     _, link = play_lossy(worker, 2.0)
     assert any(acknowledged for acknowledged, _ in worker.surveys)
     assert any(lease is None for _, lease in worker.surveys[1:])
-    assert link.unanswered_at_s < 0
+    assert link.unanswered_acknowledgement_s < 0
