--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -192,7 +192,7 @@
         link.is_draining = message.profile.draining
         if message.is_lapsed:
             self._links.mark_inherited_lapsed(self._scheduler.worker_by_id[message.profile.worker_id])
-        link.inherited_at_s = self._now().steady_s
+        link.inherited_s = self._now().steady_s
         self._scheduler.unlist_worker(message.profile.worker_id)
 
     @handle.register
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -57,7 +57,7 @@
         self.unanswered_acknowledgement_s = -math.inf
         # When the worker was inherited from the previous owner, which may have sent it an acknowledgement
         # that was never answered.
-        self.inherited_at_s = -math.inf
+        self.inherited_s = -math.inf
         # Whether a survey that lists running tasks shows that the worker lists ends too: the previous owner
         # had probed it before it started anything there.
         self.is_trusted_at_work = False
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -209,7 +209,7 @@
                 link.unanswered_acknowledgement_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
             ),
             _UnansweredAcknowledgement(
-                link.inherited_at_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
+                link.inherited_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
             ),
         ]
         if earlier is not None:
