--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -60,7 +60,7 @@
         self.inherited_s = -math.inf
         # Whether a survey that lists running tasks shows that the worker lists ends too: the previous owner
         # had probed it before it started anything there.
-        self.is_trusted_at_work = False
+        self.is_probed_if_running = False
         # When the last survey was answered.
         self.last_contact_s = -math.inf
         # Numbers of the ends listed in the latest answer.
@@ -327,7 +327,7 @@
             self._context.metrics.run_ends.labels(end.kind.value).inc()
         self._listed_numbers = tuple(listed.number for listed in survey.ended)
         last_end = max(self._listed_numbers, default=0)
-        if self._listed_numbers or (self.is_trusted_at_work and survey.running):
+        if self._listed_numbers or (self.is_probed_if_running and survey.running):
             self._contact.may_hide_ends = False
         self._is_idle = not survey.running
         self._orders.reconcile(survey, survey_start)
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -88,7 +88,7 @@
             link = WorkerLink(incarnation, address, worker.lease, self._context, fence)
             earlier = self._unanswered_by_name.get(incarnation.name)
             link.may_hide_ends = earlier is not None
-            link.is_trusted_at_work = earlier is not None and not earlier.is_own
+            link.is_probed_if_running = earlier is not None and not earlier.is_own
             worker.is_lapsed = worker.is_lapsed or incarnation.name in self._lapsed_roster_version_by_name
             self._link_by_id[worker.worker_id] = link
             self._link_by_name[incarnation.name] = link
