--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -51,7 +51,7 @@
         self.incarnation = incarnation
         self.address = address
         self.acknowledged = 0
-        self.listed = 0
+        self.last_listed_end = 0
         self.processed = 0
         # When the last unanswered acknowledgement was sent; the worker may still process it later.
         self.unanswered_acknowledgement_s = -math.inf
@@ -301,7 +301,7 @@
 
     def _survey_wait_s(self) -> float:
         """Return how long the worker may delay its answer to the next survey until a run ends."""
-        has_updates = self.listed > self.acknowledged or not self._lease.has_reading
+        has_updates = self.last_listed_end > self.acknowledged or not self._lease.has_reading
         # Acknowledgements are sent without a wait to keep the time in which they are unanswered short.
         if has_updates or self._contact.failures or self._last_acknowledgeable_end:
             return 0.0
@@ -315,14 +315,14 @@
 
     async def _await_acknowledgement(self, survey: Survey) -> None:
         """Wait until the listed ends are stored: a survey before that would list them again immediately."""
-        if self.listed > self.acknowledged:
+        if self.last_listed_end > self.acknowledged:
             settings = self._context.settings
             pause_s = max(settings.acknowledgement_wait_s, settings.acknowledgement_wait_per_end_s * len(survey.ended))
             with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_PER_LEASE)):
                 await self._acknowledgement_event.wait()
 
     def _process_survey(self, survey: Survey, survey_start: SurveyStart) -> None:
-        ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
+        ended = tuple(listed.end for listed in survey.ended if listed.number > self.last_listed_end)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
         self._listed_numbers = tuple(listed.number for listed in survey.ended)
@@ -332,7 +332,7 @@
         self._is_idle = not survey.running
         self._orders.reconcile(survey, survey_start)
         self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, survey_start.at_s))
-        self.listed = max(self.listed, last_end)
+        self.last_listed_end = max(self.last_listed_end, last_end)
 
     async def _handle_failed_survey(self, error: Exception) -> None:
         if isinstance(error, WorkerReplacedError):
