--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -218,7 +218,7 @@
         lists_ends = link is not None and not link.may_hide_ends
         self._scheduler.worker_surveyed(message.worker_id, message.running, message.begun_s, now, lists_ends=lists_ends)
         if link is not None:
-            link.processed = max(link.processed, message.last_end)
+            link.last_processed_end = max(link.last_processed_end, message.last_end)
         worker = self._scheduler.worker_by_id.get(message.worker_id)
         if link is not None and worker is not None:
             link.is_overcommitted = worker.is_overcommitted
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -52,7 +52,7 @@
         self.address = address
         self.acknowledged = 0
         self.last_listed_end = 0
-        self.processed = 0
+        self.last_processed_end = 0
         # When the last unanswered acknowledgement was sent; the worker may still process it later.
         self.unanswered_acknowledgement_s = -math.inf
         # When the worker was inherited from the previous owner, which may have sent it an acknowledgement
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -181,11 +181,11 @@
     @property
     def has_unacknowledged_ends(self) -> bool:
         """Whether any processed end has not been acknowledged yet."""
-        return any(link.processed > link.acknowledged for link in self._link_by_id.values())
+        return any(link.last_processed_end > link.acknowledged for link in self._link_by_id.values())
 
     def last_processed_ends(self) -> dict[str, int]:
         """Return, by worker, the number of the last processed end."""
-        return {worker_id: link.processed for worker_id, link in self._link_by_id.items()}
+        return {worker_id: link.last_processed_end for worker_id, link in self._link_by_id.items()}
 
     def acknowledge(self, processed_ends: dict[str, int]) -> None:
         """Allow ends up to the given numbers to be acknowledged, since they are persisted."""
