--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -50,7 +50,7 @@
         """Initialize the link without contacting the worker."""
         self.incarnation = incarnation
         self.address = address
-        self.acknowledged = 0
+        self.last_acknowledged_end = 0
         self.last_listed_end = 0
         self.last_processed_end = 0
         # When the last unanswered acknowledgement was sent; the worker may still process it later.
@@ -135,8 +135,8 @@
 
     def acknowledge(self, number: int) -> None:
         """Acknowledge ends up to a number in the next survey: the store holds them."""
-        if number > self.acknowledged:
-            self.acknowledged = number
+        if number > self.last_acknowledged_end:
+            self.last_acknowledged_end = number
             acknowledgement_event, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
             acknowledgement_event.set()
 
@@ -194,7 +194,7 @@
         Ends that the worker no longer lists are not acknowledged again: an unanswered
         acknowledgement may be processed late, by another incarnation.
         """
-        return max((number for number in self._listed_numbers if number <= self.acknowledged), default=0)
+        return max((number for number in self._listed_numbers if number <= self.last_acknowledged_end), default=0)
 
     @property
     def _lease_duration_s(self) -> float:
@@ -301,7 +301,7 @@
 
     def _survey_wait_s(self) -> float:
         """Return how long the worker may delay its answer to the next survey until a run ends."""
-        has_updates = self.last_listed_end > self.acknowledged or not self._lease.has_reading
+        has_updates = self.last_listed_end > self.last_acknowledged_end or not self._lease.has_reading
         # Acknowledgements are sent without a wait to keep the time in which they are unanswered short.
         if has_updates or self._contact.failures or self._last_acknowledgeable_end:
             return 0.0
@@ -315,7 +315,7 @@
 
     async def _await_acknowledgement(self, survey: Survey) -> None:
         """Wait until the listed ends are stored: a survey before that would list them again immediately."""
-        if self.last_listed_end > self.acknowledged:
+        if self.last_listed_end > self.last_acknowledged_end:
             settings = self._context.settings
             pause_s = max(settings.acknowledgement_wait_s, settings.acknowledgement_wait_per_end_s * len(survey.ended))
             with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_PER_LEASE)):
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -181,7 +181,7 @@
     @property
     def has_unacknowledged_ends(self) -> bool:
         """Whether any processed end has not been acknowledged yet."""
-        return any(link.last_processed_end > link.acknowledged for link in self._link_by_id.values())
+        return any(link.last_processed_end > link.last_acknowledged_end for link in self._link_by_id.values())
 
     def last_processed_ends(self) -> dict[str, int]:
         """Return, by worker, the number of the last processed end."""
