--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -108,7 +108,7 @@
         context = LinkContext(
             workers,
             settings.epoch,
-            LinkSettings(hold_s=settings.bounds.max_hold_s),
+            LinkSettings(lease_s=settings.bounds.max_hold_s),
             metrics,
             self.post,
             self.depose,
--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -16,7 +16,7 @@
 
     Parameters
     ----------
-    hold_s : float
+    lease_s : float
         Duration of the lease granted by each survey: the maximum that workers
         allow, so that runs survive a takeover or an outage.
     draining_lease_s : float
@@ -59,7 +59,7 @@
         store, relisting thirty ends on each of 176 workers took 0.7 MB/s.
     """
 
-    hold_s: float = 6.0
+    lease_s: float = 6.0
     draining_lease_s: float = 2.0
     start_lease_s: float = 2.0
     wait_s: float = 1.0
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -179,7 +179,7 @@
         self.last_contact_s = context.clock()
         if not self._lease.has_reading:
             # Before this answer a previous owner may have granted the longest possible lease.
-            self._lease.assume_held_until(settings.hold_s, context.clock())
+            self._lease.assume_held_until(settings.lease_s, context.clock())
         self._contact.record_clock(survey.clock_s)
         self._process_survey(survey, survey_start)
         if lease_end_s is not None or not context.may_order():
@@ -200,7 +200,7 @@
     def _lease_duration_s(self) -> float:
         """Duration of the lease that a survey grants."""
         settings = self._context.settings
-        return settings.draining_lease_s if self.is_draining else settings.hold_s
+        return settings.draining_lease_s if self.is_draining else settings.lease_s
 
     async def _survey_with_hedge(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
         """Survey the worker, with a hedged request when the answer is late.
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -115,7 +115,7 @@
     begun_s = time.monotonic()
     owner = posted_after(failure, lease, is_draining=is_draining)
     assert owner.has_been_posted(WorkerSurveyed)
-    assert lease.latest_end_s() >= begun_s + SETTINGS.hold_s
+    assert lease.latest_end_s() >= begun_s + SETTINGS.lease_s
 
 
 class LateWorker(Sessions):
@@ -146,7 +146,7 @@
 
     async def survey():
         owner = Owner()
-        settings = SETTINGS._replace(hold_s=0.6, answer_s=0.06, wait_s=0.1, idle_wait_s=0.1)
+        settings = SETTINGS._replace(lease_s=0.6, answer_s=0.06, wait_s=0.1, idle_wait_s=0.1)
         worker = LateWorker(0.0)
         context = LinkContext(
             worker,
@@ -164,7 +164,7 @@
             await anyio.sleep(0.05)
             worker.late_s = settings.answer_s * times
             before = len(owner.posted)
-            await anyio.sleep(settings.hold_s)
+            await anyio.sleep(settings.lease_s)
             tasks.cancel_scope.cancel()
         return owner.posted[before:]
 
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -63,7 +63,7 @@
 
 
 def context_of(worker):
-    settings = LinkSettings(hold_s=6.0)
+    settings = LinkSettings(lease_s=6.0)
     turns = StartTurns(anyio.Semaphore(8), anyio.Semaphore(8))
     return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
 
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -116,7 +116,7 @@
             self.told_at_s.setdefault(message, anyio.current_time())
 
     def _link(self, number, worker):
-        settings = LinkSettings(hold_s=6.0)
+        settings = LinkSettings(lease_s=6.0)
         context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._turns)
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
