--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -28,7 +28,7 @@
     wait_s : float
         How long a worker delays the answer to a survey until a run ends; also
         the maximum age of reported progress.
-    idle_wait_s : float
+    idle_survey_wait_s : float
         The same for a worker on which nothing runs: the maximum that workers allow.
     answer_s : float
         Answer timeout in addition to that wait: long enough for a lost packet
@@ -63,7 +63,7 @@
     draining_lease_s: float = 2.0
     start_lease_s: float = 2.0
     wait_s: float = 1.0
-    idle_wait_s: float = 2.0
+    idle_survey_wait_s: float = 2.0
     answer_s: float = 0.6
     max_answer_s: float = 2.4
     hedge_delay_s: float = 0.2
