--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -25,7 +25,7 @@
     start_lease_s : float
         Lease duration carried by a start order: a worker that processes the
         order after its end refuses it as late.
-    wait_s : float
+    survey_wait_s : float
         How long a worker delays the answer to a survey until a run ends; also
         the maximum age of reported progress.
     idle_survey_wait_s : float
@@ -62,7 +62,7 @@
     lease_s: float = 6.0
     draining_lease_s: float = 2.0
     start_lease_s: float = 2.0
-    wait_s: float = 1.0
+    survey_wait_s: float = 1.0
     idle_survey_wait_s: float = 2.0
     answer_s: float = 0.6
     max_answer_s: float = 2.4
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -308,7 +308,7 @@
         if self._orders.has_unresolved_stops:
             return _STOP_POLL_S
         settings = self._context.settings
-        longest_s = settings.idle_survey_wait_s if self._is_idle else settings.wait_s
+        longest_s = settings.idle_survey_wait_s if self._is_idle else settings.survey_wait_s
         if self._contact.may_hide_ends:
             longest_s = _HIDDEN_END_POLL_S
         return min(longest_s, self._orders.max_survey_wait_s())
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -146,7 +146,7 @@
 
     async def survey():
         owner = Owner()
-        settings = SETTINGS._replace(lease_s=0.6, answer_s=0.06, wait_s=0.1, idle_survey_wait_s=0.1)
+        settings = SETTINGS._replace(lease_s=0.6, answer_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
         worker = LateWorker(0.0)
         context = LinkContext(
             worker,
@@ -202,7 +202,7 @@
         context = LinkContext(
             worker,
             7,
-            LinkSettings(wait_s=0.1, idle_survey_wait_s=0.1),
+            LinkSettings(survey_wait_s=0.1, idle_survey_wait_s=0.1),
             Metrics(),
             owner.post,
             lambda: None,
