--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -30,7 +30,7 @@
         the maximum age of reported progress.
     idle_survey_wait_s : float
         The same for a worker on which nothing runs: the maximum that workers allow.
-    answer_s : float
+    answer_timeout_s : float
         Answer timeout in addition to that wait: long enough for a lost packet
         to be retransmitted.
     max_answer_s : float
@@ -64,7 +64,7 @@
     start_lease_s: float = 2.0
     survey_wait_s: float = 1.0
     idle_survey_wait_s: float = 2.0
-    answer_s: float = 0.6
+    answer_timeout_s: float = 0.6
     max_answer_s: float = 2.4
     hedge_delay_s: float = 0.2
     first_hedge_delay_s: float = 0.1
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -208,7 +208,7 @@
         The worker is reported silent when the answer is late after an earlier failure.
         """
         context = self._context
-        late_s = wait_s + context.settings.answer_s
+        late_s = wait_s + context.settings.answer_timeout_s
         loop = asyncio.get_running_loop()
         timers = [
             loop.call_later(late_s, self._report_late_answer),
@@ -259,16 +259,16 @@
 
     async def _run_hedge(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Send surveys without lease or acknowledgement until one is answered or the time is used up."""
-        answer_s = self._hedge_delay_s
+        answer_timeout_s = self._hedge_delay_s
         with cancel_scope:
             while left_s > 0:
                 try:
                     self._hedge_answer = await self._session.survey(
-                        acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_s, left_s)
+                        acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_timeout_s, left_s)
                     )
                 except (WorkerUnansweredError, WorkerUngreetedError):
-                    left_s -= answer_s
-                    answer_s += answer_s
+                    left_s -= answer_timeout_s
+                    answer_timeout_s += answer_timeout_s
                     continue
                 except WORKER_FAILURES as error:
                     # The hedged survey either fails in the same way or is answered.
@@ -297,7 +297,7 @@
         """
         settings = self._context.settings
         doublings = min(self._contact.failures, _MAX_DOUBLINGS)
-        return min(settings.answer_s * (1 << doublings), settings.max_answer_s)
+        return min(settings.answer_timeout_s * (1 << doublings), settings.max_answer_s)
 
     def _survey_wait_s(self) -> float:
         """Return how long the worker may delay its answer to the next survey until a run ends."""
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -136,7 +136,7 @@
                 if not attempt:
                     self._unanswered.add(run, lease_end_s)
                 order = StartOrder(effect.key, effect.run, payload, lease_end_s, effect.checkpoint, effect.ticket)
-                status = await self._note_try(order, settings.answer_s if attempt else settings.start_timeout_s)
+                status = await self._note_try(order, settings.answer_timeout_s if attempt else settings.start_timeout_s)
             self._queue.is_last_attempt_unanswered = status is None
             if status is not None:
                 return self._handle_start_reply(effect, status, is_retry=attempt > 0)
@@ -244,7 +244,7 @@
         """Send a stop order once; return whether it was acknowledged or the incarnation has ended."""
         context = self._contact.context
         try:
-            reply = await self._contact.session.stop(key, run, timeout_s=context.settings.answer_s)
+            reply = await self._contact.session.stop(key, run, timeout_s=context.settings.answer_timeout_s)
         except WorkerReplacedError as error:
             self._contact.report_ended(error)
             return True
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -146,7 +146,7 @@
 
     async def survey():
         owner = Owner()
-        settings = SETTINGS._replace(lease_s=0.6, answer_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
+        settings = SETTINGS._replace(lease_s=0.6, answer_timeout_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
         worker = LateWorker(0.0)
         context = LinkContext(
             worker,
@@ -162,7 +162,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
-            worker.late_s = settings.answer_s * times
+            worker.late_s = settings.answer_timeout_s * times
             before = len(owner.posted)
             await anyio.sleep(settings.lease_s)
             tasks.cancel_scope.cancel()
