--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -33,7 +33,7 @@
     answer_timeout_s : float
         Answer timeout in addition to that wait: long enough for a lost packet
         to be retransmitted.
-    max_answer_s : float
+    max_answer_timeout_s : float
         Upper bound of the answer timeout, which grows after failures. A worker that
         takes longer counts as silent, and its runs start elsewhere once its lease
         has ended.
@@ -65,7 +65,7 @@
     survey_wait_s: float = 1.0
     idle_survey_wait_s: float = 2.0
     answer_timeout_s: float = 0.6
-    max_answer_s: float = 2.4
+    max_answer_timeout_s: float = 2.4
     hedge_delay_s: float = 0.2
     first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -297,7 +297,7 @@
         """
         settings = self._context.settings
         doublings = min(self._contact.failures, _MAX_DOUBLINGS)
-        return min(settings.answer_timeout_s * (1 << doublings), settings.max_answer_s)
+        return min(settings.answer_timeout_s * (1 << doublings), settings.max_answer_timeout_s)
 
     def _survey_wait_s(self) -> float:
         """Return how long the worker may delay its answer to the next survey until a run ends."""
@@ -359,7 +359,7 @@
         await anyio.sleep(self._context.settings.retry_s)
 
 
-# Maximum number of doublings of the answer timeout; by then max_answer_s applies.
+# Maximum number of doublings of the answer timeout; by then max_answer_timeout_s applies.
 _MAX_DOUBLINGS = 8
 # Minimum number of surveys per lease duration, so that one or two may be lost.
 _SURVEYS_PER_LEASE = 3
