--- a/packages/node/dahliaarch_node/owner/held_starts.py
+++ b/packages/node/dahliaarch_node/owner/held_starts.py
@@ -42,7 +42,7 @@
         """Discard a start; return whether it was held."""
         return self._held_by_run.pop((key, run), None) is not None
 
-    def take_of_worker(self, worker_id: str) -> list[StartRun]:
+    def pop_for_worker(self, worker_id: str) -> list[StartRun]:
         """Remove and return the held starts of a worker."""
         starts = [held.start for held in self._held_by_run.values() if held.start.worker_id == worker_id]
         for start in starts:
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -305,7 +305,7 @@
 
     def _drop_held_starts(self, worker_id: str) -> None:
         """Discard held starts for a worker that takes no more; they are not counted as crashes of that worker."""
-        for start in self._held_starts.take_of_worker(worker_id):
+        for start in self._held_starts.pop_for_worker(worker_id):
             self._handle_run_end(RunEnd(worker_id, start.key, start.run, EndKind.REFUSED), self._now())
 
     def _handle_run_end(self, end: RunEnd, now: Moment) -> None:
