--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -23,7 +23,7 @@
 from ..metrics import Metrics
 from .advising import Adviser, Ask
 from .committing import Commit, Committer
-from .effects import Effects
+from .effects import EffectExecutor
 from .end_notifier import EndNotifier
 from .feeds import FeedContext, follow_jobs, job_messages, WorkersFeed
 from .heap import GarbageCollectionTuner
@@ -118,7 +118,7 @@
         )
         self._links = LinkRegistry(context)
         self._adviser = Adviser(askers, self.post, self._links.name_of, steady_s)
-        self._effects = Effects(self.scheduler, self._links, self._adviser, self.post, metrics, _now)
+        self._effects = EffectExecutor(self.scheduler, self._links, self._adviser, self.post, metrics, _now)
         self._recorder = Recorder(
             Committer(store, relays),
             settings.timing,
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -14,7 +14,7 @@
 from .registry import LinkRegistry
 
 
-class Effects:
+class EffectExecutor:
     """Dispatches each decision to the worker link or the adviser concerned, and logs it.
 
     Parameters
