--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -277,7 +277,7 @@
         for note in self.scheduler.take_notes():
             self._effects.tell(note)
         for effect in effects:
-            self._effects.carry_out(effect)
+            self._effects.execute(effect)
         self._links.close_all_but(self.scheduler.worker_by_id)
         self._load_gauges.update(steady_s())
         self._metrics.held_starts.set(len(self._effects.held_starts))
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -57,15 +57,15 @@
         self._post = post
 
     @singledispatchmethod
-    def carry_out(self, effect: object) -> None:
+    def execute(self, effect: object) -> None:
         """Execute one decision."""
         raise NotImplementedError(type(effect).__name__)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: StartRun) -> None:
         self.held_starts.hold(effect, self._now().steady_s)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: StopRun) -> None:
         log_event('stop_ordered', worker=effect.worker_id, task=effect.key, run=effect.run, why=effect.reason)
         if self.held_starts.withdraw(effect.key, effect.run):
@@ -75,7 +75,7 @@
         if link is not None:
             link.stop(effect)
 
-    @carry_out.register
+    @execute.register
     def _(self, effect: AskAdvice) -> None:
         self._adviser.ask(effect)
 
