--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -275,7 +275,7 @@
         started_s = time.perf_counter()
         effects = self.scheduler.decide(_now())
         for note in self.scheduler.take_notes():
-            self._effects.tell(note)
+            self._effects.log_note(note)
         for effect in effects:
             self._effects.execute(effect)
         self._links.close_all_but(self.scheduler.worker_by_id)
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -103,11 +103,11 @@
         link.start(start, self._scheduler.job_by_id[start.key.job_id].spec.payload)
 
     @singledispatchmethod
-    def tell(self, note: object) -> None:
+    def log_note(self, note: object) -> None:
         """Log an event of a run, a task or a waiting step."""
         raise NotImplementedError(type(note).__name__)
 
-    @tell.register
+    @log_note.register
     def _(self, note: RunLost) -> None:
         self._metrics.runs_lost.labels(note.cause.value).inc()
         log_event(
@@ -120,7 +120,7 @@
             beside=note.beside,
         )
 
-    @tell.register
+    @log_note.register
     def _(self, note: CrashCounted) -> None:
         log_event(
             'crash_counted',
@@ -131,11 +131,11 @@
             is_discounted=note.is_discounted,
         )
 
-    @tell.register
+    @log_note.register
     def _(self, note: TaskGivenUp) -> None:
         log_event('task_given_up', task=note.key, workers=note.worker_ids)
 
-    @tell.register
+    @log_note.register
     def _(self, note: StepWaiting) -> None:
         log_event(
             'step_waiting',
