--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -26,7 +26,7 @@
 Ask = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
 
-class Adviser:
+class AdviceDispatcher:
     """Distributes questions over the instances that can reach the policy, one at a time to each.
 
     Parameters
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -21,7 +21,7 @@
 from ..clock import steady_s
 from ..logs import log_event
 from ..metrics import Metrics
-from .advising import Adviser, Ask
+from .advising import AdviceDispatcher, Ask
 from .committing import Commit, Committer
 from .effects import EffectExecutor
 from .end_notifier import EndNotifier
@@ -117,7 +117,7 @@
             self._may_order,
         )
         self._links = LinkRegistry(context)
-        self._adviser = Adviser(askers, self.post, self._links.name_of, steady_s)
+        self._adviser = AdviceDispatcher(askers, self.post, self._links.name_of, steady_s)
         self._effects = EffectExecutor(self.scheduler, self._links, self._adviser, self.post, metrics, _now)
         self._recorder = Recorder(
             Committer(store, relays),
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -8,7 +8,7 @@
 
 from ..logs import log_event
 from ..metrics import Metrics
-from .advising import Adviser
+from .advising import AdviceDispatcher
 from .held_starts import HeldStart, HeldStarts
 from .messages import OwnerMessage, RunRuledOut
 from .registry import LinkRegistry
@@ -23,7 +23,7 @@
         Scheduler, which holds the jobs and assignments.
     links : LinkRegistry
         Links to workers.
-    adviser : Adviser
+    adviser : AdviceDispatcher
         Client of the external policy.
     post : callable
         Passes a message to the scheduling task.
@@ -42,7 +42,7 @@
         self,
         scheduler: Scheduler,
         links: LinkRegistry,
-        adviser: Adviser,
+        adviser: AdviceDispatcher,
         post: Callable[[OwnerMessage], None],
         metrics: Metrics,
         now: Callable[[], Moment],
--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -18,7 +18,7 @@
 from dahliaarch_kernel.workload import StepKey
 from dahliaarch_platform.advice import AdviceUnavailableError
 
-from ..advising import Adviser
+from ..advising import AdviceDispatcher
 from ..messages import AdviceFailed, AdviceGiven
 
 DECISION_S = 0.5
@@ -59,7 +59,7 @@
                 if isinstance(message, AdviceFailed):
                     adviser.ask(AskAdvice(message.step, ('w0',), TERMS))
 
-            adviser = Adviser(lambda: [policy.ask], take, str, time.monotonic)
+            adviser = AdviceDispatcher(lambda: [policy.ask], take, str, time.monotonic)
             tasks.start_soon(adviser.run)
             for number in range(10):
                 adviser.ask(AskAdvice(StepKey(f'{number:016x}', 0, 0), ('w0',), TERMS))
