--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -117,8 +117,8 @@
             self._may_order,
         )
         self._links = LinkRegistry(context)
-        self._adviser = AdviceDispatcher(askers, self.post, self._links.name_of, steady_s)
-        self._effects = EffectExecutor(self.scheduler, self._links, self._adviser, self.post, metrics, _now)
+        self._advice_dispatcher = AdviceDispatcher(askers, self.post, self._links.name_of, steady_s)
+        self._effects = EffectExecutor(self.scheduler, self._links, self._advice_dispatcher, self.post, metrics, _now)
         self._recorder = Recorder(
             Committer(store, relays),
             settings.timing,
@@ -190,7 +190,7 @@
                 )
                 tasks.start_soon(follow_jobs, self._feed, jobs_revision)
                 tasks.start_soon(self._recorder.run)
-                tasks.start_soon(self._adviser.run)
+                tasks.start_soon(self._advice_dispatcher.run)
                 tasks.start_soon(self._recorder.run_cleanup, self._settings.bounds.status_s, time.time)
                 await self._run_passes(handler)
 
--- a/packages/node/dahliaarch_node/owner/effects.py
+++ b/packages/node/dahliaarch_node/owner/effects.py
@@ -15,7 +15,7 @@
 
 
 class EffectExecutor:
-    """Dispatches each decision to the worker link or the adviser concerned, and logs it.
+    """Dispatches each decision to the worker link or advice dispatcher concerned, and logs it.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
         Scheduler, which holds the jobs and assignments.
     links : LinkRegistry
         Links to workers.
-    adviser : AdviceDispatcher
+    advice_dispatcher : AdviceDispatcher
         Client of the external policy.
     post : callable
         Passes a message to the scheduling task.
@@ -42,7 +42,7 @@
         self,
         scheduler: Scheduler,
         links: LinkRegistry,
-        adviser: AdviceDispatcher,
+        advice_dispatcher: AdviceDispatcher,
         post: Callable[[OwnerMessage], None],
         metrics: Metrics,
         now: Callable[[], Moment],
@@ -53,7 +53,7 @@
         self._metrics = metrics
         self._scheduler = scheduler
         self._links = links
-        self._adviser = adviser
+        self._advice_dispatcher = advice_dispatcher
         self._post = post
 
     @singledispatchmethod
@@ -77,7 +77,7 @@
 
     @execute.register
     def _(self, effect: AskAdvice) -> None:
-        self._adviser.ask(effect)
+        self._advice_dispatcher.ask(effect)
 
     def _send_start(self, held: HeldStart) -> None:
         """Send a start whose assignment is stored."""
--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -57,12 +57,12 @@
             def take(message):
                 found.append(message)
                 if isinstance(message, AdviceFailed):
-                    adviser.ask(AskAdvice(message.step, ('w0',), TERMS))
+                    dispatcher.ask(AskAdvice(message.step, ('w0',), TERMS))
 
-            adviser = AdviceDispatcher(lambda: [policy.ask], take, str, time.monotonic)
-            tasks.start_soon(adviser.run)
+            dispatcher = AdviceDispatcher(lambda: [policy.ask], take, str, time.monotonic)
+            tasks.start_soon(dispatcher.run)
             for number in range(10):
-                adviser.ask(AskAdvice(StepKey(f'{number:016x}', 0, 0), ('w0',), TERMS))
+                dispatcher.ask(AskAdvice(StepKey(f'{number:016x}', 0, 0), ('w0',), TERMS))
             await anyio.sleep(PLAYED_S)
             tasks.cancel_scope.cancel()
 
