--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -6,12 +6,12 @@
 from dahliaarch_platform.advice import AdviceClient, AdviceUnavailableError
 
 from .membership import Membership
-from .owner.advising import Ask
+from .owner.advising import AskPolicyFunction
 from .peers import AskPolicy, Mesh, PeerSilentError, PolicyReply
 from .records import Member
 
 
-def askers(client: AdviceClient | None, mesh: Mesh, membership: Membership) -> Sequence[Ask]:
+def askers(client: AdviceClient | None, mesh: Mesh, membership: Membership) -> Sequence[AskPolicyFunction]:
     """Return the ways to ask now, this instance's own first; none where there is no policy."""
     if client is None:
         return ()
--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -23,7 +23,7 @@
 # Interval of checks for further instances to ask through, in seconds.
 _ASKERS_POLL_S = 0.5
 
-Ask = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
+AskPolicyFunction = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
 
 class AdviceDispatcher:
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        askers: Callable[[], Sequence[Ask]],
+        askers: Callable[[], Sequence[AskPolicyFunction]],
         post: Callable[[OwnerMessage], None],
         name_of: Callable[[str], str],
         clock: Callable[[], float],
@@ -86,7 +86,7 @@
             else:
                 self._report_failure(question, 'no policy is configured')
 
-    async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
+    async def _request_advice(self, question: AskAdvice, ask: AskPolicyFunction) -> None:
         terms = question.terms
         decision_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
         step = '.'.join(str(part) for part in question.step)
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -21,7 +21,7 @@
 from ..clock import steady_s
 from ..logs import log_event
 from ..metrics import Metrics
-from .advising import AdviceDispatcher, Ask
+from .advising import AdviceDispatcher, AskPolicyFunction
 from .committing import Commit, Committer
 from .effects import EffectExecutor
 from .end_notifier import EndNotifier
@@ -79,7 +79,7 @@
         settings: OwnerSettings,
         store: StoreClient,
         workers: WorkerClient,
-        askers: Callable[[], Sequence[Ask]],
+        askers: Callable[[], Sequence[AskPolicyFunction]],
         metrics: Metrics,
         authority: Authority | None = None,
         relays: Callable[[], Sequence[Commit]] = tuple,
