--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -20,7 +20,7 @@
 from ..logs import log_event
 from .contact import Contact
 from .messages import RunRuledOut, StartAcknowledged
-from .start_turns import TurnQueue
+from .start_turns import StartLimiter
 from .unanswered import RunId, UnansweredStarts
 
 # Longest wait of a survey at a worker while a start is unanswered, in seconds.
@@ -64,7 +64,7 @@
     def __init__(self, contact: Contact) -> None:
         """Initialize without pending orders."""
         self._contact = contact
-        self._queue = TurnQueue(contact)
+        self._queue = StartLimiter(contact)
         self._unanswered = UnansweredStarts()
         # Time at which the stop of a run was acknowledged: a run that a later survey does
         # not list is certainly not on the worker.
--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -25,7 +25,7 @@
 _LOG_INTERVAL_S = 1.0
 
 
-class TurnQueue:
+class StartLimiter:
     """Limits the concurrent start requests to one worker and, with the other queues, to all workers.
 
     Parameters
--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -14,7 +14,7 @@
 from .. import start_turns
 from ..link_settings import StartTurns
 from ..load_gauges import LoadGauges
-from ..start_turns import TurnQueue
+from ..start_turns import StartLimiter
 
 KEY = TaskKey('a' * 16, 0, 0, 0)
 
@@ -27,7 +27,7 @@
         self.metrics = Metrics()
         self.turns = StartTurns(anyio.Semaphore(1), anyio.Semaphore(1))
         context = SimpleNamespace(metrics=self.metrics, turns=self.turns, clock=lambda: self.now_s)
-        self.queue = TurnQueue(SimpleNamespace(worker_id='w', context=context))
+        self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
     def shown(self, name, **labels):
         return self.metrics.registry.get_sample_value(f'dahliaarch_{name}', labels)
