--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -28,7 +28,7 @@
 from .feeds import FeedContext, follow_jobs, job_messages, WorkersFeed
 from .heap import GarbageCollectionTuner
 from .intake import HandlerDependencies, MessageHandler
-from .link_settings import LinkContext, LinkSettings, StartTurns
+from .link_settings import LinkContext, LinkSettings, StartLimits
 from .load_gauges import LoadGauges
 from .messages import OwnerMessage, WorkerInherited, WorkersSynced
 from .previous_work import PreviousWork
@@ -113,7 +113,7 @@
             self.post,
             self.depose,
             steady_s,
-            StartTurns(anyio.Semaphore(_MAX_CONCURRENT_STARTS), anyio.Semaphore(_MAX_CONCURRENT_STARTS)),
+            StartLimits(anyio.Semaphore(_MAX_CONCURRENT_STARTS), anyio.Semaphore(_MAX_CONCURRENT_STARTS)),
             self._may_order,
         )
         self._links = LinkRegistry(context)
--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -76,7 +76,7 @@
     acknowledgement_wait_per_end_s: float = 0.04
 
 
-class StartTurns(NamedTuple):
+class StartLimits(NamedTuple):
     """Concurrency limits of start requests; urgent ones have their own, so that others never delay them."""
 
     urgent: anyio.Semaphore
@@ -110,7 +110,7 @@
         Called when a worker refuses a request because it has seen a newer owner.
     clock : callable
         Steady clock.
-    turns : StartTurns
+    turns : StartLimits
         Limits of concurrent start requests over all links.
     may_order : callable
         Returns whether this instance is certain to own the pool now.
@@ -123,5 +123,5 @@
     post: Callable[[OwnerMessage], None]
     on_fenced: Callable[[], None]
     clock: Callable[[], float]
-    turns: StartTurns
+    turns: StartLimits
     may_order: Callable[[], bool] = _always
--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -11,7 +11,7 @@
 
 from ..logs import log_event
 from .contact import Contact
-from .link_settings import StartTurns
+from .link_settings import StartLimits
 
 # Maximum number of concurrent attempts at one worker, for urgent and for other starts each:
 # with more, a few unresponsive workers would occupy the turns of all others.
@@ -43,7 +43,7 @@
         """Initialize an empty queue."""
         self.is_last_attempt_unanswered = False
         self._contact = contact
-        self._worker_limits = StartTurns(_worker_limit(), _worker_limit())
+        self._worker_limits = StartLimits(_worker_limit(), _worker_limit())
         self._single_attempt_limit = anyio.Semaphore(1)
         self._last_log_s = float('-inf')
         self._late_starts = 0
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -19,7 +19,7 @@
 )
 
 from ...metrics import Metrics
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerOver, WorkerSilent, WorkerSurveyed
 from .sessions import Sessions
@@ -69,7 +69,7 @@
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), lease, context)
         link.is_draining = is_draining
@@ -156,7 +156,7 @@
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
@@ -207,7 +207,7 @@
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -23,7 +23,7 @@
 from dahliaarch_platform.settings import Address
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey, WorkerUnansweredError
 
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut
 from .sessions import Sessions
@@ -64,7 +64,7 @@
 
 def context_of(worker):
     settings = LinkSettings(lease_s=6.0)
-    turns = StartTurns(anyio.Semaphore(8), anyio.Semaphore(8))
+    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
     return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
 
 
@@ -123,7 +123,7 @@
     posted = []
 
     async def run():
-        turns = StartTurns(anyio.Semaphore(0), anyio.Semaphore(0))
+        turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
         context = context_of(worker)._replace(turns=turns, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -12,7 +12,7 @@
 from dahliaarch_node.metrics import Metrics
 
 from .. import start_turns
-from ..link_settings import StartTurns
+from ..link_settings import StartLimits
 from ..load_gauges import LoadGauges
 from ..start_turns import StartLimiter
 
@@ -25,7 +25,7 @@
     def __init__(self):
         self.now_s = 100.0
         self.metrics = Metrics()
-        self.turns = StartTurns(anyio.Semaphore(1), anyio.Semaphore(1))
+        self.turns = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
         context = SimpleNamespace(metrics=self.metrics, turns=self.turns, clock=lambda: self.now_s)
         self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -18,7 +18,7 @@
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey
 
 from ...metrics import Metrics
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerSurveyed
 from .sessions import Sessions
@@ -74,7 +74,7 @@
         if any(end.key == SECOND for end in message.ended):
             reported.set()
 
-    turns = StartTurns(anyio.Semaphore(8), anyio.Semaphore(8))
+    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
     context = LinkContext(worker, 7, LinkSettings(), Metrics(), post, lambda: None, time.monotonic, turns)
     link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
     async with anyio.create_task_group() as tasks:
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -12,7 +12,7 @@
 from dahliaarch_platform.settings import Address
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey, WorkerUnansweredError
 
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
 from .sessions import Sessions
@@ -94,7 +94,7 @@
     def __init__(self, workers):
         self.workers = workers
         self.told_at_s = {}
-        self._turns = StartTurns(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
+        self._turns = StartLimits(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
     def run_in(self, tasks):
