--- a/packages/node/dahliaarch_node/owner/committing.py
+++ b/packages/node/dahliaarch_node/owner/committing.py
@@ -19,7 +19,7 @@
 _MAX_RELAYS = 2
 
 
-class Commit(Protocol):
+class CommitFunction(Protocol):
     """Commits a transaction; the error raised tells whether it may have been applied."""
 
     async def __call__(
@@ -48,7 +48,7 @@
         Returns functions that commit through the other instances available now.
     """
 
-    def __init__(self, store: StoreClient, relays: Callable[[], Sequence[Commit]]) -> None:
+    def __init__(self, store: StoreClient, relays: Callable[[], Sequence[CommitFunction]]) -> None:
         """Initialize with the client of the store and the source of relays."""
         self._store = store
         self._relays = relays
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -22,7 +22,7 @@
 from ..logs import log_event
 from ..metrics import Metrics
 from .advising import AdviceDispatcher, AskPolicyFunction
-from .committing import Commit, Committer
+from .committing import CommitFunction, Committer
 from .effects import EffectExecutor
 from .end_notifier import EndNotifier
 from .feeds import FeedContext, follow_jobs, job_messages, WorkersFeed
@@ -82,7 +82,7 @@
         askers: Callable[[], Sequence[AskPolicyFunction]],
         metrics: Metrics,
         authority: Authority | None = None,
-        relays: Callable[[], Sequence[Commit]] = tuple,
+        relays: Callable[[], Sequence[CommitFunction]] = tuple,
     ) -> None:
         """Build the components; `run` takes over the pool."""
         self._authority = authority or lasting_authority()
--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -17,7 +17,7 @@
 )
 
 from .membership import Membership
-from .owner.committing import Commit
+from .owner.committing import CommitFunction
 from .peers import CommitFor, CommitOutcome, CommitReply, Mesh, PeerSilentError
 from .records import Member
 
@@ -31,7 +31,7 @@
 _STATUS_BY_OUTCOME = {outcome: status for status, outcome in _OUTCOME_BY_STATUS.items()}
 
 
-def relays(mesh: Mesh, membership: Membership) -> Sequence[Commit]:
+def relays(mesh: Mesh, membership: Membership) -> Sequence[CommitFunction]:
     """Return the ways to have a transaction made by the other instances, in any order."""
     peers = membership.peers()
     random.shuffle(peers)
