--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -258,7 +258,7 @@
         self,
         worker_id: str,
         running: Sequence[ListedRun],
-        begun_s: float,
+        requested_s: float,
         now: Moment,
         *,
         lists_ends: bool = False,
@@ -271,7 +271,7 @@
             The worker that was surveyed.
         running : sequence of ListedRun
             Runs on the worker; the ends that it listed must have been applied before.
-        begun_s : float
+        requested_s : float
             Steady time of the request: the list does not cover starts after it.
         now : Moment
             Current time.
@@ -285,7 +285,7 @@
             if lists_ends and worker.may_hide_ends:
                 worker.may_hide_ends = False
                 self._state.failed_searches.grown_workers.add(worker_id)
-            apply_survey(self._state, worker, running, begun_s, now)
+            apply_survey(self._state, worker, running, requested_s, now)
 
     def decide(self, now: Moment) -> list[Effect]:
         """Run one scheduling pass and return the resulting orders."""
--- a/packages/node/dahliaarch_node/owner/intake.py
+++ b/packages/node/dahliaarch_node/owner/intake.py
@@ -216,7 +216,9 @@
             self._handle_run_end(end, now)
         link = self._links.get(message.worker_id)
         lists_ends = link is not None and not link.may_hide_ends
-        self._scheduler.worker_surveyed(message.worker_id, message.running, message.begun_s, now, lists_ends=lists_ends)
+        self._scheduler.worker_surveyed(
+            message.worker_id, message.running, message.requested_s, now, lists_ends=lists_ends
+        )
         if link is not None:
             link.last_processed_end = max(link.last_processed_end, message.last_end)
         worker = self._scheduler.worker_by_id.get(message.worker_id)
--- a/packages/node/dahliaarch_node/owner/messages.py
+++ b/packages/node/dahliaarch_node/owner/messages.py
@@ -88,7 +88,7 @@
         Ends that earlier surveys did not list.
     last_end : int
         Number of the last end listed.
-    begun_s : float
+    requested_s : float
         Steady-clock time at which the survey was sent.
     """
 
@@ -96,7 +96,7 @@
     running: tuple[ListedRun, ...]
     ended: tuple[RunEnd, ...]
     last_end: int
-    begun_s: float
+    requested_s: float
 
 
 class WorkerSilent(NamedTuple):
--- a/packages/standins/dahliaarch_standins/comparison/decider.py
+++ b/packages/standins/dahliaarch_standins/comparison/decider.py
@@ -38,7 +38,7 @@
         """Take in that a worker has ended."""
         ...
 
-    def worker_surveyed(self, worker_id: str, running: list[ListedRun], begun_s: float, now: Moment) -> None:
+    def worker_surveyed(self, worker_id: str, running: list[ListedRun], requested_s: float, now: Moment) -> None:
         """Take in what runs on a worker."""
         ...
 
