--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -80,7 +80,7 @@
         """Assume that a previous owner granted a lease until ``latest_end_s`` at the latest."""
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
-    def assume_held_until(self, hold_s: float, now_s: float) -> None:
+    def assume_granted(self, hold_s: float, now_s: float) -> None:
         """Assume that a previous owner granted leases of ``hold_s`` until now."""
         self.assume_until(now_s + hold_s * _MAX_CLOCK_RATIO)
 
