--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -66,11 +66,11 @@
             self._clock_s = clock_s
             self._read_at_s = now_s
 
-    def end_of(self, hold_s: float, now_s: float) -> float:
-        """Return the end, on the worker's clock, of a lease of ``hold_s`` from now."""
+    def end_of(self, lease_s: float, now_s: float) -> float:
+        """Return the end, on the worker's clock, of a lease of ``lease_s`` from now."""
         if self._clock_s is None:
             return 0.0
-        return self._clock_s + (now_s - self._read_at_s) + hold_s
+        return self._clock_s + (now_s - self._read_at_s) + lease_s
 
     def record_sent(self, until_s: float) -> None:
         """Record a lease end that was sent, whether it was answered or not; the lease is never shortened."""
@@ -80,9 +80,9 @@
         """Assume that a previous owner granted a lease until ``latest_end_s`` at the latest."""
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
-    def assume_granted(self, hold_s: float, now_s: float) -> None:
-        """Assume that a previous owner granted leases of ``hold_s`` until now."""
-        self.assume_until(now_s + hold_s * _MAX_CLOCK_RATIO)
+    def assume_granted(self, lease_s: float, now_s: float) -> None:
+        """Assume that a previous owner granted leases of ``lease_s`` until now."""
+        self.assume_until(now_s + lease_s * _MAX_CLOCK_RATIO)
 
     def latest_end_s(self) -> float:
         """Return the steady time after which the lease has ended and nothing runs on the worker any more."""
--- a/packages/node/dahliaarch_node/owner/contact.py
+++ b/packages/node/dahliaarch_node/owner/contact.py
@@ -87,11 +87,11 @@
             self.context.post(WorkerReplaced(self.worker_id, error.successor))
         self.cancel_scope.cancel()
 
-    def lease_end(self, hold_s: float) -> float | None:
+    def lease_end(self, lease_s: float) -> float | None:
         """Return the end of a lease that begins now, on the worker's clock; None before the first reading of it."""
         if not self.lease.has_reading:
             return None
-        return self.lease.end_of(hold_s, self.context.clock())
+        return self.lease.end_of(lease_s, self.context.clock())
 
     def record_clock(self, clock_s: float | None) -> None:
         """Record a reading of the worker's clock from an answer, if it has one."""
--- a/packages/node/dahliaarch_node/owner/previous_work.py
+++ b/packages/node/dahliaarch_node/owner/previous_work.py
@@ -37,9 +37,9 @@
         """Whether any worker has not yet reported what is running there."""
         return bool(self._unreported)
 
-    def set_lease_bound(self, hold_s: float, now_s: float) -> None:
+    def set_lease_bound(self, lease_s: float, now_s: float) -> None:
         """Set how long silent workers may run jobs of previous owners: until a lease granted now has expired."""
-        self._leases_end_s = now_s + hold_s * _MAX_CLOCK_DRIFT_FACTOR
+        self._leases_end_s = now_s + lease_s * _MAX_CLOCK_DRIFT_FACTOR
 
     def not_before_s(self, owner_epoch: int) -> float:
         """Return the earliest start time of a job on the steady clock, or 0 if it may start immediately.
