--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -110,7 +110,7 @@
         Called when a worker refuses a request because it has seen a newer owner.
     clock : callable
         Steady clock.
-    turns : StartLimits
+    start_limits : StartLimits
         Limits of concurrent start requests over all links.
     may_order : callable
         Returns whether this instance is certain to own the pool now.
@@ -123,5 +123,5 @@
     post: Callable[[OwnerMessage], None]
     on_fenced: Callable[[], None]
     clock: Callable[[], float]
-    turns: StartLimits
+    start_limits: StartLimits
     may_order: Callable[[], bool] = _always
--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -64,7 +64,7 @@
             yield
 
     async def _acquire_slot(self, slots: ExitStack, *, is_urgent: bool) -> None:
-        shared = self._contact.context.turns.limit_for(is_urgent=is_urgent)
+        shared = self._contact.context.start_limits.limit_for(is_urgent=is_urgent)
         await _acquire(slots, self._worker_limits.limit_for(is_urgent=is_urgent))
         await shared.acquire()
         if self.is_last_attempt_unanswered:
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -124,7 +124,7 @@
 
     async def run():
         turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
-        context = context_of(worker)._replace(turns=turns, post=posted.append)
+        context = context_of(worker)._replace(start_limits=turns, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -26,7 +26,7 @@
         self.now_s = 100.0
         self.metrics = Metrics()
         self.turns = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
-        context = SimpleNamespace(metrics=self.metrics, turns=self.turns, clock=lambda: self.now_s)
+        context = SimpleNamespace(metrics=self.metrics, start_limits=self.turns, clock=lambda: self.now_s)
         self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
     def shown(self, name, **labels):
