--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -64,7 +64,7 @@
     def __init__(self, contact: Contact) -> None:
         """Initialize without pending orders."""
         self._contact = contact
-        self._queue = StartLimiter(contact)
+        self._start_limiter = StartLimiter(contact)
         self._unanswered = UnansweredStarts()
         # Time at which the stop of a run was acknowledged: a run that a later survey does
         # not list is certainly not on the worker.
@@ -128,7 +128,7 @@
         ordered_s = self._contact.context.clock()
         lease_end_s = 0.0
         for attempt in range(settings.max_start_attempts):
-            async with self._queue.turn(effect):
+            async with self._start_limiter.turn(effect):
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Retries carry the same lease end, so that one survey after it rules out all attempts.
@@ -139,7 +139,7 @@
                 status = await self._record_attempt(
                     order, settings.answer_timeout_s if attempt else settings.start_timeout_s
                 )
-            self._queue.is_last_attempt_unanswered = status is None
+            self._start_limiter.is_last_attempt_unanswered = status is None
             if status is not None:
                 return self._handle_start_reply(effect, status, is_retry=attempt > 0)
             self._unanswered.mark_overdue(run)
@@ -161,7 +161,7 @@
     def _drop_if_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Drop a start that became obsolete while it waited for its turn; return whether it was dropped."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overcommitted
-        if self._queue.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
+        if self._start_limiter.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
             is_unavailable = True
         if not is_unavailable and (effect.key, effect.run) not in self._pending_stops:
             return False
