--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -128,7 +128,7 @@
         ordered_s = self._contact.context.clock()
         lease_end_s = 0.0
         for attempt in range(settings.max_start_attempts):
-            async with self._start_limiter.turn(effect):
+            async with self._start_limiter.slot(effect):
                 if not self._may_send(effect, ordered_s, is_retry=attempt > 0):
                     return _StartOutcome.UNKNOWN if attempt else _StartOutcome.NOT_STARTED
                 # Retries carry the same lease end, so that one survey after it rules out all attempts.
--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -49,7 +49,7 @@
         self._late_starts = 0
 
     @asynccontextmanager
-    async def turn(self, effect: StartRun) -> AsyncGenerator[None, None]:
+    async def slot(self, effect: StartRun) -> AsyncGenerator[None, None]:
         """Wait for the turn of an attempt and hold it until the block ends, at most for ``_ATTEMPT_SLOT_S``."""
         context = self._contact.context
         is_urgent = effect.rank <= RANK_URGENT
--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -33,7 +33,7 @@
         return self.metrics.registry.get_sample_value(f'dahliaarch_{name}', labels)
 
     async def take_turn(self, rank):
-        async with self.queue.turn(StartRun('w', KEY, 1, '', rank, 1.0, '')):
+        async with self.queue.slot(StartRun('w', KEY, 1, '', rank, 1.0, '')):
             pass
 
     async def play(self, waited_s, starts=3, rank=RANK_ORDINARY):
