--- a/packages/kernel/dahliaarch_kernel/scheduler/ends.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/ends.py
@@ -105,7 +105,7 @@
         # An invalid ticket is a likelier cause than the worker.
         step.advice.invalidate_ticket(end.worker_id)
     elif worker is not None:
-        worker.refusal_backoff.refused(end.key.job_id, now.steady_s)
+        worker.refusal_backoff.record_refusal(end.key.job_id, now.steady_s)
         step.refused_until_by_worker[end.worker_id] = now.steady_s + _REFUSING_WORKER_AVOIDANCE_S
     if not step.spec.gang or run is None:
         return
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -104,7 +104,7 @@
         self._refusals = 0
         self._until_s = float('-inf')
 
-    def refused(self, job_id: str, now_s: float) -> None:
+    def record_refusal(self, job_id: str, now_s: float) -> None:
         """Record that the worker refused a start of a job."""
         self._job_ids.add(job_id)
         # Starts in flight at the same time are refused together and count as one refusal.
