--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -231,7 +231,7 @@
         found = None if worker is None else worker.run_by_key.get(key)
         if worker is None or found is None or found.number != run:
             return
-        worker.refusal_backoff.started()
+        worker.refusal_backoff.record_start()
         found.is_confirmed = True
         found.last_seen_s = max(found.last_seen_s, now.steady_s)
         if found.phase is RunPhase.STARTING:
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -113,7 +113,7 @@
         self._refusals += 1
         self._until_s = now_s + min(_INITIAL_BACKOFF_S * (1 << (self._refusals - 1)), _MAX_BACKOFF_S)
 
-    def started(self) -> None:
+    def record_start(self) -> None:
         """Record that the worker acknowledged a start."""
         self._job_ids.clear()
         self._refusals = 0
