--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -45,7 +45,7 @@
         milliseconds, and the order can be repeated safely.
     max_start_attempts : int
         Maximum number of attempts of a start before it is revoked.
-    max_turn_wait_s : float
+    max_slot_wait_s : float
         Maximum time that a start waits for its turn at a worker that leaves starts
         unanswered; a start that waits longer is dropped, as its task may start
         elsewhere.
@@ -70,7 +70,7 @@
     first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
     max_start_attempts: int = 3
-    max_turn_wait_s: float = 0.4
+    max_slot_wait_s: float = 0.4
     retry_s: float = 0.25
     acknowledgement_wait_s: float = 0.4
     acknowledgement_wait_per_end_s: float = 0.04
--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -161,7 +161,7 @@
     def _drop_if_obsolete(self, effect: StartRun, waited_s: float) -> bool:
         """Drop a start that became obsolete while it waited for its turn; return whether it was dropped."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overcommitted
-        if self._start_limiter.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_turn_wait_s:
+        if self._start_limiter.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_slot_wait_s:
             is_unavailable = True
         if not is_unavailable and (effect.key, effect.run) not in self._pending_stops:
             return False
