--- a/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/leaving.py
@@ -27,7 +27,7 @@
 
 
 def _give_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
-    state.note_losses(worker, LossCause.LEASE_ENDED)
+    state.record_losses(worker, LossCause.LEASE_ENDED)
     retain_silent_loss(state, worker, now)
     note_given_up(state, worker)
     for run in tuple(worker.run_by_key.values()):
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -219,7 +219,7 @@
         if worker is None:
             record_silent_worker_crash(self._state, worker_id, now)
             return
-        self._state.note_losses(worker, LossCause.WORKER_OVER)
+        self._state.record_losses(worker, LossCause.WORKER_OVER)
         for run in tuple(worker.run_by_key.values()):
             end = RunEnd(worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint)
             apply_run_end(self._state, end, now)
--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -185,7 +185,7 @@
         if run.key.task_index not in step.done:
             step.pending.add(run.key.task_index)
 
-    def note_losses(self, worker: WorkerState, cause: LossCause) -> None:
+    def record_losses(self, worker: WorkerState, cause: LossCause) -> None:
         """Record all runs of a worker as lost, for the log."""
         for run in worker.run_by_key.values():
             self.note_loss(worker, run, cause)
