--- a/packages/kernel/dahliaarch_kernel/scheduler/state.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/state.py
@@ -188,9 +188,9 @@
     def record_losses(self, worker: WorkerState, cause: LossCause) -> None:
         """Record all runs of a worker as lost, for the log."""
         for run in worker.run_by_key.values():
-            self.note_loss(worker, run, cause)
+            self.record_loss(worker, run, cause)
 
-    def note_loss(self, worker: WorkerState, run: Run, cause: LossCause) -> None:
+    def record_loss(self, worker: WorkerState, run: Run, cause: LossCause) -> None:
         """Record that a run was lost without a reported end, for the log."""
         self.notes.append(
             RunLost(worker.worker_id, run.key, run.number, cause, run.ran_s, worker.count_runs_of_other_jobs(run))
--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -52,7 +52,7 @@
         if not _is_known_absent(run, requested_s):
             run.was_unlisted = run.was_unlisted or run.started_s < requested_s
             continue
-        state.note_loss(worker, run, LossCause.NOT_LISTED)
+        state.record_loss(worker, run, LossCause.NOT_LISTED)
         apply_run_end(state, RunEnd(worker.worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint), now)
 
 
