--- a/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/surveys.py
@@ -42,12 +42,12 @@
     worker.is_surveyed = True
     worker.silent_since_s = None
     state.surveyed_workers.add(worker.worker_id)
-    seen_keys = set()
-    for seen in running:
-        seen_keys.add((seen.key, seen.run))
-        _apply_listed_run(state, worker, seen, now)
+    listed_keys = set()
+    for listed_run in running:
+        listed_keys.add((listed_run.key, listed_run.run))
+        _apply_listed_run(state, worker, listed_run, now)
     for run in tuple(worker.run_by_key.values()):
-        if (run.key, run.number) in seen_keys:
+        if (run.key, run.number) in listed_keys:
             continue
         if not _is_known_absent(run, requested_s):
             run.was_unlisted = run.was_unlisted or run.started_s < requested_s
@@ -62,10 +62,10 @@
     return run.is_inherited or (run.is_confirmed and run.last_seen_s < requested_s)
 
 
-def _apply_listed_run(state: SchedulerState, worker: WorkerState, seen: ListedRun, now: Moment) -> None:
-    run = worker.run_by_key.get(seen.key)
-    if run is None or run.number != seen.run:
-        run = _adopt(state, worker, seen, now)
+def _apply_listed_run(state: SchedulerState, worker: WorkerState, listed_run: ListedRun, now: Moment) -> None:
+    run = worker.run_by_key.get(listed_run.key)
+    if run is None or run.number != listed_run.run:
+        run = _adopt(state, worker, listed_run, now)
         if run is None:
             return
     if run.phase is RunPhase.STARTING:
@@ -73,33 +73,35 @@
         state.job_by_id[run.key.job_id].mark_begun()
     run.is_confirmed = True
     run.is_inherited = False
-    run.record_progress(seen.percent, now.steady_s)
+    run.record_progress(listed_run.percent, now.steady_s)
     step = state.step_of(run.key)
     if step is not None:
         clear_suspect(step, run)
-        observe_pace(step, run, worker, now.steady_s - run.started_s, seen.percent / _FULL_PERCENT)
-    if seen.checkpoint:
-        run.checkpoint = seen.checkpoint
+        observe_pace(step, run, worker, now.steady_s - run.started_s, listed_run.percent / _FULL_PERCENT)
+    if listed_run.checkpoint:
+        run.checkpoint = listed_run.checkpoint
 
 
-def _adopt(state: SchedulerState, worker: WorkerState, seen: ListedRun, now: Moment) -> Run | None:
+def _adopt(state: SchedulerState, worker: WorkerState, listed_run: ListedRun, now: Moment) -> Run | None:
     """Adopt a run that a previous owner started, or stop one that is not needed."""
-    step = state.step_of(seen.key)
-    unexpected = Run(seen.key, seen.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0)
+    step = state.step_of(listed_run.key)
+    unexpected = Run(
+        listed_run.key, listed_run.run, worker.worker_id, worker.profile.capacity.times(0), now.steady_s, 0.0
+    )
     if worker.is_lapsed:
         # The next owner may already have read from the store that nothing runs on this worker.
         state.stop(unexpected, 'lease had ended')
         return None
-    if step is None or step.job.has_ended or seen.key.task_index in step.done:
+    if step is None or step.job.has_ended or listed_run.key.task_index in step.done:
         state.stop(unexpected, 'run of a task that needs none')
         return None
-    other = step.run_by_index.get(seen.key.task_index)
-    if other is not None or (step.spec.gang and _has_other_run(list(step.run_by_index.values()), seen.run)):
+    other = step.run_by_index.get(listed_run.key.task_index)
+    if other is not None or (step.spec.gang and _has_other_run(list(step.run_by_index.values()), listed_run.run)):
         state.stop(unexpected, 'task runs elsewhere')
         return None
     work_s = state.times.expect_s(step.job.queue.name, step.spec)
-    started_s = now.steady_s - work_s * seen.percent / _FULL_PERCENT
-    run = Run(seen.key, seen.run, worker.worker_id, effective_demand(step), started_s, work_s)
+    started_s = now.steady_s - work_s * listed_run.percent / _FULL_PERCENT
+    run = Run(listed_run.key, listed_run.run, worker.worker_id, effective_demand(step), started_s, work_s)
     run.phase = RunPhase.RUNNING
     # Its start time is unknown, so the worker's pace can't be learned from it.
     run.has_reported_pace = True
