--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -105,7 +105,7 @@
         grown = (self.grown_workers | set(freed)) & eligible | eligible - self._eligible_workers
         self.grown_workers = set()
         self._eligible_workers = eligible
-        free_rooms = [free_by_id[worker_id] for worker_id in grown]
+        grown_free = [free_by_id[worker_id] for worker_id in grown]
         for search_key in tuple(self._failed_placements):
-            if any(fits(free, search_key.demand) for free in free_rooms):
+            if any(fits(free, search_key.demand) for free in grown_free):
                 del self._failed_placements[search_key]
