--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -1,7 +1,7 @@
-"""Caches failed searches for room between scheduling passes, so that they are not repeated.
+"""Caches failed searches for free capacity between scheduling passes, so that they are not repeated.
 
-A step that found no room can't find any until the room of some worker grows. Starts and
-reservations only reduce room; the cache records every event that may increase it.
+A step that found too little free capacity can't find more until that of some worker grows.
+Starts and reservations only reduce it; the cache records every event that may increase it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,12 +12,12 @@
 
 
 class SearchKey(NamedTuple):
-    """Key of a search for room; steps with the same key have the same placement constraints.
+    """Key of a search for free capacity; steps with the same key have the same placement constraints.
 
     Parameters
     ----------
     demand : Resources
-        Resources that one task takes from a worker's room.
+        Resources that one task takes from a worker's free capacity.
     rank : int
         Rank of the step.
     service, label : str
@@ -42,12 +42,12 @@
 
 
 class FailedSearches:
-    """Cache of failed searches for room and for runs to preempt.
+    """Cache of failed searches for free capacity and for runs to preempt.
 
     Attributes
     ----------
     grown_workers : set of str
-        Workers whose room may have grown since the last pass.
+        Workers whose free capacity may have grown since the last pass.
     last_full_pass_s : float
         Steady time of the last pass that considered all steps.
     """
@@ -75,11 +75,11 @@
         }
 
     def is_known_to_lack_capacity(self, search_key: SearchKey, task_count: int) -> bool:
-        """Return whether a search for this number of tasks, or for fewer, found no room."""
+        """Return whether a search for this number of tasks, or for fewer, found too little free capacity."""
         return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
     def record_no_capacity(self, search_key: SearchKey, task_count: int) -> None:
-        """Record that a search for this number of tasks found no room."""
+        """Record that a search for this number of tasks found too little free capacity."""
         self._failed_placements[search_key] = min(task_count, self._failed_placements.get(search_key, task_count))
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, task_count: int, since_s: float) -> bool:
@@ -92,7 +92,7 @@
         self._failed_victim_searches[search_key, rank] = (task_count, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
-        """Discard failed searches that could succeed because the room of some worker has grown.
+        """Discard failed searches that could succeed because the free capacity of some worker has grown.
 
         Parameters
         ----------
