--- a/packages/kernel/dahliaarch_kernel/scheduler/mechanisms.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/mechanisms.py
@@ -6,9 +6,9 @@
 class Mechanism(StrEnum):
     """Names of the scheduling mechanisms, as used in settings."""
 
-    #: Reserve room for waiting gangs.
+    #: Reserve capacity for waiting gangs.
     GANG_RESERVATIONS = 'gang_reservations'
-    #: Let more urgent work use reserved room.
+    #: Let more urgent work use reserved capacity.
     RESERVATION_RANKS = 'reservation_ranks'
     #: Learn the paces of workers, and prefer fast workers for urgent work.
     WORKER_PACES = 'worker_paces'
@@ -18,7 +18,7 @@
     MOVES_OF_STALLED = 'moves_of_stalled'
     #: Use workers last on which tasks recently failed or were slow.
     SUSPECTS_LAST = 'suspects_last'
-    #: Let work wait for room near its data or within one rack.
+    #: Let work wait for free capacity near its data or within one rack.
     NEAR_FIRST = 'near_first'
     #: Preempt the cheapest runs for urgent work.
     CHEAP_VICTIMS = 'cheap_victims'
