--- a/packages/kernel/dahliaarch_kernel/scheduler/settings.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/settings.py
@@ -19,16 +19,16 @@
     stall_s : float
         How long the progress of a run may stall before the run is moved.
     reserve_after_s : float
-        How long a gang waits before room is reserved for it.
+        How long a gang waits before capacity is reserved for it.
     far_after_share : float
         How long a task waits for the rack of its data before it may start
         elsewhere, as a share of its expected run time.
     reservations : int
-        Maximum number of gangs for which room is reserved at one time.
+        Maximum number of gangs for which capacity is reserved at one time.
     idle_wait_s : float
         How long ready work of a job with nothing running respects the reservations of
-        others and waits for room near its data or its gang, while less than half
-        of the pool is in use.
+        others and waits for free capacity near its data or its gang, while less than
+        half of the pool is in use.
     without : frozenset of Mechanism
         Mechanisms that are disabled.
     """
