--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -81,7 +81,7 @@
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
     def assume_granted(self, lease_s: float, now_s: float) -> None:
-        """Assume that a previous owner granted leases of ``lease_s`` until now."""
+        """Assume that until now a previous owner granted leases of ``lease_s``."""
         self.assume_until(now_s + lease_s * _MAX_CLOCK_RATIO)
 
     def latest_end_s(self) -> float:
