--- a/packages/node/dahliaarch_node/owner/start_turns.py
+++ b/packages/node/dahliaarch_node/owner/start_turns.py
@@ -14,19 +14,19 @@
 from .link_settings import StartLimits
 
 # Maximum number of concurrent attempts at one worker, for urgent and for other starts each:
-# with more, a few unresponsive workers would occupy the turns of all others.
+# with more, a few unresponsive workers would occupy the slots of all others.
 _MAX_ATTEMPTS_PER_WORKER = 4
-# Longest time for which an attempt holds its turn, in seconds: the request has crossed
+# Longest time for which an attempt holds its slot, in seconds: the request has crossed
 # the network by then, whether or not it is answered.
 _ATTEMPT_SLOT_S = 0.3
-# Wait for a turn above which a start is logged, in seconds.
+# Wait for a slot above which a start is logged, in seconds.
 _LOG_THRESHOLD_S = 1.0
 # Minimum interval between two such lines about one worker, in seconds.
 _LOG_INTERVAL_S = 1.0
 
 
 class StartLimiter:
-    """Limits the concurrent start requests to one worker and, with the other queues, to all workers.
+    """Limits the concurrent start requests to one worker and, with limits that all links share, to all workers.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, contact: Contact) -> None:
-        """Initialize an empty queue."""
+        """Initialize without waiting attempts."""
         self.is_last_attempt_unanswered = False
         self._contact = contact
         self._worker_limits = StartLimits(_worker_limit(), _worker_limit())
@@ -50,7 +50,7 @@
 
     @asynccontextmanager
     async def slot(self, effect: StartRun) -> AsyncGenerator[None, None]:
-        """Wait for the turn of an attempt and hold it until the block ends, at most for ``_ATTEMPT_SLOT_S``."""
+        """Wait for a slot for an attempt and hold it until the block ends, at most for ``_ATTEMPT_SLOT_S``."""
         context = self._contact.context
         is_urgent = effect.rank <= RANK_URGENT
         queue = 'urgent' if is_urgent else 'other'
