--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -46,7 +46,7 @@
     max_start_attempts : int
         Maximum number of attempts of a start before it is revoked.
     max_slot_wait_s : float
-        Maximum time that a start waits for its turn at a worker that leaves starts
+        Maximum time that a start waits for a slot at a worker that leaves starts
         unanswered; a start that waits longer is dropped, as its task may start
         elsewhere.
     retry_s : float
