--- a/packages/node/dahliaarch_node/owner/orders.py
+++ b/packages/node/dahliaarch_node/owner/orders.py
@@ -146,7 +146,7 @@
         return _StartOutcome.UNKNOWN
 
     def _may_send(self, effect: StartRun, ordered_s: float, *, is_retry: bool) -> bool:
-        """Return whether an attempt of a start may be sent now that its turn has come."""
+        """Return whether an attempt of a start may be sent now that it has a slot."""
         context = self._contact.context
         if is_retry:
             return (effect.key, effect.run) in self._unanswered and context.may_order()
@@ -159,7 +159,7 @@
         return True
 
     def _drop_if_obsolete(self, effect: StartRun, waited_s: float) -> bool:
-        """Drop a start that became obsolete while it waited for its turn; return whether it was dropped."""
+        """Drop a start that became obsolete while it waited for a slot; return whether it was dropped."""
         is_unavailable = self._contact.is_silent or self._contact.is_draining or self._contact.is_overcommitted
         if self._start_limiter.is_last_attempt_unanswered and waited_s > self._contact.context.settings.max_slot_wait_s:
             is_unavailable = True
