--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Single decisions, each with the fault or the need that it answers."""
+"""Tests of single scheduling decisions."""
 
 import pytest
 
@@ -226,7 +226,7 @@
 
 
 def test_a_start_without_an_answer_that_is_stopped_holds_its_task_until_the_worker_says_so():
-    """A survey that does not list it tells nothing: the start may be carried out late."""
+    """A survey without the run does not show that it ended: the start may still be executed late."""
     pool = Pool(workers=2)
     pool.submit(A, task(2, accelerators=8, gang=True))
     refused, unacknowledged = pool.scheduler.decide(pool.now)
@@ -240,18 +240,17 @@
 
 
 def test_a_start_that_is_stopped_before_its_answer_holds_its_task_until_the_worker_says_so():
-    """Two runs of one task of one owner ran at the same time.
-
-    A task was ordered and 26 ms later stopped again to make room for
-    an urgent gang, before its start was answered: the first try was lost, and the
-    stop too. The next survey, asked for after the start, did not list the run. It
-    counted as stopping and no longer as starting, so that the survey was taken for
-    its end, and the task was ordered elsewhere 110 ms after the stop.
-    0.6 s after the first try the second one was carried out: both ran for 0.15 s,
-    until a survey listed the first, which was stopped: in the log `stop_ordered` with
-    "makes room for ...", `run_ordered` elsewhere without a `run_ended` before it, and
-    `stop_ordered` with "task runs elsewhere". Of 96 trials with lost orders 39 had
-    such tasks; none had since a survey's silence ends only confirmed runs.
+    """Guards against two simultaneous runs of one task under one owner.
+
+    The run was preempted for an urgent gang 26 ms after its start was sent; the first
+    attempts of the start and of the stop were lost. A survey requested after the start did
+    not list the run. Because the run was marked as stopping and no longer as starting, this
+    counted as its end, and the task was started on another worker 110 ms after the stop. A
+    retry of the start was executed 0.6 s after the first attempt: both runs overlapped for
+    0.15 s, until a survey listed the first run and it was stopped. In the log: `stop_ordered`
+    with "makes room for ...", `run_ordered` on another worker without a `run_ended` before
+    it, and `stop_ordered` with "task runs elsewhere". This occurred in 39 of 96 trials with
+    lost orders, and in none since a run's absence from a survey ends only confirmed runs.
     """
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
@@ -267,7 +266,7 @@
 
 
 def test_a_gang_whose_estimate_is_far_off_stays_where_it_is():
-    """It was stopped on one set of workers after another, though its owner's guess was at fault."""
+    """The gang was moved repeatedly between workers although only its estimate was wrong."""
     pool = Pool(workers=8)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=0.4), queue=URGENT)
     for _ in range(3):
@@ -282,7 +281,7 @@
 
 
 def test_within_a_rank_what_came_first_goes_first_whatever_its_size():
-    """Wide work waited behind all small work that came after it, and ended too late to be of use."""
+    """Wide steps waited for all small steps that arrived later, and ended too late to be of use."""
     pool = Pool(workers=1)
     pool.submit('f' * 16, task(1, accelerators=8, work_s=1.0))
     first = pool.step()[0]
