--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -1,9 +1,9 @@
-"""Days on which workers are slow or stalled for some seconds.
+"""Tests of workers that are slow or stalled for some seconds.
 
-On such days runs were moved that would have ended in time where they were, often
-because an owner's estimate was off or because another member of their gang was on
-the slow worker, and sound workers got nothing for seconds. What was stopped was
-done again and took the room of others: 0.017 of net worth.
+Runs were moved although they would have ended in time without a move, often because
+the owner's estimate was wrong or because another member of their gang ran on the slow
+worker, and healthy workers got no starts for seconds. The stopped runs were repeated
+and took capacity from other jobs, which cost 0.017 of net worth.
 """
 
 from dahliaarch_kernel.scheduler import EndKind, Mechanism, SchedulerSettings
@@ -15,7 +15,7 @@
 
 
 def learn_times(pool, queue, work_s, estimate_s, jobs=12, accelerators=1):
-    """Let jobs end after so long, whatever was estimated."""
+    """Run jobs that each take `work_s`, independent of their estimates."""
     for number in range(jobs):
         job_id = f'{number + 300:016x}'
         pool.submit(job_id, task(1, accelerators=accelerators, work_s=estimate_s(number)), queue=queue)
@@ -27,7 +27,7 @@
 
 
 def report(pool, percent_by_worker, seconds):
-    """Let time pass and each worker report its progress."""
+    """Advance the clock and survey each worker with the given progress of its runs."""
     pool.step(seconds)
     for worker, percent in percent_by_worker.items():
         pool.survey(worker, percent=percent)
@@ -56,7 +56,7 @@
 
 
 def test_an_urgent_run_that_can_not_be_saved_is_left_alone():
-    """Moved, it ends late all the same, and what it did so far is thrown away."""
+    """After a move it would still end late, and the progress made so far would be lost."""
     pool = Pool(workers=2)
     learn_times(pool, URGENT, 2.0, lambda number: 2.0)
     pool.submit(A, task(work_s=2.0), queue=URGENT)
@@ -88,7 +88,7 @@
 
 
 def test_a_worker_is_not_called_slow_on_a_queue_whose_estimates_tell_nothing():
-    """Estimates of 0.3 to 12 s for tasks of 3 s made workers look ten times too slow."""
+    """Estimates of 0.3 to 12 s for tasks of 3 s made workers appear ten times too slow."""
     pool = Pool(workers=1)
     learn_times(pool, URGENT, 3.0, lambda number: (0.3, 1.0, 3.0, 12.0)[number % 4], jobs=24)
     pool.submit(A, task(work_s=0.3), queue=URGENT)
