--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""What must hold over any history: the pool checks each start that it gets."""
+"""Stateful property tests of the scheduler; the pool checks every start that it receives."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
