--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -1,4 +1,4 @@
-"""However a task of a cancelled job comes to run, the next survey finds it and it is stopped."""
+"""A run of a cancelled job is found by the next survey and stopped, however it was started."""
 
 import pytest
 from hypothesis import settings
@@ -18,14 +18,14 @@
 
 
 def begin_late(succession):
-    """Order a job's only start; nobody answers it and it is not carried out yet."""
+    """Submit a job of one task whose start is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
     succession.decide(0.0, is_answered=False, is_late=True)
     return succession.late[0]
 
 
 def find_and_stop(succession):
-    """Make one survey of each worker and carry out once what is decided on it."""
+    """Survey each worker, decide once and deliver the stops that are ordered."""
     for worker_id in succession.worker_by_id:
         succession.list_worker(worker_id)
         succession.survey(worker_id)
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize('has_reported', [False, True])
 @pytest.mark.parametrize('is_listed', [False, True])
 def test_a_start_of_an_owner_that_is_gone_is_stopped_by_the_next(is_removed, has_reported, is_listed):
-    """Also if the next knows no such job, or learns of the worker only later."""
+    """Also if the next owner does not know the job, or the worker is listed only later."""
     succession = Succession(WORKERS)
     order = begin_late(succession)
     succession.cancel(A)
