--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -1,4 +1,4 @@
-"""Operators' programs act on the scheduler's decisions."""
+"""Tests that the policy programs of operators affect scheduling decisions."""
 
 from dahliaarch_kernel.policies import Policy, PolicySettings
 from dahliaarch_kernel.scheduler import Scheduler, StartRun, StopRun
