--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Room that is made by stopping others, and room that is kept for those who wait."""
+"""Tests of preemption and of reservations of capacity for waiting work."""
 
 from dahliaarch_kernel.scheduler import StartRun, StopRun
 
@@ -20,7 +20,7 @@
 
 
 def test_guaranteed_work_that_first_finds_no_victims_preempts_as_soon_as_there_are_some():
-    """Kept room stayed kept for seconds and nothing was stopped meanwhile."""
+    """Capacity remained reserved for seconds while no run was preempted."""
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8, 'other': 8})
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=9.0), queue=URGENT, account='other')
@@ -60,7 +60,7 @@
 
 
 def test_the_holder_of_a_reservation_is_tried_though_a_like_gang_was_blocked_by_that_reservation():
-    """A smaller gang of the same shape came first, failed, and stood for both for ever."""
+    """The cached failed search of a smaller gang with the same search key blocked both gangs forever."""
     pool = Pool(workers=3)
     wide = {'accelerators': 8, 'gang': True, 'work_s': 6.0}
     pool.submit(A, task(2, accelerators=8, work_s=4.0), queue=PATIENT)
@@ -76,7 +76,7 @@
 
 
 def test_two_urgent_gangs_do_not_reserve_the_same_room():
-    """Each was kept from the other's reservation and both waited until the reservations were stale."""
+    """Each gang was blocked by the other's reservation, and both waited until the reservations expired."""
     pool = Pool(workers=4)
     pool.submit(A, task(4, accelerators=8, checkpoints=True), queue=PATIENT)
     pool.step()
@@ -104,7 +104,7 @@
 
 
 def test_urgent_work_stops_others_on_fast_workers_first():
-    """It waited for stops and then ran where it took longer: both together made it late."""
+    """Preemption on slow workers made urgent work late: it waited for the stops and then ran longer."""
     pool = Pool(workers=6)
     learn_slow_workers(pool, {'w0', 'w1'})
     pool.submit(A, task(6, accelerators=8), queue=PATIENT)
@@ -116,7 +116,7 @@
 
 
 def test_urgent_work_uses_room_that_is_kept_for_a_waiting_gang():
-    """It stopped other work instead, beside accelerators that stood idle for the gang."""
+    """It preempted other work instead, while accelerators reserved for the gang were idle."""
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8, work_s=9.0), queue=ORDINARY)
     pool.step()
