--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks below what they hold, and grows again."""
+"""Tests of workers whose capacity shrinks below what their runs use, and grows again."""
 
 from dahliaarch_kernel.scheduler import StartRun
 from dahliaarch_kernel.workload import Resources
@@ -16,7 +16,7 @@
 
 
 def test_a_worker_that_holds_more_than_it_has_is_given_nothing_more():
-    """Not even what asks for none of what is short: the worker would be over its room as it starts."""
+    """Not even a task that needs none of the exhausted resource: the worker would exceed its capacity at the start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6))
     pool.step()
@@ -26,7 +26,7 @@
 
 
 def test_nobody_is_stopped_for_work_that_can_not_begin_there_after_the_stop():
-    """Its runs hold six accelerators of two: work that asks for processors began nowhere for the stop of one."""
+    """The runs use six accelerators of two: one was preempted for a CPU-only task, which still could not start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6), queue=PATIENT)
     pool.step()
@@ -65,7 +65,7 @@
 
 
 def test_a_worker_that_does_not_guard_its_room_gets_nothing_on_an_old_word_of_it():
-    """Its room may have shrunk since its entry was last synced, and it starts whatever it is sent."""
+    """Its capacity may have shrunk since its entry was last synced, and it executes every start that it receives."""
     pool = Pool(workers=1)
     unguarded(pool)
     pool.now_s += 5.0
