--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -1,3 +1,5 @@
+"""Tests that steps do not wait for long while the pool has enough free capacity."""
+
 import math
 
 from hypothesis import given, settings
@@ -11,15 +13,15 @@
 from .pool import ORDINARY, PATIENT, Pool, run_all, START_S, task, URGENT
 
 JOB = 'a' * 16
-# Users count a job as lost that has nothing running for so long beside idle capacity.
+# Users consider a job lost when none of its tasks runs for this long although capacity is idle.
 LONGEST_STALL_S = 3.0
 TICK_S = 0.25
 
 
 class AnsweringPool(Pool):
-    """A pool whose workers end their runs by themselves.
+    """A pool whose workers end their runs after the estimated time.
 
-    Some refuse every start, and some take far longer than estimated.
+    Workers in `refusing` refuse every start; runs on workers in `late` take 60 s longer.
     """
 
     def __init__(self, workers, refusing=(), late=(), policy=None):
@@ -34,7 +36,7 @@
         self.ends_at_by_run = {}
 
     def tick(self, seconds=TICK_S):
-        """Let time pass, end what is due, decide and carry out."""
+        """Advance the clock, end the runs that are due, decide and execute the decisions."""
         self.now_s += seconds
         for (worker_id, key), at_s in sorted(self.ends_at_by_run.items()):
             if at_s <= self.now_s:
@@ -56,7 +58,7 @@
         self.finish_stops()
 
     def tick_until_begun(self, job_id, longest_s):
-        """Return how long a job takes to begin; infinity when it has not by then."""
+        """Return the time until a task of the job runs; infinity if none runs within the limit."""
         since_s = self.now_s
         while self.now_s - since_s < longest_s:
             self.tick()
@@ -65,7 +67,7 @@
         return math.inf
 
     def tick_until_whole(self, job_id, count, longest_s):
-        """Return how long it takes until so many tasks of a job run; infinity when they don't by then."""
+        """Return the time until `count` tasks of the job run; infinity if they don't within the limit."""
         since_s = self.now_s
         while self.now_s - since_s < longest_s:
             self.tick()
@@ -78,14 +80,14 @@
 
 
 def occupy(pool, workers, work_s=60.0):
-    """Fill so many whole workers with one job, those of the first racks first."""
+    """Fill the given number of workers with one job, starting with the first racks."""
     pool.submit('f' * 16, task(workers, accelerators=8, work_s=work_s, max_per_worker=1))
     pool.tick()
     assert len(pool.running) == workers
 
 
 def test_gangs_whose_reservations_overlap_do_not_wait_for_each_other():
-    # Each of three gangs was kept out by what was reserved for the other two, with three quarters of the pool idle.
+    # Each of three gangs was blocked by the reservations of the other two while three quarters of the pool were idle.
     pool = AnsweringPool(16, late=('w0', 'w2', 'w5', 'w9'))
     occupy(pool, 16, work_s=4.0)
     gangs = [f'{number:016x}' for number in range(3)]
@@ -100,7 +102,7 @@
 
 
 def test_small_work_is_not_held_up_by_a_reservation_beside_idle_capacity():
-    # Workers that were reserved for a gang as wide as the pool stood empty until the last of them was free.
+    # Workers reserved for a gang as wide as the pool stayed idle until the last of them was free.
     pool = AnsweringPool(10)
     occupy(pool, 1, work_s=30.0)
     pool.submit('b' * 16, task(10, accelerators=8, work_s=8.0, gang=True))
@@ -111,7 +113,7 @@
 
 
 def test_work_does_not_wait_for_the_rack_of_its_data_beside_idle_capacity():
-    # It waited for 1.5 times its own work time however idle the other racks were.
+    # The task waited for 1.5 times its own run time even when the other racks were idle.
     pool = AnsweringPool(40)
     pool.submit('b' * 16, task(8, accelerators=8, work_s=60.0, data_rack='r0'))
     pool.tick()
@@ -141,7 +143,7 @@
 
 
 def test_a_task_that_a_worker_refuses_goes_to_another():
-    # The worker that refused it stayed the best choice and was asked again and again.
+    # The worker that refused the task remained the best choice and was chosen again and again.
     for queue in (URGENT, ORDINARY, PATIENT):
         pool = AnsweringPool(10, refusing=('w0',))
         pool.submit(JOB, task(1), queue=queue)
@@ -174,7 +176,7 @@
 
 
 class StallCheck:
-    """Follows for how long jobs have nothing running though the pool has room for them twice over."""
+    """Checks how long a job has no running task while the pool has twice the capacity that it needs."""
 
     def __init__(self, pool):
         self.pool = pool
@@ -219,7 +221,7 @@
 
 
 def test_a_wide_gang_starts_beside_a_stream_of_small_work():
-    # Small work that came later must not starve a gang of half of the pool.
+    # Small tasks that arrive later must not starve a gang that needs half of the pool.
     pool = AnsweringPool(20)
     for number in range(240):
         pool.submit(f'{number:016x}', task(2, accelerators=2, work_s=6.0), queue=PATIENT)
@@ -272,7 +274,7 @@
 
 
 def test_a_failed_search_is_repeated_though_no_room_has_grown():
-    # What a policy admits may change while nothing runs: the search was remembered as failed for good.
+    # The result of a placement filter may change while nothing runs, but the failed search stayed cached forever.
     pool = AnsweringPool(1, policy=PolicySettings('mine', placement_filter='!suspect'))
     worker = pool.scheduler.worker_by_id['w0']
     pool.tick()
@@ -286,7 +288,7 @@
 
 
 def test_a_lasting_task_that_ended_is_started_again_beside_others_of_its_step():
-    # Its step had tasks running, so that it did not count as stalled and waited for the rack of its data.
+    # The step had running tasks, so it did not count as stalled and the task waited for the rack of its data.
     pool = AnsweringPool(16)
     pool.submit(JOB, task(9, accelerators=8, work_s=600.0, data_rack='r0', lasting=True))
     pool.submit('b' * 16, task(4, accelerators=8, work_s=600.0, data_rack='r1'))
@@ -306,7 +308,7 @@
 
 
 def test_a_gang_as_wide_as_the_pool_begins_beside_a_thin_stream_of_small_work():
-    # Small work that had waited beside idle capacity passed its reservation again and again.
+    # Small tasks that had waited while capacity was idle were repeatedly placed on capacity reserved for the gang.
     pool = AnsweringPool(10)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=10.0))
     pool.tick()
@@ -322,7 +324,7 @@
 
 
 def test_work_of_others_begins_beside_a_job_that_every_worker_refuses():
-    # Each refusal kept all starts away from its worker, and the refused job was first again when that was over.
+    # Each refusal blocked all starts on its worker for a time, after which the refused job was again first in order.
     pool = AnsweringPool(10)
     pool.refused_jobs = {JOB}
     pool.submit(JOB, task(160, work_s=5.0))
