--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -1,6 +1,8 @@
-"""Starts that a worker did not answer may be carried out by its next incarnation, before that has answered.
+"""Tests of unacknowledged starts on workers that restart.
 
-The task was started elsewhere as soon as the earlier incarnation was over, 0.4 s before the list of the next: two runs.
+The next incarnation of a worker may execute such a start before it has answered its first survey. The task was
+started on another worker as soon as the previous incarnation was over, 0.4 s before the next one listed its runs, so
+that two runs existed.
 """
 
 import pytest
@@ -15,7 +17,7 @@
 
 
 def replaced_unacknowledged(pool):
-    """Return a start that got no answer, to an incarnation that another one has replaced since."""
+    """Return an unacknowledged start on an incarnation that has since been replaced."""
     pool.submit(A, task())
     (start,) = pool.step()
     pool.scheduler.worker_by_id[start.worker_id].run_by_key[start.key].is_confirmed = False
@@ -89,7 +91,7 @@
 
 
 def started_in_two_tries(pool, sent_ago_s):
-    """Return a start whose first try got no answer, so long ago, and whose second did."""
+    """Return a start whose first attempt, sent `sent_ago_s` ago, got no reply, and whose second did."""
     pool.submit(A, task())
     (start,) = pool.step()
     worker = pool.scheduler.worker_by_id[start.worker_id]
@@ -99,7 +101,7 @@
 
 
 def test_a_try_without_an_answer_is_waited_for_though_another_was_answered():
-    """The next incarnation carried the first try out while the task, over with the one before, ran elsewhere."""
+    """The run ended with its incarnation and the task ran elsewhere when the next one executed the first attempt."""
     pool = Pool(workers=2)
     start = started_in_two_tries(pool, 1.0)
     replace(pool, start.worker_id)
@@ -110,7 +112,7 @@
 
 
 def test_a_start_that_was_taken_back_is_waited_for_if_its_task_has_not_started_elsewhere():
-    """The next incarnation knows nothing of the stop that the incarnation before had acknowledged."""
+    """The next incarnation does not know of the stop that the previous one acknowledged."""
     pool = Pool(workers=1)
     start = started_in_two_tries(pool, 1.0)
     pool.end(start.worker_id, start.key, start.run, EndKind.STOPPED)
@@ -144,7 +146,7 @@
 
 
 def given_up_unacknowledged(pool, is_listed):
-    """Return a start without an answer, to an incarnation that was given up in silence; another may have begun."""
+    """Return an unacknowledged start on an incarnation given up as unreachable; the next one may already run."""
     pool.submit(A, task())
     (start,) = pool.step()
     worker = pool.scheduler.worker_by_id[start.worker_id]
@@ -162,7 +164,7 @@
 @pytest.mark.parametrize('is_listed', [False, True])
 @pytest.mark.parametrize(('after_s', 'count'), [(LATE_S - 1.0, 0), (LATE_S, 1)])
 def test_its_task_waits_when_the_incarnation_was_given_up_in_silence(is_listed, after_s, count):
-    """The next incarnation had done the task before anybody could ask it; it ran again 1.4 s later."""
+    """The next incarnation completed the task before its first survey, and the task ran again 1.4 s later."""
     pool = Pool(workers=2)
     given_up_unacknowledged(pool, is_listed)
     assert not pool.step(0.1)
@@ -190,7 +192,7 @@
 
 
 def test_its_task_starts_once_the_same_incarnation_has_told_what_runs_there():
-    """It was cut off, and remembers the stop."""
+    """The incarnation was only unreachable and still knows of the stop."""
     pool = Pool(workers=2)
     start = given_up_unacknowledged(pool, is_listed=False)
     assert not pool.step(0.1)
@@ -208,12 +210,12 @@
 
 
 def may_hide_ends(pool, worker_id):
-    """Let a worker be one that may never list its ends."""
+    """Mark a worker as one that may never list the ends of its runs."""
     pool.scheduler.worker_by_id[worker_id].may_hide_ends = True
 
 
 def test_a_late_start_is_stopped_on_an_incarnation_that_may_hide_its_end():
-    """Its end was never listed, and the task ran again."""
+    """The end of the run was never listed, and the task ran again."""
     pool = Pool(workers=2)
     start = replaced_unacknowledged(pool)
     successor = f'{start.worker_id}+'
