--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_surveys.py
@@ -1,4 +1,4 @@
-"""What a worker's list of runs changes."""
+"""Tests of how the scheduler processes the runs that a worker lists in a survey."""
 
 from dahliaarch_kernel.scheduler.events import LossCause
 
