--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -100,13 +100,13 @@
     pool = Pool(workers=2)
     pool.submit(A, task(3))
     pool.step()
-    heir = Pool(workers=2, epoch=9)
-    heir.running = dict(pool.running)
-    heir.submit(A, task(3))
+    successor = Pool(workers=2, epoch=9)
+    successor.running = dict(pool.running)
+    successor.submit(A, task(3))
     for worker in ('w0', 'w1'):
-        heir.survey(worker)
-    assert not heir.step()
-    assert heir.scheduler.job_by_id[A].phase == 'running'
+        successor.survey(worker)
+    assert not successor.step()
+    assert successor.scheduler.job_by_id[A].phase == 'running'
 
 
 def test_run_numbers_rise_over_owners():
@@ -127,13 +127,13 @@
     _, other = sorted(pool.running)[0]
     pool.end_unit(other, EndKind.FAILED)
     kept = pool.scheduler.job_by_id[A].progress()
-    heir = Pool(epoch=9)
+    successor = Pool(epoch=9)
     spec = pool.spec_by_id[A]
-    heir.spec_by_id[A] = spec
-    heir.done = set(pool.done)
-    heir.scheduler.add_job(spec, ORDINARY, heir.now, progress=kept)
-    assert [effect.key for effect in heir.step()] == [other]
-    state = heir.scheduler.job_by_id[A].step_by_key[0, 0]
+    successor.spec_by_id[A] = spec
+    successor.done = set(pool.done)
+    successor.scheduler.add_job(spec, ORDINARY, successor.now, progress=kept)
+    assert [effect.key for effect in successor.step()] == [other]
+    state = successor.scheduler.job_by_id[A].step_by_key[0, 0]
     assert len(state.failed_runs_by_index[other.task_index]) == 1
 
 
