--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -190,15 +190,15 @@
 def test_a_worker_whose_runs_are_stalled_gets_nothing_new_before_they_are_moved():
     pool = Pool(workers=2)
     pool.submit(A, task(work_s=6.0))
-    still = pool.step()[0].worker_id
+    stalled_worker = pool.step()[0].worker_id
     pool.step(1.6)
-    pool.survey(still, percent=50.0)
+    pool.survey(stalled_worker, percent=50.0)
     pool.step(0.8)
-    pool.survey(still, percent=50.0)
+    pool.survey(stalled_worker, percent=50.0)
     pool.step()
     assert not pool.stops
     pool.submit(B, task())
-    assert pool.step()[0].worker_id != still
+    assert pool.step()[0].worker_id != stalled_worker
 
 
 def test_workers_that_take_longer_for_like_tasks_are_known_as_slow():
