--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -19,7 +19,7 @@
     assert pool.scheduler.job_by_id[A].phase == 'succeeded'
 
 
-def test_an_end_is_shown_only_once_it_is_kept():
+def test_the_end_of_a_job_is_shown_only_after_it_is_saved():
     pool = Pool()
     pool.submit(A, task())
     pool.step()
