--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -32,7 +32,7 @@
     assert job.shown_phase == 'succeeded'
 
 
-def test_a_failed_task_is_tried_elsewhere_and_its_job_fails_at_the_bound():
+def test_a_failed_task_is_retried_on_other_workers_and_its_job_fails_after_max_attempts():
     pool = Pool()
     pool.submit(A, task(), queue=ORDINARY)
     workers = []
