--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -82,7 +82,7 @@
     assert again.worker_id != effect.worker_id
 
 
-def test_gangs_move_whole_from_a_leaving_worker():
+def test_all_members_of_a_gang_move_from_a_leaving_worker():
     pool = Pool(workers=4)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=9.0, checkpoints=True))
     leaving = pool.step()[0].worker_id
