--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -109,7 +109,7 @@
     assert successor.scheduler.job_by_id[A].phase == 'running'
 
 
-def test_run_numbers_rise_over_owners():
+def test_run_numbers_increase_across_owners():
     first, second = Pool(epoch=7), Pool(epoch=8)
     numbers = []
     for pool in (first, second):
