--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -146,7 +146,7 @@
     assert [effect.key.occurrence for effect in pool.step(1.0)] == [1]
 
 
-def test_lasting_tasks_start_again_however_they_end():
+def test_lasting_tasks_are_restarted_after_any_kind_of_end():
     pool = Pool()
     pool.submit(A, task(lasting=True))
     for kind in (EndKind.FAILED, EndKind.FAILED, EndKind.FAILED, EndKind.DONE):
