--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -176,7 +176,7 @@
     assert len(again) == 1
 
 
-def test_a_gang_is_not_called_slow_for_a_late_start_and_a_guess_that_was_off():
+def test_a_gang_is_not_moved_because_of_a_late_start_and_a_wrong_estimate():
     pool = Pool(workers=2)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=1.4), queue=URGENT)
     pool.step()
