--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -187,7 +187,7 @@
     assert not pool.stops
 
 
-def test_a_worker_whose_runs_are_stalled_gets_nothing_new_before_they_are_moved():
+def test_a_worker_whose_runs_are_stalled_gets_no_starts_before_they_are_moved():
     pool = Pool(workers=2)
     pool.submit(A, task(work_s=6.0))
     stalled_worker = pool.step()[0].worker_id
