--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -201,7 +201,7 @@
     assert pool.step()[0].worker_id != stalled_worker
 
 
-def test_workers_that_take_longer_for_like_tasks_are_known_as_slow():
+def test_workers_that_take_longer_for_similar_tasks_are_classified_as_slow():
     pool = Pool(workers=6)
     learn_slow_workers(pool, {'w1', 'w4'})
     known = {worker_id for worker_id, worker in pool.scheduler.worker_by_id.items() if worker.slowdown > 1.15}
