--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -215,7 +215,7 @@
     assert {effect.worker_id for effect in pool.step(0.1)} == {'w2', 'w3', 'w4', 'w5'}
 
 
-def test_a_step_that_found_no_room_starts_once_a_run_of_another_ends():
+def test_a_step_that_found_no_capacity_starts_once_a_run_of_another_job_ends():
     pool = Pool(workers=1)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8), queue=PATIENT)
