--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -239,7 +239,7 @@
     assert len(pool.step(0.5)) == 2
 
 
-def test_a_start_that_is_stopped_before_its_answer_holds_its_task_until_the_worker_says_so():
+def test_a_task_whose_start_was_stopped_before_the_reply_waits_until_the_worker_reports_the_end():
     """Guards against two simultaneous runs of one task under one owner.
 
     The run was preempted for an urgent gang 26 ms after its start was sent; the first
