--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -293,7 +293,7 @@
     assert {effect.key.job_id for effect in pool.step(0.1)} == {A}
 
 
-def test_what_is_remembered_of_steps_that_are_gone_does_not_grow():
+def test_the_cache_of_failed_searches_does_not_grow_with_cancelled_jobs():
     pool = Pool(workers=1)
     pool.submit(A, task(1, accelerators=8, work_s=500.0), queue=URGENT)
     pool.step()
