--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -14,7 +14,7 @@
 A, B = 'a' * 16, 'b' * 16
 
 
-def learn_times(pool, queue, work_s, estimate_s, jobs=12, accelerators=1):
+def run_jobs_that_take(pool, queue, work_s, estimate_s, jobs=12, accelerators=1):
     """Run jobs that each take `work_s`, independent of their estimates."""
     for number in range(jobs):
         job_id = f'{number + 300:016x}'
@@ -36,7 +36,7 @@
 
 def test_a_run_that_is_stalled_for_some_seconds_is_left_alone_when_its_job_has_time():
     pool = Pool(workers=2)
-    learn_times(pool, ORDINARY, 8.0, lambda number: 8.0)
+    run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(work_s=8.0))
     worker = pool.step(0.01)[0].worker_id
     for percent in (12.0, 25.0, 25.0, 25.0, 25.0, 25.0, 25.0, 37.0):
@@ -46,7 +46,7 @@
 
 def test_an_urgent_run_that_is_stalled_is_moved_at_once_when_that_alone_saves_its_job():
     pool = Pool(workers=2)
-    learn_times(pool, URGENT, 4.0, lambda number: 4.0)
+    run_jobs_that_take(pool, URGENT, 4.0, lambda number: 4.0)
     pool.submit(A, task(work_s=4.0), queue=URGENT)
     worker = pool.step(0.01)[0].worker_id
     report(pool, {worker: 0.0}, 0.9)
@@ -58,7 +58,7 @@
 def test_an_urgent_run_that_can_not_be_saved_is_left_alone():
     """After a move it would still end late, and the progress made so far would be lost."""
     pool = Pool(workers=2)
-    learn_times(pool, URGENT, 2.0, lambda number: 2.0)
+    run_jobs_that_take(pool, URGENT, 2.0, lambda number: 2.0)
     pool.submit(A, task(work_s=2.0), queue=URGENT)
     worker = pool.step(0.01)[0].worker_id
     for percent in (50.0, 50.0, 50.0):
@@ -68,7 +68,7 @@
 
 def test_workers_are_not_called_slow_for_a_slow_member_of_a_gang_elsewhere():
     pool = Pool(workers=3)
-    learn_times(pool, ORDINARY, 8.0, lambda number: 8.0)
+    run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=8.0))
     workers = {effect.worker_id for effect in pool.step(0.01)}
     for percent in (1.0, 3.0, 4.0):
@@ -79,7 +79,7 @@
 
 def test_a_worker_is_avoided_once_its_own_runs_crawl():
     pool = Pool(workers=2)
-    learn_times(pool, PATIENT, 8.0, lambda number: 8.0)
+    run_jobs_that_take(pool, PATIENT, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, work_s=8.0), queue=PATIENT)
     slow = pool.step(0.01)[0].worker_id
     report(pool, {slow: 1.0}, 1.0)
@@ -90,7 +90,7 @@
 def test_a_worker_is_not_called_slow_on_a_queue_whose_estimates_tell_nothing():
     """Estimates of 0.3 to 12 s for tasks of 3 s made workers appear ten times too slow."""
     pool = Pool(workers=1)
-    learn_times(pool, URGENT, 3.0, lambda number: (0.3, 1.0, 3.0, 12.0)[number % 4], jobs=24)
+    run_jobs_that_take(pool, URGENT, 3.0, lambda number: (0.3, 1.0, 3.0, 12.0)[number % 4], jobs=24)
     pool.submit(A, task(work_s=0.3), queue=URGENT)
     pool.step(0.01)
     for percent in (30.0, 63.0):
