--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -26,7 +26,7 @@
     pool.step(0.01)
 
 
-def report(pool, percent_by_worker, seconds):
+def survey_after(pool, percent_by_worker, seconds):
     """Advance the clock and survey each worker with the given progress of its runs."""
     pool.step(seconds)
     for worker, percent in percent_by_worker.items():
@@ -40,7 +40,7 @@
     pool.submit(A, task(work_s=8.0))
     worker = pool.step(0.01)[0].worker_id
     for percent in (12.0, 25.0, 25.0, 25.0, 25.0, 25.0, 25.0, 37.0):
-        report(pool, {worker: percent}, 1.0)
+        survey_after(pool, {worker: percent}, 1.0)
     assert not pool.stops
 
 
@@ -49,7 +49,7 @@
     run_jobs_that_take(pool, URGENT, 4.0, lambda number: 4.0)
     pool.submit(A, task(work_s=4.0), queue=URGENT)
     worker = pool.step(0.01)[0].worker_id
-    report(pool, {worker: 0.0}, 0.9)
+    survey_after(pool, {worker: 0.0}, 0.9)
     assert [stop.reason for stop in pool.stops] == ['stalled']
     pool.finish_stops()
     assert pool.step(0.3)[0].worker_id != worker
@@ -62,7 +62,7 @@
     pool.submit(A, task(work_s=2.0), queue=URGENT)
     worker = pool.step(0.01)[0].worker_id
     for percent in (50.0, 50.0, 50.0):
-        report(pool, {worker: percent}, 1.0)
+        survey_after(pool, {worker: percent}, 1.0)
     assert not pool.stops
 
 
@@ -72,7 +72,7 @@
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=8.0))
     workers = {effect.worker_id for effect in pool.step(0.01)}
     for percent in (1.0, 3.0, 4.0):
-        report(pool, dict.fromkeys(workers, percent), 1.0)
+        survey_after(pool, dict.fromkeys(workers, percent), 1.0)
     states = [pool.scheduler.worker_by_id[worker] for worker in workers]
     assert not any(is_suspect(state) for state in states)
 
@@ -82,7 +82,7 @@
     run_jobs_that_take(pool, PATIENT, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, work_s=8.0), queue=PATIENT)
     slow = pool.step(0.01)[0].worker_id
-    report(pool, {slow: 1.0}, 1.0)
+    survey_after(pool, {slow: 1.0}, 1.0)
     pool.submit(B, task())
     assert {effect.worker_id for effect in pool.step(0.01)} == ({'w0', 'w1'} - {slow})
 
@@ -94,7 +94,7 @@
     pool.submit(A, task(work_s=0.3), queue=URGENT)
     pool.step(0.01)
     for percent in (30.0, 63.0):
-        report(pool, {'w0': percent}, 1.0)
+        survey_after(pool, {'w0': percent}, 1.0)
     assert not pool.stops
     assert not is_suspect(pool.scheduler.worker_by_id['w0'])
 
@@ -105,5 +105,5 @@
     pool.submit(A, task(work_s=6.0))
     worker = pool.step()[0].worker_id
     for _ in range(12):
-        report(pool, {worker: 5.0}, 1.0)
+        survey_after(pool, {worker: 5.0}, 1.0)
     assert not pool.stops
