--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -34,7 +34,7 @@
     return pool.step()
 
 
-def test_a_run_that_is_stalled_for_some_seconds_is_left_alone_when_its_job_has_time():
+def test_a_run_that_is_stalled_for_some_seconds_is_not_moved_when_its_job_has_time():
     pool = Pool(workers=2)
     run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(work_s=8.0))
