--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -44,7 +44,7 @@
     assert not pool.stops
 
 
-def test_an_urgent_run_that_is_stalled_is_moved_at_once_when_that_alone_saves_its_job():
+def test_a_stalled_urgent_run_is_moved_at_once_when_only_a_move_lets_its_job_end_in_time():
     pool = Pool(workers=2)
     run_jobs_that_take(pool, URGENT, 4.0, lambda number: 4.0)
     pool.submit(A, task(work_s=4.0), queue=URGENT)
