--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -55,7 +55,7 @@
     assert pool.step(0.3)[0].worker_id != worker
 
 
-def test_an_urgent_run_that_can_not_be_saved_is_left_alone():
+def test_an_urgent_run_that_would_end_late_after_a_move_is_not_moved():
     """After a move it would still end late, and the progress made so far would be lost."""
     pool = Pool(workers=2)
     run_jobs_that_take(pool, URGENT, 2.0, lambda number: 2.0)
