--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -66,7 +66,7 @@
     assert not pool.stops
 
 
-def test_workers_are_not_called_slow_for_a_slow_member_of_a_gang_elsewhere():
+def test_workers_are_not_suspected_because_of_a_slow_gang_member_on_another_worker():
     pool = Pool(workers=3)
     run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=8.0))
