--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -77,7 +77,7 @@
     assert not any(is_suspect(state) for state in states)
 
 
-def test_a_worker_is_avoided_once_its_own_runs_crawl():
+def test_a_worker_is_avoided_once_its_own_runs_are_slow():
     pool = Pool(workers=2)
     run_jobs_that_take(pool, PATIENT, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, work_s=8.0), queue=PATIENT)
