--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -87,7 +87,7 @@
     assert {effect.worker_id for effect in pool.step(0.01)} == ({'w0', 'w1'} - {slow})
 
 
-def test_a_worker_is_not_called_slow_on_a_queue_whose_estimates_tell_nothing():
+def test_a_worker_is_not_suspected_because_of_a_queue_with_unreliable_estimates():
     """Estimates of 0.3 to 12 s for tasks of 3 s made workers appear ten times too slow."""
     pool = Pool(workers=1)
     run_jobs_that_take(pool, URGENT, 3.0, lambda number: (0.3, 1.0, 3.0, 12.0)[number % 4], jobs=24)
