--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -99,7 +99,7 @@
     assert not is_suspect(pool.scheduler.worker_by_id['w0'])
 
 
-def test_runs_stay_where_they_are_when_moves_are_switched_off():
+def test_stalled_runs_are_not_moved_when_the_mechanism_is_disabled():
     without = frozenset((Mechanism.MOVES_OF_STALLED,))
     pool = Pool(workers=2, settings=SchedulerSettings(without=without))
     pool.submit(A, task(work_s=6.0))
