--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -17,7 +17,7 @@
 ENDS = st.sampled_from((EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-def begin_late(succession):
+def submit_with_late_start(succession):
     """Submit a job of one task whose start is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
     succession.decide(0.0, is_answered=False, is_late=True)
@@ -36,7 +36,7 @@
 
 def test_a_start_that_is_carried_out_after_its_job_was_cancelled_is_stopped():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.carry_out_late(order)
     find_and_stop(succession)
@@ -45,7 +45,7 @@
 
 def test_a_start_that_is_carried_out_after_its_stop_was_acknowledged_is_refused():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.decide(0.1, is_answered=True, is_late=False)
     succession.deliver_stop(order, is_answered=True)
@@ -59,7 +59,7 @@
 def test_a_start_of_an_owner_that_is_gone_is_stopped_by_the_next(is_removed, has_reported, is_listed):
     """Also if the next owner does not know the job, or the worker is listed only later."""
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     if is_removed:
         succession.remove(A)
@@ -73,7 +73,7 @@
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.take_over(unreported=(), unlisted=())
     succession.carry_out_late(order)
     succession.survey(order.worker_id)
