--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -34,7 +34,7 @@
         succession.deliver_stop(order, is_answered=True)
 
 
-def test_a_start_that_is_carried_out_after_its_job_was_cancelled_is_stopped():
+def test_a_start_that_is_executed_after_its_job_was_cancelled_is_stopped():
     succession = Succession(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
