--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -43,7 +43,7 @@
     assert not succession.unwanted()
 
 
-def test_a_start_that_is_carried_out_after_its_stop_was_acknowledged_is_refused():
+def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
     succession = Succession(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
