--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize('is_removed', [False, True])
 @pytest.mark.parametrize('has_reported', [False, True])
 @pytest.mark.parametrize('is_listed', [False, True])
-def test_a_start_of_an_owner_that_is_gone_is_stopped_by_the_next(is_removed, has_reported, is_listed):
+def test_a_late_start_of_a_previous_owner_is_stopped_by_the_next_owner(is_removed, has_reported, is_listed):
     """Also if the next owner does not know the job, or the worker is listed only later."""
     succession = Succession(WORKERS)
     order = submit_with_late_start(succession)
