--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -8,7 +8,7 @@
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
 
-def pool_under(settings, workers=1):
+def make_pool(settings, workers=1):
     failures = []
     pool = Pool(workers=0)
     pool.scheduler = Scheduler(pool.settings, pool.epoch, Policy(settings, lambda name, error: failures.append(name)))
@@ -18,20 +18,20 @@
 
 
 def test_a_priority_program_decides_the_order():
-    pool, _ = pool_under(PolicySettings('mine', priority='members'))
+    pool, _ = make_pool(PolicySettings('mine', priority='members'))
     pool.submit(A, task(1, accelerators=8), queue=ORDINARY)
     pool.submit(B, task(3, accelerators=8), queue=PATIENT)
     assert [effect.key.job_id for effect in pool.step()] == [B]
 
 
 def test_a_filter_program_keeps_workers_out():
-    pool, _ = pool_under(PolicySettings('mine', placement_filter='free < slots'))
+    pool, _ = make_pool(PolicySettings('mine', placement_filter='free < slots'))
     pool.submit(A, task())
     assert not pool.step()
 
 
 def test_a_score_program_chooses_among_workers():
-    pool, _ = pool_under(PolicySettings('mine', placement_score='0.0 - free'), workers=2)
+    pool, _ = make_pool(PolicySettings('mine', placement_score='0.0 - free'), workers=2)
     pool.submit(A, task())
     first = pool.step()[0].worker_id
     pool.submit(B, task())
@@ -39,7 +39,7 @@
 
 
 def test_a_reclaim_program_chooses_victims():
-    pool, _ = pool_under(PolicySettings('mine', reclaim='checkpointable ? 100.0 : 0.0'), workers=2)
+    pool, _ = make_pool(PolicySettings('mine', reclaim='checkpointable ? 100.0 : 0.0'), workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8, checkpoints=True), queue=PATIENT)
     pool.step()
@@ -48,7 +48,7 @@
 
 
 def test_a_program_that_fails_gives_way_to_the_built_in_choice():
-    pool, failures = pool_under(PolicySettings('mine', priority='slots == 2.0 ? double("x") : 1.0'))
+    pool, failures = make_pool(PolicySettings('mine', priority='slots == 2.0 ? double("x") : 1.0'))
     pool.submit(A, task(accelerators=2))
     assert [type(effect) for effect in pool.step()] == [StartRun]
     assert failures == ['priority']
