--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -17,7 +17,7 @@
     return pool, failures
 
 
-def test_a_priority_program_decides_the_order():
+def test_a_priority_program_determines_the_order_of_starts():
     pool, _ = make_pool(PolicySettings('mine', priority='members'))
     pool.submit(A, task(1, accelerators=8), queue=ORDINARY)
     pool.submit(B, task(3, accelerators=8), queue=PATIENT)
