--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -24,7 +24,7 @@
     assert [effect.key.job_id for effect in pool.step()] == [B]
 
 
-def test_a_filter_program_keeps_workers_out():
+def test_a_filter_program_excludes_workers():
     pool, _ = make_pool(PolicySettings('mine', placement_filter='free < slots'))
     pool.submit(A, task())
     assert not pool.step()
