--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -47,7 +47,7 @@
     assert [effect.key.job_id for effect in pool.step(2.0) if isinstance(effect, StopRun)] == [A]
 
 
-def test_a_program_that_fails_gives_way_to_the_built_in_choice():
+def test_the_built_in_policy_applies_when_a_program_fails():
     pool, failures = make_pool(PolicySettings('mine', priority='slots == 2.0 ? double("x") : 1.0'))
     pool.submit(A, task(accelerators=2))
     assert [type(effect) for effect in pool.step()] == [StartRun]
