--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -7,7 +7,7 @@
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
 
-def test_urgent_work_within_its_guarantee_preempts_and_takes_the_room():
+def test_urgent_work_within_its_guarantee_preempts_and_starts_on_the_freed_capacity():
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 16})
     pool.submit(A, task(16, checkpoints=True), queue=PATIENT)
