--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -34,7 +34,7 @@
     assert B in started
 
 
-def test_the_cheapest_victims_are_those_that_lose_nothing():
+def test_the_cheapest_victims_are_runs_with_checkpoints():
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8, checkpoints=True), queue=PATIENT)
