--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -89,7 +89,7 @@
     assert started == {B, C}
 
 
-def test_guaranteed_work_stops_ordinary_work_before_urgent_work_of_others():
+def test_guaranteed_work_preempts_patient_work_before_urgent_work_of_other_accounts():
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8})
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
