--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -103,7 +103,7 @@
     assert stopped == [A]
 
 
-def test_urgent_work_stops_others_on_fast_workers_first():
+def test_urgent_work_preempts_on_fast_workers_first():
     """Preemption on slow workers made urgent work late: it waited for the stops and then ran longer."""
     pool = Pool(workers=6)
     learn_slow_workers(pool, {'w0', 'w1'})
