--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -115,7 +115,7 @@
     assert not stopped & {'w0', 'w1'}
 
 
-def test_urgent_work_uses_room_that_is_kept_for_a_waiting_gang():
+def test_urgent_work_uses_capacity_reserved_for_a_waiting_gang():
     """It preempted other work instead, while accelerators reserved for the gang were idle."""
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8, work_s=9.0), queue=ORDINARY)
