--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -7,7 +7,7 @@
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 SHRUNK = Resources(64_000, 262_144, 2)
-PROCESSORS_ONLY = task(1, accelerators=0)
+CPU_ONLY = task(1, accelerators=0)
 
 
 def resize(pool, capacity):
@@ -21,7 +21,7 @@
     pool.submit(A, task(6))
     pool.step()
     resize(pool, SHRUNK)
-    pool.submit(B, PROCESSORS_ONLY)
+    pool.submit(B, CPU_ONLY)
     assert not pool.step(0.1)
 
 
@@ -31,7 +31,7 @@
     pool.submit(A, task(6), queue=PATIENT)
     pool.step()
     resize(pool, SHRUNK)
-    pool.submit(B, PROCESSORS_ONLY._replace(demand=Resources(44_000, 16_000, 0)), queue=URGENT)
+    pool.submit(B, CPU_ONLY._replace(demand=Resources(44_000, 16_000, 0)), queue=URGENT)
     pool.step(0.1)
     stopped = len(pool.stops)
     pool.finish_stops()
