--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -59,7 +59,7 @@
     assert len(pool.step(0.01)) == 2
 
 
-def unguarded(pool):
+def disable_capacity_check(pool):
     pool.scheduler.set_services_without_capacity_check({'svc'})
     pool.scheduler.workers_synced(pool.now)
 
@@ -67,7 +67,7 @@
 def test_a_worker_that_does_not_guard_its_room_gets_nothing_on_an_old_word_of_it():
     """Its capacity may have shrunk since its entry was last synced, and it executes every start that it receives."""
     pool = Pool(workers=1)
-    unguarded(pool)
+    disable_capacity_check(pool)
     pool.now_s += 5.0
     pool.submit(A, task(1))
     assert not pool.step()
