--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -15,7 +15,7 @@
     pool.scheduler.update_worker(pool.profiles['w0'], pool.now)
 
 
-def test_a_worker_that_holds_more_than_it_has_is_given_nothing_more():
+def test_a_worker_over_its_capacity_gets_no_starts():
     """Not even a task that needs none of the exhausted resource: the worker would exceed its capacity at the start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6))
