--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -25,7 +25,7 @@
     assert not pool.step(0.1)
 
 
-def test_nobody_is_stopped_for_work_that_can_not_begin_there_after_the_stop():
+def test_no_run_is_preempted_for_work_that_could_not_start_there_afterwards():
     """The runs use six accelerators of two: one was preempted for a CPU-only task, which still could not start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6), queue=PATIENT)
