--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -39,7 +39,7 @@
     assert started or not stopped
 
 
-def test_what_is_being_stopped_still_counts():
+def test_runs_that_are_being_stopped_still_use_capacity():
     pool = Pool(workers=1)
     pool.submit(A, task(8), queue=PATIENT)
     pool.step()
