--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -50,7 +50,7 @@
     assert not [effect for effect in pool.step(0.1) if isinstance(effect, StartRun)]
 
 
-def test_room_that_grows_again_is_used_at_once():
+def test_capacity_that_grows_again_is_used_at_once():
     pool = Pool(workers=1)
     resize(pool, SHRUNK)
     pool.submit(A, task(4))
