--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -64,7 +64,7 @@
     pool.scheduler.workers_synced(pool.now)
 
 
-def test_a_worker_that_does_not_guard_its_room_gets_nothing_on_an_old_word_of_it():
+def test_a_worker_without_capacity_check_gets_no_starts_while_its_entry_is_outdated():
     """Its capacity may have shrunk since its entry was last synced, and it executes every start that it receives."""
     pool = Pool(workers=1)
     disable_capacity_check(pool)
