--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -75,7 +75,7 @@
     assert pool.step(0.01)
 
 
-def test_a_worker_that_guards_its_room_is_used_while_entries_are_not_synced():
+def test_a_worker_with_capacity_check_gets_starts_while_entries_are_not_synced():
     pool = Pool(workers=1)
     pool.scheduler.set_services_without_capacity_check(set())
     pool.scheduler.workers_synced(pool.now)
