--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -57,19 +57,19 @@
                 self.ends_at_by_run[effect.worker_id, effect.key] = self.now_s + work_s + late_s
         self.finish_stops()
 
-    def tick_until_begun(self, job_id, longest_s):
+    def tick_until_begun(self, job_id, timeout_s):
         """Return the time until a task of the job runs; infinity if none runs within the limit."""
         since_s = self.now_s
-        while self.now_s - since_s < longest_s:
+        while self.now_s - since_s < timeout_s:
             self.tick()
             if self.runs_of(job_id):
                 return self.now_s - since_s
         return math.inf
 
-    def tick_until_whole(self, job_id, count, longest_s):
+    def tick_until_whole(self, job_id, count, timeout_s):
         """Return the time until `count` tasks of the job run; infinity if they don't within the limit."""
         since_s = self.now_s
-        while self.now_s - since_s < longest_s:
+        while self.now_s - since_s < timeout_s:
             self.tick()
             if len(self.runs_of(job_id)) == count:
                 return self.now_s - since_s
