--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -234,7 +234,7 @@
     run_all(pool, JOB)
 
 
-def reasons_of(pool, ticks):
+def collect_waiting_notes(pool, ticks):
     found = []
     for _ in range(ticks):
         pool.tick()
@@ -246,7 +246,7 @@
     pool = AnsweringPool(2)
     occupy(pool, 2)
     pool.submit(JOB, task(1))
-    notes = reasons_of(pool, 20)
+    notes = collect_waiting_notes(pool, 20)
     assert [note.reason for note in notes] == [WaitReason.NO_CAPACITY]
     assert notes[0].used_share > 0.5
     assert not notes[0].has_room_twice
@@ -260,7 +260,7 @@
         pool.scheduler.worker_silent(worker_id, pool.now)
         pool.silent.add(worker_id)
     pool.submit(JOB, task(1))
-    (note,) = reasons_of(pool, 6)
+    (note,) = collect_waiting_notes(pool, 6)
     assert (note.reason, note.has_room_twice, note.has_takers_twice) == (WaitReason.UNAVAILABLE, True, False)
 
 
@@ -269,7 +269,7 @@
     spec = JobSpec(JOB, 'acc', 'ordinary', 'payload', (task(1),), accepted_s=pool.now.wall_s)
     pool.spec_by_id[JOB] = spec
     pool.scheduler.add_job(spec, ORDINARY, pool.now, not_before_s=pool.now_s + 8.0)
-    notes = reasons_of(pool, 20)
+    notes = collect_waiting_notes(pool, 20)
     assert [(note.reason, note.has_room_twice) for note in notes] == [(WaitReason.PREVIOUS_OWNER, True)]
 
 
@@ -304,7 +304,7 @@
             pool.scheduler.worker_silent(worker_id, pool.now)
             pool.scheduler.worker_by_id[worker_id].lease.assume_until(pool.now_s + 60.0)
     pool.submit(JOB, task(1))
-    assert [note.reason for note in reasons_of(pool, 12)] == [WaitReason.UNAVAILABLE]
+    assert [note.reason for note in collect_waiting_notes(pool, 12)] == [WaitReason.UNAVAILABLE]
 
 
 def test_a_gang_as_wide_as_the_pool_begins_beside_a_thin_stream_of_small_work():
