--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -94,8 +94,8 @@
     for job_id, width in zip(gangs, (7, 4, 4), strict=True):
         pool.submit(job_id, task(width, accelerators=8, work_s=30.0, gang=True))
         pool.tick(0.1)
-    begun_s = pool.now_s
-    while len(pool.running) == 16 and pool.now_s < begun_s + 10.0:
+    start_s = pool.now_s
+    while len(pool.running) == 16 and pool.now_s < start_s + 10.0:
         pool.tick()
     for job_id in gangs[:2]:
         assert pool.runs_of(job_id) or pool.time_until_started(job_id, 10.0) <= LONGEST_STALL_S
