--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -194,8 +194,8 @@
         if pool.scheduler.job_by_id[job_id].has_ended or pool.runs_of(job_id):
             return False
         free = [profile.capacity.minus(pool.used(worker)) for worker, profile in pool.profiles.items()]
-        whole = sum(profile.capacity.accelerators for profile in pool.profiles.values())
-        if 2 * sum(each.accelerators for each in free) <= whole:
+        total = sum(profile.capacity.accelerators for profile in pool.profiles.values())
+        if 2 * sum(each.accelerators for each in free) <= total:
             return False
         room = sum(min(each.accelerators // step.demand.accelerators, step.max_per_worker or 99) for each in free)
         return room >= 2 * (step.task_count if step.gang else 1)
