--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -197,8 +197,10 @@
         total = sum(profile.capacity.accelerators for profile in pool.profiles.values())
         if 2 * sum(each.accelerators for each in free) <= total:
             return False
-        room = sum(min(each.accelerators // step.demand.accelerators, step.max_per_worker or 99) for each in free)
-        return room >= 2 * (step.task_count if step.gang else 1)
+        placeable_tasks = sum(
+            min(each.accelerators // step.demand.accelerators, step.max_per_worker or 99) for each in free
+        )
+        return placeable_tasks >= 2 * (step.task_count if step.gang else 1)
 
 
 @given(
