--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -121,7 +121,7 @@
     assert pool.time_until_started(JOB, 35.0) <= LONGEST_STALL_S
 
 
-def test_work_does_not_wait_for_a_rack_that_is_gone():
+def test_a_task_does_not_wait_for_a_rack_without_workers():
     pool = AnsweringPool(16)
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r9'))
     assert pool.time_until_started(JOB, 35.0) <= TICK_S
