--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -127,7 +127,7 @@
     assert pool.time_until_started(JOB, 35.0) <= TICK_S
 
 
-def test_a_gang_that_no_rack_can_hold_does_not_wait_for_one():
+def test_a_gang_that_fits_in_no_rack_does_not_wait_for_one():
     pool = AnsweringPool(40)
     pool.submit(JOB, task(9, accelerators=8, work_s=20.0, gang=True, same_rack=True))
     assert pool.time_until_started(JOB, 35.0) <= TICK_S
