--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -133,7 +133,7 @@
     assert pool.time_until_started(JOB, 35.0) <= TICK_S
 
 
-def test_a_gang_does_not_wait_for_one_rack_beside_idle_capacity():
+def test_a_gang_does_not_wait_for_a_single_rack_while_capacity_is_idle():
     pool = AnsweringPool(40)
     for rack in range(5):
         pool.submit(f'{rack:016x}', task(1, accelerators=8, work_s=60.0, data_rack=f'r{rack}'))
