--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -150,7 +150,7 @@
         assert pool.time_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_gang_of_which_a_worker_refuses_a_member_goes_to_others():
+def test_a_gang_with_a_refused_member_starts_on_other_workers():
     pool = AnsweringPool(40, refusing=('w0', 'w9'))
     pool.submit(JOB, task(8, accelerators=8, gang=True))
     assert pool.time_until_running(JOB, 8, 20.0) <= LONGEST_STALL_S
