--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -222,7 +222,7 @@
         check.look()
 
 
-def test_a_wide_gang_starts_beside_a_stream_of_small_work():
+def test_a_wide_gang_starts_despite_a_stream_of_small_tasks():
     # Small tasks that arrive later must not starve a gang that needs half of the pool.
     pool = AnsweringPool(20)
     for number in range(240):
