--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -244,7 +244,7 @@
     return found
 
 
-def test_a_step_that_waits_for_capacity_says_so_once():
+def test_a_step_that_waits_for_capacity_is_reported_once():
     pool = AnsweringPool(2)
     occupy(pool, 2)
     pool.submit(JOB, task(1))
