--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -256,7 +256,7 @@
     assert pool.scheduler.load.waiting_by_reason == {WaitReason.NO_CAPACITY: 1}
 
 
-def test_room_on_workers_that_get_no_starts_is_told_as_users_see_it():
+def test_free_capacity_of_unavailable_workers_is_reported_separately():
     pool = AnsweringPool(4)
     for worker_id in pool.profiles:
         pool.scheduler.worker_silent(worker_id, pool.now)
