--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -266,7 +266,7 @@
     assert (note.reason, note.has_room_twice, note.has_takers_twice) == (WaitReason.UNAVAILABLE, True, False)
 
 
-def test_a_step_of_a_previous_owner_says_that_it_waits_for_that():
+def test_a_step_that_waits_for_the_runs_of_a_previous_owner_is_reported():
     pool = AnsweringPool(4)
     spec = JobSpec(JOB, 'acc', 'ordinary', 'payload', (task(1),), accepted_s=pool.now.wall_s)
     pool.spec_by_id[JOB] = spec
