--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -275,7 +275,7 @@
     assert [(note.reason, note.has_room_twice) for note in notes] == [(WaitReason.PREVIOUS_OWNER, True)]
 
 
-def test_a_failed_search_is_repeated_though_no_room_has_grown():
+def test_a_failed_search_is_repeated_although_no_capacity_has_grown():
     # The result of a placement filter may change while nothing runs, but the failed search stayed cached forever.
     pool = AnsweringPool(1, policy=PolicySettings('mine', placement_filter='!suspect'))
     worker = pool.scheduler.worker_by_id['w0']
