--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -289,7 +289,7 @@
     assert pool.time_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_lasting_task_that_ended_is_started_again_beside_others_of_its_step():
+def test_a_lasting_task_that_ended_is_restarted_while_others_of_its_step_run():
     # The step had running tasks, so it did not count as stalled and the task waited for the rack of its data.
     pool = AnsweringPool(16)
     pool.submit(JOB, task(9, accelerators=8, work_s=600.0, data_rack='r0', lasting=True))
