--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -298,7 +298,7 @@
     assert pool.time_until_running(JOB, 9, 60.0) <= LONGEST_STALL_S
 
 
-def test_a_step_that_waits_for_workers_that_get_no_starts_says_so():
+def test_a_step_that_waits_for_unavailable_workers_is_reported():
     pool = AnsweringPool(2)
     occupy(pool, 1)
     for worker_id in sorted(pool.profiles):
