--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -309,7 +309,7 @@
     assert [note.reason for note in collect_waiting_notes(pool, 12)] == [WaitReason.UNAVAILABLE]
 
 
-def test_a_gang_as_wide_as_the_pool_begins_beside_a_thin_stream_of_small_work():
+def test_a_gang_as_wide_as_the_pool_starts_despite_occasional_small_tasks():
     # Small tasks that had waited while capacity was idle were repeatedly placed on capacity reserved for the gang.
     pool = AnsweringPool(10)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=10.0))
