--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -325,7 +325,7 @@
     assert pool.now_s - START_S < 45.0
 
 
-def test_work_of_others_begins_beside_a_job_that_every_worker_refuses():
+def test_other_jobs_start_while_every_worker_refuses_one_job():
     # Each refusal blocked all starts on its worker for a time, after which the refused job was again first in order.
     pool = AnsweringPool(10)
     pool.refused_jobs = {JOB}
