--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -335,7 +335,7 @@
     assert pool.time_until_started('b' * 16, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_task_goes_back_to_a_worker_on_which_it_failed_rather_than_wait_beside_idle_capacity():
+def test_a_task_returns_to_a_worker_on_which_it_failed_rather_than_wait_while_capacity_is_idle():
     pool = AnsweringPool(2)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=120.0))
     pool.tick()
