--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -16,7 +16,7 @@
 LATE_S = 20.0
 
 
-def replaced_unacknowledged(pool):
+def replace_with_unacknowledged_start(pool):
     """Return an unacknowledged start on an incarnation that has since been replaced."""
     pool.submit(A, task())
     (start,) = pool.step()
@@ -41,7 +41,7 @@
 
 def test_its_task_waits_for_the_next_list_and_starts_if_that_is_empty():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     assert not starts(pool, 5.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
     assert [each.key for each in starts(pool, 0.0)] == [start.key]
@@ -49,7 +49,7 @@
 
 def test_its_task_runs_on_where_the_next_list_has_it():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
     seen = ListedRun(start.key, start.run, '', 10.0)
@@ -61,13 +61,13 @@
 @pytest.mark.parametrize(('after_s', 'count'), [(LATE_S - 1.0, 0), (LATE_S, 1)])
 def test_its_task_waits_no_longer_than_a_late_start_may_run(after_s, count):
     pool = Pool(workers=2)
-    replaced_unacknowledged(pool)
+    replace_with_unacknowledged_start(pool)
     assert len(starts(pool, after_s)) == count
 
 
 def test_it_waits_for_the_incarnation_after_the_next_one_too():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     replace(pool, f'{start.worker_id}+')
     assert not starts(pool, 0.0)
     pool.add_worker(f'{start.worker_id}++', 'r0')
@@ -76,7 +76,7 @@
 
 def test_it_waits_no_longer_once_the_next_incarnation_is_over_without_another():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     pool.scheduler.worker_over(f'{start.worker_id}+', pool.now)
     assert len(starts(pool, 0.0)) == 1
 
@@ -173,7 +173,7 @@
 
 def test_it_waits_on_where_the_next_incarnation_is_given_up_before_it_has_told():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.scheduler.worker_by_id[successor].late_order_s = LATE_S
     pool.scheduler.worker_silent(successor, pool.now)
@@ -217,7 +217,7 @@
 def test_a_late_start_is_stopped_on_an_incarnation_that_may_hide_its_end():
     """The end of the run was never listed, and the task ran again."""
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
     may_hide_ends(pool, successor)
