--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -21,12 +21,12 @@
     pool.submit(A, task())
     (start,) = pool.step()
     pool.scheduler.worker_by_id[start.worker_id].run_by_key[start.key].is_confirmed = False
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     return start
 
 
-def replace(pool, worker_id):
+def replace_incarnation(pool, worker_id):
     former = pool.scheduler.worker_by_id[worker_id].profile
     pool.scheduler.worker_replaced(worker_id, f'{worker_id}+', pool.now_s + LATE_S)
     pool.scheduler.worker_over(worker_id, pool.now)
@@ -68,7 +68,7 @@
 def test_it_waits_for_the_incarnation_after_the_next_one_too():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
-    replace(pool, f'{start.worker_id}+')
+    replace_incarnation(pool, f'{start.worker_id}+')
     assert not starts(pool, 0.0)
     pool.add_worker(f'{start.worker_id}++', 'r0')
     assert len(starts(pool, 0.0)) == 1
@@ -85,7 +85,7 @@
     pool = Pool(workers=2)
     pool.submit(A, task())
     (start,) = pool.step()
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert len(starts(pool, 0.0)) == 1
 
@@ -104,7 +104,7 @@
     """The run ended with its incarnation and the task ran elsewhere when the next one executed the first attempt."""
     pool = Pool(workers=2)
     start = started_in_two_tries(pool, 1.0)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert not starts(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
@@ -116,7 +116,7 @@
     pool = Pool(workers=1)
     start = started_in_two_tries(pool, 1.0)
     pool.end(start.worker_id, start.key, start.run, EndKind.STOPPED)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
     assert not starts(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
@@ -127,7 +127,7 @@
 def test_a_try_without_an_answer_is_waited_for_no_longer_than_it_may_run(sent_ago_s, count):
     pool = Pool(workers=2)
     start = started_in_two_tries(pool, sent_ago_s)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert len(starts(pool, 0.0)) == count
 
@@ -140,7 +140,7 @@
     worker.late_order_s = LATE_S
     worker.unanswered_starts[start.key] = pool.now_s
     pool.end(start.worker_id, start.key, start.run, EndKind.DONE)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
     assert len(starts(pool, 0.0)) == 1
 
