--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -34,7 +34,7 @@
     pool.keep_progress()
 
 
-def starts(pool, after_s):
+def starts_after(pool, after_s):
     pool.step(after_s)
     return [effect for effect in pool.step(0.3) if isinstance(effect, StartRun)] or pool.starts[1:]
 
@@ -42,9 +42,9 @@
 def test_its_task_waits_for_the_next_list_and_starts_if_that_is_empty():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
-    assert not starts(pool, 5.0)
+    assert not starts_after(pool, 5.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert [each.key for each in starts(pool, 0.0)] == [start.key]
+    assert [each.key for each in starts_after(pool, 0.0)] == [start.key]
 
 
 def test_its_task_runs_on_where_the_next_list_has_it():
@@ -54,7 +54,7 @@
     pool.add_worker(successor, 'r0')
     seen = ListedRun(start.key, start.run, '', 10.0)
     pool.scheduler.worker_surveyed(successor, (seen,), pool.now_s, pool.now)
-    assert not starts(pool, 1.0)
+    assert not starts_after(pool, 1.0)
     assert start.key in pool.scheduler.worker_by_id[successor].run_by_key
 
 
@@ -62,23 +62,23 @@
 def test_its_task_waits_no_longer_than_a_late_start_may_run(after_s, count):
     pool = Pool(workers=2)
     replace_with_unacknowledged_start(pool)
-    assert len(starts(pool, after_s)) == count
+    assert len(starts_after(pool, after_s)) == count
 
 
 def test_it_waits_for_the_incarnation_after_the_next_one_too():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     replace_incarnation(pool, f'{start.worker_id}+')
-    assert not starts(pool, 0.0)
+    assert not starts_after(pool, 0.0)
     pool.add_worker(f'{start.worker_id}++', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def test_it_waits_no_longer_once_the_next_incarnation_is_over_without_another():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     pool.scheduler.worker_over(f'{start.worker_id}+', pool.now)
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def test_a_start_that_was_answered_is_over_with_its_incarnation():
@@ -87,7 +87,7 @@
     (start,) = pool.step()
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def started_in_two_tries(pool, sent_ago_s):
@@ -106,9 +106,9 @@
     start = started_in_two_tries(pool, 1.0)
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert not starts(pool, 1.0)
+    assert not starts_after(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def test_a_start_that_was_taken_back_is_waited_for_if_its_task_has_not_started_elsewhere():
@@ -118,9 +118,9 @@
     pool.end(start.worker_id, start.key, start.run, EndKind.STOPPED)
     replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
-    assert not starts(pool, 1.0)
+    assert not starts_after(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 @pytest.mark.parametrize(('sent_ago_s', 'count'), [(LATE_S - 2.0, 0), (LATE_S, 1)])
@@ -129,7 +129,7 @@
     start = started_in_two_tries(pool, sent_ago_s)
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert len(starts(pool, 0.0)) == count
+    assert len(starts_after(pool, 0.0)) == count
 
 
 def test_other_tasks_do_not_wait_for_a_try_whose_task_is_done():
@@ -142,7 +142,7 @@
     pool.end(start.worker_id, start.key, start.run, EndKind.DONE)
     replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def given_up_unacknowledged(pool, is_listed):
@@ -168,7 +168,7 @@
     pool = Pool(workers=2)
     given_up_unacknowledged(pool, is_listed)
     assert not pool.step(0.1)
-    assert len(starts(pool, after_s)) == count
+    assert len(starts_after(pool, after_s)) == count
 
 
 def test_it_waits_on_where_the_next_incarnation_is_given_up_before_it_has_told():
@@ -177,8 +177,8 @@
     successor = f'{start.worker_id}+'
     pool.scheduler.worker_by_id[successor].late_order_s = LATE_S
     pool.scheduler.worker_silent(successor, pool.now)
-    assert not starts(pool, LATE_S - 1.0)
-    assert len(starts(pool, 1.0)) == 1
+    assert not starts_after(pool, LATE_S - 1.0)
+    assert len(starts_after(pool, 1.0)) == 1
 
 
 def test_its_task_starts_once_the_incarnation_at_that_address_has_told_what_runs_there():
@@ -188,7 +188,7 @@
     pool.add_worker(f'{start.worker_id}+', 'r0')
     pool.scheduler.worker_over(start.worker_id, pool.now)
     pool.keep_progress()
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def test_its_task_starts_once_the_same_incarnation_has_told_what_runs_there():
@@ -198,7 +198,7 @@
     assert not pool.step(0.1)
     pool.silent.clear()
     pool.add_worker(start.worker_id, 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def test_its_task_starts_at_once_where_a_later_incarnation_has_another_name():
@@ -206,7 +206,7 @@
     start = given_up_unacknowledged(pool, is_listed=False)
     pool.scheduler.worker_by_id[start.worker_id].late_order_s = 0.0
     pool.step(0.1)
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 def may_hide_ends(pool, worker_id):
