--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -90,7 +90,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def started_in_two_tries(pool, sent_ago_s):
+def start_with_lost_first_attempt(pool, sent_ago_s):
     """Return a start whose first attempt, sent `sent_ago_s` ago, got no reply, and whose second did."""
     pool.submit(A, task())
     (start,) = pool.step()
@@ -103,7 +103,7 @@
 def test_a_try_without_an_answer_is_waited_for_though_another_was_answered():
     """The run ended with its incarnation and the task ran elsewhere when the next one executed the first attempt."""
     pool = Pool(workers=2)
-    start = started_in_two_tries(pool, 1.0)
+    start = start_with_lost_first_attempt(pool, 1.0)
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert not starts_after(pool, 1.0)
@@ -114,7 +114,7 @@
 def test_a_start_that_was_taken_back_is_waited_for_if_its_task_has_not_started_elsewhere():
     """The next incarnation does not know of the stop that the previous one acknowledged."""
     pool = Pool(workers=1)
-    start = started_in_two_tries(pool, 1.0)
+    start = start_with_lost_first_attempt(pool, 1.0)
     pool.end(start.worker_id, start.key, start.run, EndKind.STOPPED)
     replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize(('sent_ago_s', 'count'), [(LATE_S - 2.0, 0), (LATE_S, 1)])
 def test_a_try_without_an_answer_is_waited_for_no_longer_than_it_may_run(sent_ago_s, count):
     pool = Pool(workers=2)
-    start = started_in_two_tries(pool, sent_ago_s)
+    start = start_with_lost_first_attempt(pool, sent_ago_s)
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert len(starts_after(pool, 0.0)) == count
