--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -145,7 +145,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def given_up_unacknowledged(pool, is_listed):
+def give_up_with_unacknowledged_start(pool, is_listed):
     """Return an unacknowledged start on an incarnation given up as unreachable; the next one may already run."""
     pool.submit(A, task())
     (start,) = pool.step()
@@ -166,7 +166,7 @@
 def test_its_task_waits_when_the_incarnation_was_given_up_in_silence(is_listed, after_s, count):
     """The next incarnation completed the task before its first survey, and the task ran again 1.4 s later."""
     pool = Pool(workers=2)
-    given_up_unacknowledged(pool, is_listed)
+    give_up_with_unacknowledged_start(pool, is_listed)
     assert not pool.step(0.1)
     assert len(starts_after(pool, after_s)) == count
 
@@ -183,7 +183,7 @@
 
 def test_its_task_starts_once_the_incarnation_at_that_address_has_told_what_runs_there():
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     assert not pool.step(0.1)
     pool.add_worker(f'{start.worker_id}+', 'r0')
     pool.scheduler.worker_over(start.worker_id, pool.now)
@@ -194,7 +194,7 @@
 def test_its_task_starts_once_the_same_incarnation_has_told_what_runs_there():
     """The incarnation was only unreachable and still knows of the stop."""
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     assert not pool.step(0.1)
     pool.silent.clear()
     pool.add_worker(start.worker_id, 'r0')
@@ -203,7 +203,7 @@
 
 def test_its_task_starts_at_once_where_a_later_incarnation_has_another_name():
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     pool.scheduler.worker_by_id[start.worker_id].late_order_s = 0.0
     pool.step(0.1)
     assert len(starts_after(pool, 0.0)) == 1
