--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -209,7 +209,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def may_hide_ends(pool, worker_id):
+def set_may_hide_ends(pool, worker_id):
     """Mark a worker as one that may never list the ends of its runs."""
     pool.scheduler.worker_by_id[worker_id].may_hide_ends = True
 
@@ -220,7 +220,7 @@
     start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
-    may_hide_ends(pool, successor)
+    set_may_hide_ends(pool, successor)
     pool.scheduler.worker_surveyed(successor, (ListedRun(start.key, start.run, '', 10.0),), pool.now_s, pool.now)
     pool.running[successor, start.key] = start.run
     pool.step()
@@ -234,7 +234,7 @@
 )
 def test_an_incarnation_that_may_hide_ends_gets_one_start_at_a_time(step, count):
     pool = Pool(workers=1)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, step)
     assert len(pool.step()) == count
     assert not pool.step(0.3)
@@ -242,7 +242,7 @@
 
 def test_an_incarnation_that_has_listed_an_end_gets_work():
     pool = Pool(workers=1)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
     (start,) = pool.step()
     pool.end('w0', start.key, start.run, EndKind.STOPPED)
@@ -252,6 +252,6 @@
 
 def test_work_goes_to_other_workers_first():
     pool = Pool(workers=2)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
     assert [start.worker_id for start in pool.step()] == ['w1'] * 3
