--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -52,8 +52,8 @@
     start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
-    seen = ListedRun(start.key, start.run, '', 10.0)
-    pool.scheduler.worker_surveyed(successor, (seen,), pool.now_s, pool.now)
+    listed = ListedRun(start.key, start.run, '', 10.0)
+    pool.scheduler.worker_surveyed(successor, (listed,), pool.now_s, pool.now)
     assert not starts_after(pool, 1.0)
     assert start.key in pool.scheduler.worker_by_id[successor].run_by_key
 
