--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -39,7 +39,7 @@
     return [effect for effect in pool.step(0.3) if isinstance(effect, StartRun)] or pool.starts[1:]
 
 
-def test_its_task_waits_for_the_next_list_and_starts_if_that_is_empty():
+def test_the_task_waits_for_the_next_survey_and_starts_if_it_lists_no_run():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     assert not starts_after(pool, 5.0)
