--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -47,7 +47,7 @@
     assert [each.key for each in starts_after(pool, 0.0)] == [start.key]
 
 
-def test_its_task_runs_on_where_the_next_list_has_it():
+def test_the_run_continues_where_the_next_survey_lists_it():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
