--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(('after_s', 'count'), [(LATE_S - 1.0, 0), (LATE_S, 1)])
-def test_its_task_waits_no_longer_than_a_late_start_may_run(after_s, count):
+def test_the_task_waits_no_longer_than_a_start_may_be_delayed(after_s, count):
     pool = Pool(workers=2)
     replace_with_unacknowledged_start(pool)
     assert len(starts_after(pool, after_s)) == count
