--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -65,7 +65,7 @@
     assert len(starts_after(pool, after_s)) == count
 
 
-def test_it_waits_for_the_incarnation_after_the_next_one_too():
+def test_the_task_waits_for_the_latest_of_several_incarnations():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     replace_incarnation(pool, f'{start.worker_id}+')
