--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -74,7 +74,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_it_waits_no_longer_once_the_next_incarnation_is_over_without_another():
+def test_the_task_starts_once_the_next_incarnation_is_over_without_a_successor():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     pool.scheduler.worker_over(f'{start.worker_id}+', pool.now)
