--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -81,7 +81,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_a_start_that_was_answered_is_over_with_its_incarnation():
+def test_an_acknowledged_start_ends_with_its_incarnation():
     pool = Pool(workers=2)
     pool.submit(A, task())
     (start,) = pool.step()
