--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -171,7 +171,7 @@
     assert len(starts_after(pool, after_s)) == count
 
 
-def test_it_waits_on_where_the_next_incarnation_is_given_up_before_it_has_told():
+def test_the_task_waits_when_the_next_incarnation_is_given_up_before_its_first_survey():
     pool = Pool(workers=2)
     start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
