--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -181,7 +181,7 @@
     assert len(starts_after(pool, 1.0)) == 1
 
 
-def test_its_task_starts_once_the_incarnation_at_that_address_has_told_what_runs_there():
+def test_the_task_starts_once_the_next_incarnation_has_listed_its_runs():
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
     assert not pool.step(0.1)
