--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -191,7 +191,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_its_task_starts_once_the_same_incarnation_has_told_what_runs_there():
+def test_the_task_starts_once_the_same_incarnation_has_listed_its_runs():
     """The incarnation was only unreachable and still knows of the stop."""
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
