--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -201,7 +201,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_its_task_starts_at_once_where_a_later_incarnation_has_another_name():
+def test_the_task_starts_at_once_when_later_incarnations_have_other_names():
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
     pool.scheduler.worker_by_id[start.worker_id].late_order_s = 0.0
