--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -250,7 +250,7 @@
     assert len(pool.step(0.01)) == 3
 
 
-def test_work_goes_to_other_workers_first():
+def test_workers_that_may_hide_ends_are_used_last():
     pool = Pool(workers=2)
     set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
