--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -225,7 +225,7 @@
     assert [effect.key.job_id for effect in pool.step(0.01)] == [B]
 
 
-def test_a_start_without_an_answer_that_is_stopped_holds_its_task_until_the_worker_says_so():
+def test_a_start_without_an_answer_that_is_stopped_blocks_its_task_until_the_worker_reports_its_end():
     """A survey without the run does not show that it ended: the start may still be executed late."""
     pool = Pool(workers=2)
     pool.submit(A, task(2, accelerators=8, gang=True))
