--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -265,7 +265,7 @@
     assert A in {effect.key.job_id for effect in pool.step(0.5)}
 
 
-def test_a_gang_whose_estimate_is_far_off_stays_where_it_is():
+def test_a_gang_whose_estimate_is_far_off_is_not_moved():
     """The gang was moved repeatedly between workers although only its estimate was wrong."""
     pool = Pool(workers=8)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=0.4), queue=URGENT)
