--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -280,7 +280,7 @@
     assert not pool.stops
 
 
-def test_within_a_rank_what_came_first_goes_first_whatever_its_size():
+def test_within_a_rank_what_came_first_starts_first_regardless_of_size():
     """Wide steps waited for all small steps that arrived later, and ended too late to be of use."""
     pool = Pool(workers=1)
     pool.submit('f' * 16, task(1, accelerators=8, work_s=1.0))
