--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -19,7 +19,7 @@
     assert [effect.key.job_id for effect in started] == [B, B]
 
 
-def test_guaranteed_work_that_first_finds_no_victims_preempts_as_soon_as_there_are_some():
+def test_guaranteed_work_that_first_finds_no_victims_preempts_as_soon_as_victims_exist():
     """Capacity remained reserved for seconds while no run was preempted."""
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8, 'other': 8})
