--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -59,7 +59,7 @@
     assert any(key.job_id == A for _, key in pool.running)
 
 
-def test_the_holder_of_a_reservation_is_tried_though_a_like_gang_was_blocked_by_that_reservation():
+def test_the_holder_of_a_reservation_is_tried_although_that_reservation_blocked_a_similar_gang():
     """The cached failed search of a smaller gang with the same search key blocked both gangs forever."""
     pool = Pool(workers=3)
     wide = {'accelerators': 8, 'gang': True, 'work_s': 6.0}
