--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -57,7 +57,7 @@
                 self.ends_at_by_run[effect.worker_id, effect.key] = self.now_s + work_s + late_s
         self.finish_stops()
 
-    def time_until_started(self, job_id, timeout_s):
+    def tick_until_started(self, job_id, timeout_s):
         """Return the time until a task of the job runs; infinity if none runs within the limit."""
         since_s = self.now_s
         while self.now_s - since_s < timeout_s:
@@ -98,7 +98,7 @@
     while len(pool.running) == 16 and pool.now_s < start_s + 10.0:
         pool.tick()
     for job_id in gangs[:2]:
-        assert pool.runs_of(job_id) or pool.time_until_started(job_id, 10.0) <= LONGEST_STALL_S
+        assert pool.runs_of(job_id) or pool.tick_until_started(job_id, 10.0) <= LONGEST_STALL_S
 
 
 def test_small_work_is_not_held_up_by_a_reservation_beside_idle_capacity():
@@ -109,7 +109,7 @@
     for _ in range(4):
         pool.tick()
     pool.submit(JOB, task(1, work_s=60.0))
-    assert pool.time_until_started(JOB, 10.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 10.0) <= LONGEST_STALL_S
 
 
 def test_work_does_not_wait_for_the_rack_of_its_data_beside_idle_capacity():
@@ -118,19 +118,19 @@
     pool.submit('b' * 16, task(8, accelerators=8, work_s=60.0, data_rack='r0'))
     pool.tick()
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r0'))
-    assert pool.time_until_started(JOB, 35.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 35.0) <= LONGEST_STALL_S
 
 
 def test_a_task_does_not_wait_for_a_rack_without_workers():
     pool = AnsweringPool(16)
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r9'))
-    assert pool.time_until_started(JOB, 35.0) <= TICK_S
+    assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
 def test_a_gang_that_fits_in_no_rack_does_not_wait_for_one():
     pool = AnsweringPool(40)
     pool.submit(JOB, task(9, accelerators=8, work_s=20.0, gang=True, same_rack=True))
-    assert pool.time_until_started(JOB, 35.0) <= TICK_S
+    assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
 def test_a_gang_does_not_wait_for_a_single_rack_while_capacity_is_idle():
@@ -139,7 +139,7 @@
         pool.submit(f'{rack:016x}', task(1, accelerators=8, work_s=60.0, data_rack=f'r{rack}'))
     pool.tick()
     pool.submit(JOB, task(8, accelerators=8, work_s=20.0, gang=True, same_rack=True))
-    assert pool.time_until_started(JOB, 35.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 35.0) <= LONGEST_STALL_S
 
 
 def test_a_task_that_a_worker_refuses_goes_to_another():
@@ -147,7 +147,7 @@
     for queue in (URGENT, ORDINARY, PATIENT):
         pool = AnsweringPool(10, refusing=('w0',))
         pool.submit(JOB, task(1), queue=queue)
-        assert pool.time_until_started(JOB, 20.0) <= LONGEST_STALL_S
+        assert pool.tick_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
 def test_a_gang_with_a_refused_member_starts_on_other_workers():
@@ -286,7 +286,7 @@
         pool.tick()
     assert not pool.running
     worker.slowness = 1.0
-    assert pool.time_until_started(JOB, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
 def test_a_lasting_task_that_ended_is_restarted_while_others_of_its_step_run():
@@ -332,7 +332,7 @@
     pool.submit(JOB, task(160, work_s=5.0))
     pool.tick()
     pool.submit('b' * 16, task(1, work_s=5.0))
-    assert pool.time_until_started('b' * 16, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started('b' * 16, 20.0) <= LONGEST_STALL_S
 
 
 def test_a_task_returns_to_a_worker_on_which_it_failed_rather_than_wait_while_capacity_is_idle():
@@ -344,4 +344,4 @@
     pool.end_unit(next(iter(pool.runs_of(JOB))), EndKind.FAILED)
     for number in range(14):
         pool.add_worker(f'other{number}', 'r9', capacity=Resources(64_000, 262_144, 4))
-    assert pool.time_until_started(JOB, 30.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 30.0) <= LONGEST_STALL_S
