--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -66,7 +66,7 @@
                 return self.now_s - since_s
         return math.inf
 
-    def time_until_running(self, job_id, count, timeout_s):
+    def tick_until_running(self, job_id, count, timeout_s):
         """Return the time until `count` tasks of the job run; infinity if they don't within the limit."""
         since_s = self.now_s
         while self.now_s - since_s < timeout_s:
@@ -153,7 +153,7 @@
 def test_a_gang_with_a_refused_member_starts_on_other_workers():
     pool = AnsweringPool(40, refusing=('w0', 'w9'))
     pool.submit(JOB, task(8, accelerators=8, gang=True))
-    assert pool.time_until_running(JOB, 8, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 8, 20.0) <= LONGEST_STALL_S
 
 
 STEPS = st.builds(
@@ -294,8 +294,8 @@
     pool = AnsweringPool(16)
     pool.submit(JOB, task(9, accelerators=8, work_s=600.0, data_rack='r0', lasting=True))
     pool.submit('b' * 16, task(4, accelerators=8, work_s=600.0, data_rack='r1'))
-    assert pool.time_until_running(JOB, 8, 5.0) <= LONGEST_STALL_S
-    assert pool.time_until_running(JOB, 9, 60.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 8, 5.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 9, 60.0) <= LONGEST_STALL_S
 
 
 def test_a_step_that_waits_for_unavailable_workers_is_reported():
