--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -100,7 +100,7 @@
     return start
 
 
-def test_the_task_waits_for_a_lost_attempt_although_a_later_one_was_acknowledged():
+def test_the_task_waits_for_an_unanswered_attempt_although_a_later_one_was_acknowledged():
     """The run ended with its incarnation and the task ran elsewhere when the next one executed the first attempt."""
     pool = Pool(workers=2)
     start = start_with_unanswered_first_attempt(pool, 1.0)
