--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -111,7 +111,7 @@
     assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_the_task_waits_for_a_lost_attempt_of_a_start_that_was_stopped():
+def test_the_task_waits_for_an_unanswered_attempt_of_a_start_that_was_stopped():
     """The next incarnation does not know of the stop that the previous one acknowledged."""
     pool = Pool(workers=1)
     start = start_with_unanswered_first_attempt(pool, 1.0)
