--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(('sent_ago_s', 'count'), [(LATE_S - 2.0, 0), (LATE_S, 1)])
-def test_the_task_waits_for_a_lost_attempt_no_longer_than_it_may_be_delayed(sent_ago_s, count):
+def test_the_task_waits_for_an_unanswered_attempt_no_longer_than_it_may_be_delayed(sent_ago_s, count):
     pool = Pool(workers=2)
     start = start_with_unanswered_first_attempt(pool, sent_ago_s)
     replace_incarnation(pool, start.worker_id)
