--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -132,7 +132,7 @@
     assert len(starts_after(pool, 0.0)) == count
 
 
-def test_other_tasks_do_not_wait_for_a_lost_attempt_whose_task_has_succeeded():
+def test_other_tasks_do_not_wait_for_an_unanswered_attempt_whose_task_has_succeeded():
     pool = Pool(workers=1)
     pool.submit(A, task(2, accelerators=8))
     (start,) = pool.step()
