--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -242,15 +242,13 @@
 def test_a_task_whose_start_was_stopped_before_the_reply_waits_until_the_worker_reports_the_end():
     """Guards against two simultaneous runs of one task under one owner.
 
-    The run was preempted for an urgent gang 26 ms after its start was sent; the first
-    attempts of the start and of the stop were lost. A survey requested after the start did
-    not list the run. Because the run was marked as stopping and no longer as starting, this
-    counted as its end, and the task was started on another worker 110 ms after the stop. A
-    retry of the start was executed 0.6 s after the first attempt: both runs overlapped for
-    0.15 s, until a survey listed the first run and it was stopped. In the log: `stop_ordered`
-    with "makes room for ...", `run_ordered` on another worker without a `run_ended` before
-    it, and `stop_ordered` with "task runs elsewhere". This occurred in 39 of 96 trials with
-    lost orders, and in none since a run's absence from a survey ends only confirmed runs.
+    An urgent gang preempted the run 26 ms after its start was sent, and the first attempts of the start and of the
+    stop were lost. A survey requested after the start did not list the run. It was marked as stopping and no longer
+    as starting, so this counted as its end, and the task was started on another worker 110 ms after the stop. A retry
+    of the start, executed 0.6 s after the first attempt, added a second run for 0.15 s, until a survey listed the
+    retried one and it was stopped. The log has `stop_ordered` with "makes room for ...", `run_ordered` on another
+    worker without a `run_ended` before it, and `stop_ordered` with "task runs elsewhere". This affected 39 of 96 trials
+    with lost orders, and none since a run's absence from a survey ends only confirmed runs.
     """
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
