--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -1,7 +1,7 @@
 """Tests of workers that are slow or stalled for some seconds.
 
 Runs were moved although they would have ended in time without a move, often because
-the owner's estimate was wrong or because another member of their gang ran on the slow
+the estimate of a job was wrong or because another member of their gang ran on the slow
 worker, and healthy workers got no starts for seconds. The stopped runs were repeated
 and took capacity from other jobs, which cost 0.017 of net worth.
 """
