--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -18,7 +18,7 @@
 
 
 def submit_with_late_start(succession):
-    """Submit a job of one task whose start is neither acknowledged nor executed yet."""
+    """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
     succession.decide(0.0, is_answered=False, is_late=True)
     return succession.late[0]
