--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -76,7 +76,7 @@
 
 
 def test_two_urgent_gangs_do_not_reserve_the_same_room():
-    """Each gang was blocked by the other's reservation, and both waited until the reservations expired."""
+    """Each gang was blocked by the other's reservation, and both waited until the reservations were stale."""
     pool = Pool(workers=4)
     pool.submit(A, task(4, accelerators=8, checkpoints=True), queue=PATIENT)
     pool.step()
