--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Single decisions, each with the fault or the need that it answers."""
+"""Tests of single scheduling decisions."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     assert pool.scheduler.job_by_id[A].phase == 'succeeded'
 
 
-def test_an_end_is_shown_only_once_it_is_kept():
+def test_the_end_of_a_job_is_shown_only_after_it_is_saved():
     pool = Pool()
     pool.submit(A, task())
     pool.step()
@@ -32,7 +32,7 @@
     assert job.shown_phase == 'succeeded'
 
 
-def test_a_failed_task_is_tried_elsewhere_and_its_job_fails_at_the_bound():
+def test_a_failed_task_is_retried_on_other_workers_and_its_job_fails_after_max_attempts():
     pool = Pool()
     pool.submit(A, task(), queue=ORDINARY)
     workers = []
@@ -82,7 +82,7 @@
     assert again.worker_id != effect.worker_id
 
 
-def test_gangs_move_whole_from_a_leaving_worker():
+def test_all_members_of_a_gang_move_from_a_leaving_worker():
     pool = Pool(workers=4)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=9.0, checkpoints=True))
     leaving = pool.step()[0].worker_id
@@ -100,16 +100,16 @@
     pool = Pool(workers=2)
     pool.submit(A, task(3))
     pool.step()
-    heir = Pool(workers=2, epoch=9)
-    heir.running = dict(pool.running)
-    heir.submit(A, task(3))
+    successor = Pool(workers=2, epoch=9)
+    successor.running = dict(pool.running)
+    successor.submit(A, task(3))
     for worker in ('w0', 'w1'):
-        heir.survey(worker)
-    assert not heir.step()
-    assert heir.scheduler.job_by_id[A].phase == 'running'
+        successor.survey(worker)
+    assert not successor.step()
+    assert successor.scheduler.job_by_id[A].phase == 'running'
 
 
-def test_run_numbers_rise_over_owners():
+def test_run_numbers_increase_across_owners():
     first, second = Pool(epoch=7), Pool(epoch=8)
     numbers = []
     for pool in (first, second):
@@ -127,13 +127,13 @@
     _, other = sorted(pool.running)[0]
     pool.end_unit(other, EndKind.FAILED)
     kept = pool.scheduler.job_by_id[A].progress()
-    heir = Pool(epoch=9)
+    successor = Pool(epoch=9)
     spec = pool.spec_by_id[A]
-    heir.spec_by_id[A] = spec
-    heir.done = set(pool.done)
-    heir.scheduler.add_job(spec, ORDINARY, heir.now, progress=kept)
-    assert [effect.key for effect in heir.step()] == [other]
-    state = heir.scheduler.job_by_id[A].step_by_key[0, 0]
+    successor.spec_by_id[A] = spec
+    successor.done = set(pool.done)
+    successor.scheduler.add_job(spec, ORDINARY, successor.now, progress=kept)
+    assert [effect.key for effect in successor.step()] == [other]
+    state = successor.scheduler.job_by_id[A].step_by_key[0, 0]
     assert len(state.failed_runs_by_index[other.task_index]) == 1
 
 
@@ -146,7 +146,7 @@
     assert [effect.key.occurrence for effect in pool.step(1.0)] == [1]
 
 
-def test_lasting_tasks_start_again_however_they_end():
+def test_lasting_tasks_are_restarted_after_any_kind_of_end():
     pool = Pool()
     pool.submit(A, task(lasting=True))
     for kind in (EndKind.FAILED, EndKind.FAILED, EndKind.FAILED, EndKind.DONE):
@@ -176,7 +176,7 @@
     assert len(again) == 1
 
 
-def test_a_gang_is_not_called_slow_for_a_late_start_and_a_guess_that_was_off():
+def test_a_gang_is_not_moved_because_of_a_late_start_and_a_wrong_estimate():
     pool = Pool(workers=2)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=1.4), queue=URGENT)
     pool.step()
@@ -187,21 +187,21 @@
     assert not pool.stops
 
 
-def test_a_worker_whose_runs_are_stalled_gets_nothing_new_before_they_are_moved():
+def test_a_worker_whose_runs_are_stalled_gets_no_starts_before_they_are_moved():
     pool = Pool(workers=2)
     pool.submit(A, task(work_s=6.0))
-    still = pool.step()[0].worker_id
+    stalled_worker = pool.step()[0].worker_id
     pool.step(1.6)
-    pool.survey(still, percent=50.0)
+    pool.survey(stalled_worker, percent=50.0)
     pool.step(0.8)
-    pool.survey(still, percent=50.0)
+    pool.survey(stalled_worker, percent=50.0)
     pool.step()
     assert not pool.stops
     pool.submit(B, task())
-    assert pool.step()[0].worker_id != still
+    assert pool.step()[0].worker_id != stalled_worker
 
 
-def test_workers_that_take_longer_for_like_tasks_are_known_as_slow():
+def test_workers_that_take_longer_for_similar_tasks_are_classified_as_slow():
     pool = Pool(workers=6)
     learn_slow_workers(pool, {'w1', 'w4'})
     known = {worker_id for worker_id, worker in pool.scheduler.worker_by_id.items() if worker.slowdown > 1.15}
@@ -215,7 +215,7 @@
     assert {effect.worker_id for effect in pool.step(0.1)} == {'w2', 'w3', 'w4', 'w5'}
 
 
-def test_a_step_that_found_no_room_starts_once_a_run_of_another_ends():
+def test_a_step_that_found_no_capacity_starts_once_a_run_of_another_job_ends():
     pool = Pool(workers=1)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8), queue=PATIENT)
@@ -225,8 +225,8 @@
     assert [effect.key.job_id for effect in pool.step(0.01)] == [B]
 
 
-def test_a_start_without_an_answer_that_is_stopped_holds_its_task_until_the_worker_says_so():
-    """A survey that does not list it tells nothing: the start may be carried out late."""
+def test_a_start_without_an_answer_that_is_stopped_blocks_its_task_until_the_worker_reports_its_end():
+    """A survey without the run does not show that it ended: the start may still be executed late."""
     pool = Pool(workers=2)
     pool.submit(A, task(2, accelerators=8, gang=True))
     refused, unacknowledged = pool.scheduler.decide(pool.now)
@@ -239,19 +239,16 @@
     assert len(pool.step(0.5)) == 2
 
 
-def test_a_start_that_is_stopped_before_its_answer_holds_its_task_until_the_worker_says_so():
-    """Two runs of one task of one owner ran at the same time.
+def test_a_task_whose_start_was_stopped_before_the_reply_waits_until_the_worker_reports_the_end():
+    """Guards against two simultaneous runs of one task under one owner.
 
-    A task was ordered and 26 ms later stopped again to make room for
-    an urgent gang, before its start was answered: the first try was lost, and the
-    stop too. The next survey, asked for after the start, did not list the run. It
-    counted as stopping and no longer as starting, so that the survey was taken for
-    its end, and the task was ordered elsewhere 110 ms after the stop.
-    0.6 s after the first try the second one was carried out: both ran for 0.15 s,
-    until a survey listed the first, which was stopped: in the log `stop_ordered` with
-    "makes room for ...", `run_ordered` elsewhere without a `run_ended` before it, and
-    `stop_ordered` with "task runs elsewhere". Of 96 trials with lost orders 39 had
-    such tasks; none had since a survey's silence ends only confirmed runs.
+    An urgent gang preempted the run 26 ms after its start was sent, and the first attempts of the start and of the
+    stop were lost. A survey requested after the start did not list the run. It was marked as stopping and no longer
+    as starting, so this counted as its end, and the task was started on another worker 110 ms after the stop. A retry
+    of the start, executed 0.6 s after the first attempt, added a second run for 0.15 s, until a survey listed the
+    retried one and it was stopped. The log has `stop_ordered` with "makes room for ...", `run_ordered` on another
+    worker without a `run_ended` before it, and `stop_ordered` with "task runs elsewhere". This affected 39 of 96 trials
+    with lost orders, and none since a run's absence from a survey ends only confirmed runs.
     """
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
@@ -266,8 +263,8 @@
     assert A in {effect.key.job_id for effect in pool.step(0.5)}
 
 
-def test_a_gang_whose_estimate_is_far_off_stays_where_it_is():
-    """It was stopped on one set of workers after another, though its owner's guess was at fault."""
+def test_a_gang_whose_estimate_is_far_off_is_not_moved():
+    """The gang was moved repeatedly between workers although only its estimate was wrong."""
     pool = Pool(workers=8)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=0.4), queue=URGENT)
     for _ in range(3):
@@ -281,8 +278,8 @@
     assert not pool.stops
 
 
-def test_within_a_rank_what_came_first_goes_first_whatever_its_size():
-    """Wide work waited behind all small work that came after it, and ended too late to be of use."""
+def test_within_a_rank_what_came_first_starts_first_regardless_of_size():
+    """Wide steps waited for all small steps that arrived later, and ended too late to be of use."""
     pool = Pool(workers=1)
     pool.submit('f' * 16, task(1, accelerators=8, work_s=1.0))
     first = pool.step()[0]
@@ -294,7 +291,7 @@
     assert {effect.key.job_id for effect in pool.step(0.1)} == {A}
 
 
-def test_what_is_remembered_of_steps_that_are_gone_does_not_grow():
+def test_the_cache_of_failed_searches_does_not_grow_with_cancelled_jobs():
     pool = Pool(workers=1)
     pool.submit(A, task(1, accelerators=8, work_s=500.0), queue=URGENT)
     pool.step()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -1,4 +1,4 @@
-"""However a task of a cancelled job comes to run, the next survey finds it and it is stopped."""
+"""A run of a cancelled job is found by the next survey and stopped, however it was started."""
 
 import pytest
 from hypothesis import settings
@@ -17,15 +17,15 @@
 ENDS = st.sampled_from((EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-def begin_late(succession):
-    """Order a job's only start; nobody answers it and it is not carried out yet."""
+def submit_with_late_start(succession):
+    """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
     succession.decide(0.0, is_answered=False, is_late=True)
     return succession.late[0]
 
 
 def find_and_stop(succession):
-    """Make one survey of each worker and carry out once what is decided on it."""
+    """Survey each worker, decide once and deliver the stops that are ordered."""
     for worker_id in succession.worker_by_id:
         succession.list_worker(worker_id)
         succession.survey(worker_id)
@@ -34,18 +34,18 @@
         succession.deliver_stop(order, is_answered=True)
 
 
-def test_a_start_that_is_carried_out_after_its_job_was_cancelled_is_stopped():
+def test_a_start_that_is_executed_after_its_job_was_cancelled_is_stopped():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.carry_out_late(order)
     find_and_stop(succession)
     assert not succession.unwanted()
 
 
-def test_a_start_that_is_carried_out_after_its_stop_was_acknowledged_is_refused():
+def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.decide(0.1, is_answered=True, is_late=False)
     succession.deliver_stop(order, is_answered=True)
@@ -56,10 +56,10 @@
 @pytest.mark.parametrize('is_removed', [False, True])
 @pytest.mark.parametrize('has_reported', [False, True])
 @pytest.mark.parametrize('is_listed', [False, True])
-def test_a_start_of_an_owner_that_is_gone_is_stopped_by_the_next(is_removed, has_reported, is_listed):
-    """Also if the next knows no such job, or learns of the worker only later."""
+def test_a_late_start_of_a_previous_owner_is_stopped_by_the_next_owner(is_removed, has_reported, is_listed):
+    """Also if the next owner does not know the job, or the worker is listed only later."""
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.cancel(A)
     if is_removed:
         succession.remove(A)
@@ -73,7 +73,7 @@
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
     succession = Succession(WORKERS)
-    order = begin_late(succession)
+    order = submit_with_late_start(succession)
     succession.take_over(unreported=(), unlisted=())
     succession.carry_out_late(order)
     succession.survey(order.worker_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -1,4 +1,4 @@
-"""Workers whose room shrinks below what they hold, and grows again."""
+"""Tests of workers whose capacity shrinks below what their runs use, and grows again."""
 
 from dahliaarch_kernel.scheduler import StartRun
 from dahliaarch_kernel.workload import Resources
@@ -7,7 +7,7 @@
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 SHRUNK = Resources(64_000, 262_144, 2)
-PROCESSORS_ONLY = task(1, accelerators=0)
+CPU_ONLY = task(1, accelerators=0)
 
 
 def resize(pool, capacity):
@@ -15,23 +15,23 @@
     pool.scheduler.update_worker(pool.profiles['w0'], pool.now)
 
 
-def test_a_worker_that_holds_more_than_it_has_is_given_nothing_more():
-    """Not even what asks for none of what is short: the worker would be over its room as it starts."""
+def test_a_worker_over_its_capacity_gets_no_starts():
+    """Not even a task that needs none of the exhausted resource: the worker would exceed its capacity at the start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6))
     pool.step()
     resize(pool, SHRUNK)
-    pool.submit(B, PROCESSORS_ONLY)
+    pool.submit(B, CPU_ONLY)
     assert not pool.step(0.1)
 
 
-def test_nobody_is_stopped_for_work_that_can_not_begin_there_after_the_stop():
-    """Its runs hold six accelerators of two: work that asks for processors began nowhere for the stop of one."""
+def test_no_run_is_preempted_for_work_that_could_not_start_there_afterwards():
+    """The runs use six accelerators of two: one was preempted for a CPU-only task, which still could not start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6), queue=PATIENT)
     pool.step()
     resize(pool, SHRUNK)
-    pool.submit(B, PROCESSORS_ONLY._replace(demand=Resources(44_000, 16_000, 0)), queue=URGENT)
+    pool.submit(B, CPU_ONLY._replace(demand=Resources(44_000, 16_000, 0)), queue=URGENT)
     pool.step(0.1)
     stopped = len(pool.stops)
     pool.finish_stops()
@@ -39,7 +39,7 @@
     assert started or not stopped
 
 
-def test_what_is_being_stopped_still_counts():
+def test_runs_that_are_being_stopped_still_use_capacity():
     pool = Pool(workers=1)
     pool.submit(A, task(8), queue=PATIENT)
     pool.step()
@@ -50,7 +50,7 @@
     assert not [effect for effect in pool.step(0.1) if isinstance(effect, StartRun)]
 
 
-def test_room_that_grows_again_is_used_at_once():
+def test_capacity_that_grows_again_is_used_at_once():
     pool = Pool(workers=1)
     resize(pool, SHRUNK)
     pool.submit(A, task(4))
@@ -59,15 +59,15 @@
     assert len(pool.step(0.01)) == 2
 
 
-def unguarded(pool):
+def disable_capacity_check(pool):
     pool.scheduler.set_services_without_capacity_check({'svc'})
     pool.scheduler.workers_synced(pool.now)
 
 
-def test_a_worker_that_does_not_guard_its_room_gets_nothing_on_an_old_word_of_it():
-    """Its room may have shrunk since its entry was last synced, and it starts whatever it is sent."""
+def test_a_worker_without_capacity_check_gets_no_starts_while_its_entry_is_outdated():
+    """Its capacity may have shrunk since its entry was last synced, and it executes every start that it receives."""
     pool = Pool(workers=1)
-    unguarded(pool)
+    disable_capacity_check(pool)
     pool.now_s += 5.0
     pool.submit(A, task(1))
     assert not pool.step()
@@ -75,7 +75,7 @@
     assert pool.step(0.01)
 
 
-def test_a_worker_that_guards_its_room_is_used_while_entries_are_not_synced():
+def test_a_worker_with_capacity_check_gets_starts_while_entries_are_not_synced():
     pool = Pool(workers=1)
     pool.scheduler.set_services_without_capacity_check(set())
     pool.scheduler.workers_synced(pool.now)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -1,3 +1,5 @@
+"""Tests that steps do not wait for long while the pool has enough free capacity."""
+
 import math
 
 from hypothesis import given, settings
@@ -11,15 +13,15 @@
 from .pool import ORDINARY, PATIENT, Pool, run_all, START_S, task, URGENT
 
 JOB = 'a' * 16
-# Users count a job as lost that has nothing running for so long beside idle capacity.
+# Users consider a job lost when none of its tasks runs for this long although capacity is idle.
 LONGEST_STALL_S = 3.0
 TICK_S = 0.25
 
 
 class AnsweringPool(Pool):
-    """A pool whose workers end their runs by themselves.
+    """A pool whose workers end their runs after the estimated time.
 
-    Some refuse every start, and some take far longer than estimated.
+    Workers in `refusing` refuse every start; runs on workers in `late` take 60 s longer.
     """
 
     def __init__(self, workers, refusing=(), late=(), policy=None):
@@ -34,7 +36,7 @@
         self.ends_at_by_run = {}
 
     def tick(self, seconds=TICK_S):
-        """Let time pass, end what is due, decide and carry out."""
+        """Advance the clock, end the runs that are due, decide and execute the decisions."""
         self.now_s += seconds
         for (worker_id, key), at_s in sorted(self.ends_at_by_run.items()):
             if at_s <= self.now_s:
@@ -55,19 +57,19 @@
                 self.ends_at_by_run[effect.worker_id, effect.key] = self.now_s + work_s + late_s
         self.finish_stops()
 
-    def tick_until_begun(self, job_id, longest_s):
-        """Return how long a job takes to begin; infinity when it has not by then."""
+    def tick_until_started(self, job_id, timeout_s):
+        """Return the time until a task of the job runs; infinity if none runs within the limit."""
         since_s = self.now_s
-        while self.now_s - since_s < longest_s:
+        while self.now_s - since_s < timeout_s:
             self.tick()
             if self.runs_of(job_id):
                 return self.now_s - since_s
         return math.inf
 
-    def tick_until_whole(self, job_id, count, longest_s):
-        """Return how long it takes until so many tasks of a job run; infinity when they don't by then."""
+    def tick_until_running(self, job_id, count, timeout_s):
+        """Return the time until `count` tasks of the job run; infinity if they don't within the limit."""
         since_s = self.now_s
-        while self.now_s - since_s < longest_s:
+        while self.now_s - since_s < timeout_s:
             self.tick()
             if len(self.runs_of(job_id)) == count:
                 return self.now_s - since_s
@@ -78,80 +80,80 @@
 
 
 def occupy(pool, workers, work_s=60.0):
-    """Fill so many whole workers with one job, those of the first racks first."""
+    """Fill the given number of workers with one job, starting with the first racks."""
     pool.submit('f' * 16, task(workers, accelerators=8, work_s=work_s, max_per_worker=1))
     pool.tick()
     assert len(pool.running) == workers
 
 
 def test_gangs_whose_reservations_overlap_do_not_wait_for_each_other():
-    # Each of three gangs was kept out by what was reserved for the other two, with three quarters of the pool idle.
+    # Each of three gangs was blocked by the reservations of the other two while three quarters of the pool were idle.
     pool = AnsweringPool(16, late=('w0', 'w2', 'w5', 'w9'))
     occupy(pool, 16, work_s=4.0)
     gangs = [f'{number:016x}' for number in range(3)]
     for job_id, width in zip(gangs, (7, 4, 4), strict=True):
         pool.submit(job_id, task(width, accelerators=8, work_s=30.0, gang=True))
         pool.tick(0.1)
-    begun_s = pool.now_s
-    while len(pool.running) == 16 and pool.now_s < begun_s + 10.0:
+    start_s = pool.now_s
+    while len(pool.running) == 16 and pool.now_s < start_s + 10.0:
         pool.tick()
     for job_id in gangs[:2]:
-        assert pool.runs_of(job_id) or pool.tick_until_begun(job_id, 10.0) <= LONGEST_STALL_S
+        assert pool.runs_of(job_id) or pool.tick_until_started(job_id, 10.0) <= LONGEST_STALL_S
 
 
 def test_small_work_is_not_held_up_by_a_reservation_beside_idle_capacity():
-    # Workers that were reserved for a gang as wide as the pool stood empty until the last of them was free.
+    # Workers reserved for a gang as wide as the pool stayed idle until the last of them was free.
     pool = AnsweringPool(10)
     occupy(pool, 1, work_s=30.0)
     pool.submit('b' * 16, task(10, accelerators=8, work_s=8.0, gang=True))
     for _ in range(4):
         pool.tick()
     pool.submit(JOB, task(1, work_s=60.0))
-    assert pool.tick_until_begun(JOB, 10.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 10.0) <= LONGEST_STALL_S
 
 
 def test_work_does_not_wait_for_the_rack_of_its_data_beside_idle_capacity():
-    # It waited for 1.5 times its own work time however idle the other racks were.
+    # The task waited for 1.5 times its own run time even when the other racks were idle.
     pool = AnsweringPool(40)
     pool.submit('b' * 16, task(8, accelerators=8, work_s=60.0, data_rack='r0'))
     pool.tick()
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r0'))
-    assert pool.tick_until_begun(JOB, 35.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 35.0) <= LONGEST_STALL_S
 
 
-def test_work_does_not_wait_for_a_rack_that_is_gone():
+def test_a_task_does_not_wait_for_a_rack_without_workers():
     pool = AnsweringPool(16)
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r9'))
-    assert pool.tick_until_begun(JOB, 35.0) <= TICK_S
+    assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
-def test_a_gang_that_no_rack_can_hold_does_not_wait_for_one():
+def test_a_gang_that_fits_in_no_rack_does_not_wait_for_one():
     pool = AnsweringPool(40)
     pool.submit(JOB, task(9, accelerators=8, work_s=20.0, gang=True, same_rack=True))
-    assert pool.tick_until_begun(JOB, 35.0) <= TICK_S
+    assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
-def test_a_gang_does_not_wait_for_one_rack_beside_idle_capacity():
+def test_a_gang_does_not_wait_for_a_single_rack_while_capacity_is_idle():
     pool = AnsweringPool(40)
     for rack in range(5):
         pool.submit(f'{rack:016x}', task(1, accelerators=8, work_s=60.0, data_rack=f'r{rack}'))
     pool.tick()
     pool.submit(JOB, task(8, accelerators=8, work_s=20.0, gang=True, same_rack=True))
-    assert pool.tick_until_begun(JOB, 35.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 35.0) <= LONGEST_STALL_S
 
 
 def test_a_task_that_a_worker_refuses_goes_to_another():
-    # The worker that refused it stayed the best choice and was asked again and again.
+    # The worker that refused the task remained the best choice and was chosen again and again.
     for queue in (URGENT, ORDINARY, PATIENT):
         pool = AnsweringPool(10, refusing=('w0',))
         pool.submit(JOB, task(1), queue=queue)
-        assert pool.tick_until_begun(JOB, 20.0) <= LONGEST_STALL_S
+        assert pool.tick_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_gang_of_which_a_worker_refuses_a_member_goes_to_others():
+def test_a_gang_with_a_refused_member_starts_on_other_workers():
     pool = AnsweringPool(40, refusing=('w0', 'w9'))
     pool.submit(JOB, task(8, accelerators=8, gang=True))
-    assert pool.tick_until_whole(JOB, 8, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 8, 20.0) <= LONGEST_STALL_S
 
 
 STEPS = st.builds(
@@ -174,7 +176,7 @@
 
 
 class StallCheck:
-    """Follows for how long jobs have nothing running though the pool has room for them twice over."""
+    """Checks how long a job has no running task while the pool has twice the capacity that it needs."""
 
     def __init__(self, pool):
         self.pool = pool
@@ -192,11 +194,13 @@
         if pool.scheduler.job_by_id[job_id].has_ended or pool.runs_of(job_id):
             return False
         free = [profile.capacity.minus(pool.used(worker)) for worker, profile in pool.profiles.items()]
-        whole = sum(profile.capacity.accelerators for profile in pool.profiles.values())
-        if 2 * sum(each.accelerators for each in free) <= whole:
+        total = sum(profile.capacity.accelerators for profile in pool.profiles.values())
+        if 2 * sum(each.accelerators for each in free) <= total:
             return False
-        room = sum(min(each.accelerators // step.demand.accelerators, step.max_per_worker or 99) for each in free)
-        return room >= 2 * (step.task_count if step.gang else 1)
+        placeable_tasks = sum(
+            min(each.accelerators // step.demand.accelerators, step.max_per_worker or 99) for each in free
+        )
+        return placeable_tasks >= 2 * (step.task_count if step.gang else 1)
 
 
 @given(
@@ -218,8 +222,8 @@
         check.look()
 
 
-def test_a_wide_gang_starts_beside_a_stream_of_small_work():
-    # Small work that came later must not starve a gang of half of the pool.
+def test_a_wide_gang_starts_despite_a_stream_of_small_tasks():
+    # Small tasks that arrive later must not starve a gang that needs half of the pool.
     pool = AnsweringPool(20)
     for number in range(240):
         pool.submit(f'{number:016x}', task(2, accelerators=2, work_s=6.0), queue=PATIENT)
@@ -232,7 +236,7 @@
     run_all(pool, JOB)
 
 
-def reasons_of(pool, ticks):
+def collect_waiting_notes(pool, ticks):
     found = []
     for _ in range(ticks):
         pool.tick()
@@ -240,11 +244,11 @@
     return found
 
 
-def test_a_step_that_waits_for_capacity_says_so_once():
+def test_a_step_that_waits_for_capacity_is_reported_once():
     pool = AnsweringPool(2)
     occupy(pool, 2)
     pool.submit(JOB, task(1))
-    notes = reasons_of(pool, 20)
+    notes = collect_waiting_notes(pool, 20)
     assert [note.reason for note in notes] == [WaitReason.NO_CAPACITY]
     assert notes[0].used_share > 0.5
     assert not notes[0].has_room_twice
@@ -252,27 +256,27 @@
     assert pool.scheduler.load.waiting_by_reason == {WaitReason.NO_CAPACITY: 1}
 
 
-def test_room_on_workers_that_get_no_starts_is_told_as_users_see_it():
+def test_free_capacity_of_unavailable_workers_is_reported_separately():
     pool = AnsweringPool(4)
     for worker_id in pool.profiles:
         pool.scheduler.worker_silent(worker_id, pool.now)
         pool.silent.add(worker_id)
     pool.submit(JOB, task(1))
-    (note,) = reasons_of(pool, 6)
+    (note,) = collect_waiting_notes(pool, 6)
     assert (note.reason, note.has_room_twice, note.has_takers_twice) == (WaitReason.UNAVAILABLE, True, False)
 
 
-def test_a_step_of_a_previous_owner_says_that_it_waits_for_that():
+def test_a_step_that_waits_for_the_runs_of_a_previous_owner_is_reported():
     pool = AnsweringPool(4)
     spec = JobSpec(JOB, 'acc', 'ordinary', 'payload', (task(1),), accepted_s=pool.now.wall_s)
     pool.spec_by_id[JOB] = spec
     pool.scheduler.add_job(spec, ORDINARY, pool.now, not_before_s=pool.now_s + 8.0)
-    notes = reasons_of(pool, 20)
+    notes = collect_waiting_notes(pool, 20)
     assert [(note.reason, note.has_room_twice) for note in notes] == [(WaitReason.PREVIOUS_OWNER, True)]
 
 
-def test_a_failed_search_is_repeated_though_no_room_has_grown():
-    # What a policy admits may change while nothing runs: the search was remembered as failed for good.
+def test_a_failed_search_is_repeated_although_no_capacity_has_grown():
+    # The result of a placement filter may change while nothing runs, but the failed search stayed cached forever.
     pool = AnsweringPool(1, policy=PolicySettings('mine', placement_filter='!suspect'))
     worker = pool.scheduler.worker_by_id['w0']
     pool.tick()
@@ -282,19 +286,19 @@
         pool.tick()
     assert not pool.running
     worker.slowness = 1.0
-    assert pool.tick_until_begun(JOB, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_lasting_task_that_ended_is_started_again_beside_others_of_its_step():
-    # Its step had tasks running, so that it did not count as stalled and waited for the rack of its data.
+def test_a_lasting_task_that_ended_is_restarted_while_others_of_its_step_run():
+    # The step had running tasks, so it did not count as stalled and the task waited for the rack of its data.
     pool = AnsweringPool(16)
     pool.submit(JOB, task(9, accelerators=8, work_s=600.0, data_rack='r0', lasting=True))
     pool.submit('b' * 16, task(4, accelerators=8, work_s=600.0, data_rack='r1'))
-    assert pool.tick_until_whole(JOB, 8, 5.0) <= LONGEST_STALL_S
-    assert pool.tick_until_whole(JOB, 9, 60.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 8, 5.0) <= LONGEST_STALL_S
+    assert pool.tick_until_running(JOB, 9, 60.0) <= LONGEST_STALL_S
 
 
-def test_a_step_that_waits_for_workers_that_get_no_starts_says_so():
+def test_a_step_that_waits_for_unavailable_workers_is_reported():
     pool = AnsweringPool(2)
     occupy(pool, 1)
     for worker_id in sorted(pool.profiles):
@@ -302,11 +306,11 @@
             pool.scheduler.worker_silent(worker_id, pool.now)
             pool.scheduler.worker_by_id[worker_id].lease.assume_until(pool.now_s + 60.0)
     pool.submit(JOB, task(1))
-    assert [note.reason for note in reasons_of(pool, 12)] == [WaitReason.UNAVAILABLE]
+    assert [note.reason for note in collect_waiting_notes(pool, 12)] == [WaitReason.UNAVAILABLE]
 
 
-def test_a_gang_as_wide_as_the_pool_begins_beside_a_thin_stream_of_small_work():
-    # Small work that had waited beside idle capacity passed its reservation again and again.
+def test_a_gang_as_wide_as_the_pool_starts_despite_occasional_small_tasks():
+    # Small tasks that had waited while capacity was idle were repeatedly placed on capacity reserved for the gang.
     pool = AnsweringPool(10)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=10.0))
     pool.tick()
@@ -321,17 +325,17 @@
     assert pool.now_s - START_S < 45.0
 
 
-def test_work_of_others_begins_beside_a_job_that_every_worker_refuses():
-    # Each refusal kept all starts away from its worker, and the refused job was first again when that was over.
+def test_other_jobs_start_while_every_worker_refuses_one_job():
+    # Each refusal blocked all starts on its worker for a time, after which the refused job was again first in order.
     pool = AnsweringPool(10)
     pool.refused_jobs = {JOB}
     pool.submit(JOB, task(160, work_s=5.0))
     pool.tick()
     pool.submit('b' * 16, task(1, work_s=5.0))
-    assert pool.tick_until_begun('b' * 16, 20.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started('b' * 16, 20.0) <= LONGEST_STALL_S
 
 
-def test_a_task_goes_back_to_a_worker_on_which_it_failed_rather_than_wait_beside_idle_capacity():
+def test_a_task_returns_to_a_worker_on_which_it_failed_rather_than_wait_while_capacity_is_idle():
     pool = AnsweringPool(2)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=120.0))
     pool.tick()
@@ -340,4 +344,4 @@
     pool.end_unit(next(iter(pool.runs_of(JOB))), EndKind.FAILED)
     for number in range(14):
         pool.add_worker(f'other{number}', 'r9', capacity=Resources(64_000, 262_144, 4))
-    assert pool.tick_until_begun(JOB, 30.0) <= LONGEST_STALL_S
+    assert pool.tick_until_started(JOB, 30.0) <= LONGEST_STALL_S
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -1,6 +1,8 @@
-"""Starts that a worker did not answer may be carried out by its next incarnation, before that has answered.
+"""Tests of unacknowledged starts on workers that restart.
 
-The task was started elsewhere as soon as the earlier incarnation was over, 0.4 s before the list of the next: two runs.
+The next incarnation of a worker may execute such a start before it has answered its first survey. The task was
+started on another worker as soon as the previous incarnation was over, 0.4 s before the next one listed its runs, so
+that two runs existed.
 """
 
 import pytest
@@ -14,17 +16,17 @@
 LATE_S = 20.0
 
 
-def replaced_unacknowledged(pool):
-    """Return a start that got no answer, to an incarnation that another one has replaced since."""
+def replace_with_unacknowledged_start(pool):
+    """Return an unacknowledged start on an incarnation that has since been replaced."""
     pool.submit(A, task())
     (start,) = pool.step()
     pool.scheduler.worker_by_id[start.worker_id].run_by_key[start.key].is_confirmed = False
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     return start
 
 
-def replace(pool, worker_id):
+def replace_incarnation(pool, worker_id):
     former = pool.scheduler.worker_by_id[worker_id].profile
     pool.scheduler.worker_replaced(worker_id, f'{worker_id}+', pool.now_s + LATE_S)
     pool.scheduler.worker_over(worker_id, pool.now)
@@ -32,64 +34,64 @@
     pool.keep_progress()
 
 
-def starts(pool, after_s):
+def starts_after(pool, after_s):
     pool.step(after_s)
     return [effect for effect in pool.step(0.3) if isinstance(effect, StartRun)] or pool.starts[1:]
 
 
-def test_its_task_waits_for_the_next_list_and_starts_if_that_is_empty():
+def test_the_task_waits_for_the_next_survey_and_starts_if_it_lists_no_run():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
-    assert not starts(pool, 5.0)
+    start = replace_with_unacknowledged_start(pool)
+    assert not starts_after(pool, 5.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert [each.key for each in starts(pool, 0.0)] == [start.key]
+    assert [each.key for each in starts_after(pool, 0.0)] == [start.key]
 
 
-def test_its_task_runs_on_where_the_next_list_has_it():
+def test_the_run_continues_where_the_next_survey_lists_it():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
-    seen = ListedRun(start.key, start.run, '', 10.0)
-    pool.scheduler.worker_surveyed(successor, (seen,), pool.now_s, pool.now)
-    assert not starts(pool, 1.0)
+    listed = ListedRun(start.key, start.run, '', 10.0)
+    pool.scheduler.worker_surveyed(successor, (listed,), pool.now_s, pool.now)
+    assert not starts_after(pool, 1.0)
     assert start.key in pool.scheduler.worker_by_id[successor].run_by_key
 
 
 @pytest.mark.parametrize(('after_s', 'count'), [(LATE_S - 1.0, 0), (LATE_S, 1)])
-def test_its_task_waits_no_longer_than_a_late_start_may_run(after_s, count):
+def test_the_task_waits_no_longer_than_a_start_may_be_delayed(after_s, count):
     pool = Pool(workers=2)
-    replaced_unacknowledged(pool)
-    assert len(starts(pool, after_s)) == count
+    replace_with_unacknowledged_start(pool)
+    assert len(starts_after(pool, after_s)) == count
 
 
-def test_it_waits_for_the_incarnation_after_the_next_one_too():
+def test_the_task_waits_for_the_latest_of_several_incarnations():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
-    replace(pool, f'{start.worker_id}+')
-    assert not starts(pool, 0.0)
+    start = replace_with_unacknowledged_start(pool)
+    replace_incarnation(pool, f'{start.worker_id}+')
+    assert not starts_after(pool, 0.0)
     pool.add_worker(f'{start.worker_id}++', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_it_waits_no_longer_once_the_next_incarnation_is_over_without_another():
+def test_the_task_starts_once_the_next_incarnation_is_over_without_a_successor():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     pool.scheduler.worker_over(f'{start.worker_id}+', pool.now)
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_a_start_that_was_answered_is_over_with_its_incarnation():
+def test_an_acknowledged_start_ends_with_its_incarnation():
     pool = Pool(workers=2)
     pool.submit(A, task())
     (start,) = pool.step()
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def started_in_two_tries(pool, sent_ago_s):
-    """Return a start whose first try got no answer, so long ago, and whose second did."""
+def start_with_unanswered_first_attempt(pool, sent_ago_s):
+    """Return a start whose first attempt, sent `sent_ago_s` ago, got no reply, and whose second did."""
     pool.submit(A, task())
     (start,) = pool.step()
     worker = pool.scheduler.worker_by_id[start.worker_id]
@@ -98,39 +100,39 @@
     return start
 
 
-def test_a_try_without_an_answer_is_waited_for_though_another_was_answered():
-    """The next incarnation carried the first try out while the task, over with the one before, ran elsewhere."""
+def test_the_task_waits_for_an_unanswered_attempt_although_a_later_one_was_acknowledged():
+    """The run ended with its incarnation and the task ran elsewhere when the next one executed the first attempt."""
     pool = Pool(workers=2)
-    start = started_in_two_tries(pool, 1.0)
-    replace(pool, start.worker_id)
+    start = start_with_unanswered_first_attempt(pool, 1.0)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert not starts(pool, 1.0)
+    assert not starts_after(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_a_start_that_was_taken_back_is_waited_for_if_its_task_has_not_started_elsewhere():
-    """The next incarnation knows nothing of the stop that the incarnation before had acknowledged."""
+def test_the_task_waits_for_an_unanswered_attempt_of_a_start_that_was_stopped():
+    """The next incarnation does not know of the stop that the previous one acknowledged."""
     pool = Pool(workers=1)
-    start = started_in_two_tries(pool, 1.0)
+    start = start_with_unanswered_first_attempt(pool, 1.0)
     pool.end(start.worker_id, start.key, start.run, EndKind.STOPPED)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
-    assert not starts(pool, 1.0)
+    assert not starts_after(pool, 1.0)
     pool.add_worker(f'{start.worker_id}+', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
 @pytest.mark.parametrize(('sent_ago_s', 'count'), [(LATE_S - 2.0, 0), (LATE_S, 1)])
-def test_a_try_without_an_answer_is_waited_for_no_longer_than_it_may_run(sent_ago_s, count):
+def test_the_task_waits_for_an_unanswered_attempt_no_longer_than_it_may_be_delayed(sent_ago_s, count):
     pool = Pool(workers=2)
-    start = started_in_two_tries(pool, sent_ago_s)
-    replace(pool, start.worker_id)
+    start = start_with_unanswered_first_attempt(pool, sent_ago_s)
+    replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
-    assert len(starts(pool, 0.0)) == count
+    assert len(starts_after(pool, 0.0)) == count
 
 
-def test_other_tasks_do_not_wait_for_a_try_whose_task_is_done():
+def test_other_tasks_do_not_wait_for_an_unanswered_attempt_whose_task_has_succeeded():
     pool = Pool(workers=1)
     pool.submit(A, task(2, accelerators=8))
     (start,) = pool.step()
@@ -138,13 +140,13 @@
     worker.late_order_s = LATE_S
     worker.unanswered_starts[start.key] = pool.now_s
     pool.end(start.worker_id, start.key, start.run, EndKind.DONE)
-    replace(pool, start.worker_id)
+    replace_incarnation(pool, start.worker_id)
     pool.add_worker('w1', 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def given_up_unacknowledged(pool, is_listed):
-    """Return a start without an answer, to an incarnation that was given up in silence; another may have begun."""
+def give_up_with_unacknowledged_start(pool, is_listed):
+    """Return an unacknowledged start on an incarnation given up as unreachable; the next one may already run."""
     pool.submit(A, task())
     (start,) = pool.step()
     worker = pool.scheduler.worker_by_id[start.worker_id]
@@ -162,63 +164,63 @@
 @pytest.mark.parametrize('is_listed', [False, True])
 @pytest.mark.parametrize(('after_s', 'count'), [(LATE_S - 1.0, 0), (LATE_S, 1)])
 def test_its_task_waits_when_the_incarnation_was_given_up_in_silence(is_listed, after_s, count):
-    """The next incarnation had done the task before anybody could ask it; it ran again 1.4 s later."""
+    """The next incarnation completed the task before its first survey, and the task ran again 1.4 s later."""
     pool = Pool(workers=2)
-    given_up_unacknowledged(pool, is_listed)
+    give_up_with_unacknowledged_start(pool, is_listed)
     assert not pool.step(0.1)
-    assert len(starts(pool, after_s)) == count
+    assert len(starts_after(pool, after_s)) == count
 
 
-def test_it_waits_on_where_the_next_incarnation_is_given_up_before_it_has_told():
+def test_the_task_waits_when_the_next_incarnation_is_given_up_before_its_first_survey():
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.scheduler.worker_by_id[successor].late_order_s = LATE_S
     pool.scheduler.worker_silent(successor, pool.now)
-    assert not starts(pool, LATE_S - 1.0)
-    assert len(starts(pool, 1.0)) == 1
+    assert not starts_after(pool, LATE_S - 1.0)
+    assert len(starts_after(pool, 1.0)) == 1
 
 
-def test_its_task_starts_once_the_incarnation_at_that_address_has_told_what_runs_there():
+def test_the_task_starts_once_the_next_incarnation_has_listed_its_runs():
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     assert not pool.step(0.1)
     pool.add_worker(f'{start.worker_id}+', 'r0')
     pool.scheduler.worker_over(start.worker_id, pool.now)
     pool.keep_progress()
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_its_task_starts_once_the_same_incarnation_has_told_what_runs_there():
-    """It was cut off, and remembers the stop."""
+def test_the_task_starts_once_the_same_incarnation_has_listed_its_runs():
+    """The incarnation was only unreachable and still knows of the stop."""
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     assert not pool.step(0.1)
     pool.silent.clear()
     pool.add_worker(start.worker_id, 'r0')
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def test_its_task_starts_at_once_where_a_later_incarnation_has_another_name():
+def test_the_task_starts_at_once_when_later_incarnations_have_other_names():
     pool = Pool(workers=2)
-    start = given_up_unacknowledged(pool, is_listed=False)
+    start = give_up_with_unacknowledged_start(pool, is_listed=False)
     pool.scheduler.worker_by_id[start.worker_id].late_order_s = 0.0
     pool.step(0.1)
-    assert len(starts(pool, 0.0)) == 1
+    assert len(starts_after(pool, 0.0)) == 1
 
 
-def may_hide_ends(pool, worker_id):
-    """Let a worker be one that may never list its ends."""
+def set_may_hide_ends(pool, worker_id):
+    """Mark a worker as one that may never list the ends of its runs."""
     pool.scheduler.worker_by_id[worker_id].may_hide_ends = True
 
 
 def test_a_late_start_is_stopped_on_an_incarnation_that_may_hide_its_end():
-    """Its end was never listed, and the task ran again."""
+    """The end of the run was never listed, and the task ran again."""
     pool = Pool(workers=2)
-    start = replaced_unacknowledged(pool)
+    start = replace_with_unacknowledged_start(pool)
     successor = f'{start.worker_id}+'
     pool.add_worker(successor, 'r0')
-    may_hide_ends(pool, successor)
+    set_may_hide_ends(pool, successor)
     pool.scheduler.worker_surveyed(successor, (ListedRun(start.key, start.run, '', 10.0),), pool.now_s, pool.now)
     pool.running[successor, start.key] = start.run
     pool.step()
@@ -232,7 +234,7 @@
 )
 def test_an_incarnation_that_may_hide_ends_gets_one_start_at_a_time(step, count):
     pool = Pool(workers=1)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, step)
     assert len(pool.step()) == count
     assert not pool.step(0.3)
@@ -240,7 +242,7 @@
 
 def test_an_incarnation_that_has_listed_an_end_gets_work():
     pool = Pool(workers=1)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
     (start,) = pool.step()
     pool.end('w0', start.key, start.run, EndKind.STOPPED)
@@ -248,8 +250,8 @@
     assert len(pool.step(0.01)) == 3
 
 
-def test_work_goes_to_other_workers_first():
+def test_workers_that_may_hide_ends_are_used_last():
     pool = Pool(workers=2)
-    may_hide_ends(pool, 'w0')
+    set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
     assert [start.worker_id for start in pool.step()] == ['w1'] * 3
