--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -25,7 +25,7 @@
     run: int
 
 
-class LateWorker:
+class FakeWorker:
     """One incarnation of a worker: what runs, and what it has seen of each task."""
 
     def __init__(self, worker_id):
@@ -59,7 +59,7 @@
     def __init__(self, workers):
         self.now_s = START_S
         self.epoch = 7
-        self.worker_by_id = {f'w{number}': LateWorker(f'w{number}') for number in range(workers)}
+        self.worker_by_id = {f'w{number}': FakeWorker(f'w{number}') for number in range(workers)}
         self.job_by_id = {}
         self.cancelled = set()
         # Starts that got no answer and are not carried out yet.
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -15,7 +15,7 @@
 from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec
 
-from .late_workers import LateWorker, LONGEST_LEASE_S, Order
+from .late_workers import FakeWorker, LONGEST_LEASE_S, Order
 from .pool import ORDINARY, START_S, WALL_S, WORKER
 
 EPOCH_SHIFT = 20
@@ -23,7 +23,7 @@
 LEASE_S = LONGEST_LEASE_S - 0.3
 
 
-class LeasedWorker(LateWorker):
+class LeasedWorker(FakeWorker):
     """A worker that refuses orders of older owners, and kills what runs when its lease ends."""
 
     def __init__(self, worker_id):
