--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -31,20 +31,20 @@
     def __init__(self, worker_id):
         self.worker_id = worker_id
         self.run_by_key = {}
-        self.highest_by_key = {}
+        self.highest_run_by_key = {}
         self.ends = []
         self.is_silent = False
 
     def start(self, order):
         """Carry a start out, at once or late."""
-        if order.run <= self.highest_by_key.get(order.key, 0):
+        if order.run <= self.highest_run_by_key.get(order.key, 0):
             return
-        self.highest_by_key[order.key] = order.run
+        self.highest_run_by_key[order.key] = order.run
         self.run_by_key[order.key] = order.run
 
     def stop(self, order):
         """Stop a run, or refuse it for good if it is not there yet."""
-        self.highest_by_key[order.key] = max(order.run, self.highest_by_key.get(order.key, 0))
+        self.highest_run_by_key[order.key] = max(order.run, self.highest_run_by_key.get(order.key, 0))
         if self.run_by_key.get(order.key) == order.run:
             self.end(order.key, EndKind.STOPPED)
 
