--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -36,7 +36,7 @@
             super().start(order)
 
 
-class RecordedOwners:
+class StoreBackedOwners:
     """Owners in turn, each of which keeps assignments and progress before it sends orders."""
 
     def __init__(self, workers):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -12,14 +12,14 @@
 
 from .late_workers import LONGEST_LEASE_S, Order
 from .pool import ORDINARY, task, URGENT, WORKER
-from .recorded_owners import LeasedWorker, RecordedOwners
+from .recorded_owners import LeasedWorker, StoreBackedOwners
 
 A, B = 'a' * 16, 'b' * 16
 
 
 def begun_on_a_worker_that_falls_silent(count=1, **fields):
     """Return owners of which the first has begun tasks on two workers, one of which falls silent before the second."""
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task(count, accelerators=8, **fields)])
     starts = owners.decide()
     owners.silent.add(starts[0].worker_id)
@@ -28,7 +28,7 @@
 
 
 def test_a_job_that_never_began_does_not_wait_for_silent_workers():
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.silent.add('w0')
     owners.submit(A, [task()])
     owners.take_over()
@@ -47,7 +47,7 @@
 
 
 def test_a_task_does_not_wait_once_its_worker_has_listed_its_runs_without_it():
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
     owners.take_over()
@@ -91,7 +91,7 @@
 
 
 def test_what_ended_or_was_never_sent_is_taken_back():
-    owners = RecordedOwners(1)
+    owners = StoreBackedOwners(1)
     owners.submit(A, [task()])
     (start,) = owners.decide()
     assert owners.assigned_runs(A)
@@ -102,7 +102,7 @@
 
 
 def test_a_start_in_a_wide_step_does_not_have_all_its_assignments_kept_anew():
-    owners = RecordedOwners(100)
+    owners = StoreBackedOwners(100)
     owners.submit(A, [task(700)])
     starts = owners.decide()
     assert len(owners.assigned_runs(A)) == 700
@@ -114,7 +114,7 @@
 
 
 def test_a_list_that_the_owner_before_waited_for_is_waited_for():
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
     # The worker has started again, and may have begun what was sent to its earlier incarnation.
@@ -145,7 +145,7 @@
 
     def __init__(self):
         super().__init__()
-        self.owners = RecordedOwners(3)
+        self.owners = StoreBackedOwners(3)
         self.jobs = 0
 
     @rule(
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -12,7 +12,7 @@
 from dahliaarch_kernel.scheduler.events import RunEnd
 
 from .pool import ORDINARY, task, URGENT, WORKER
-from .recorded_owners import LeasedWorker, RecordedOwners
+from .recorded_owners import LeasedWorker, StoreBackedOwners
 
 # Starts of a task that crashes workers which its users bear: three that tell, two more.
 MOST_STARTS = 5
@@ -43,7 +43,7 @@
             self.must_crash = self.must_crash or order.key.job_id in self.crashing
 
 
-class CrashingOwners(RecordedOwners):
+class CrashingOwners(StoreBackedOwners):
     """The same owners; workers crash, and are back under other names, and the store may be away."""
 
     def __init__(self, workers):
