--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -43,7 +43,7 @@
             self.must_crash = self.must_crash or order.key.job_id in self.crashing
 
 
-class CrashingOwners(StoreBackedOwners):
+class OwnersWithCrashingWorkers(StoreBackedOwners):
     """The same owners; workers crash, and are back under other names, and the store may be away."""
 
     def __init__(self, workers):
@@ -172,7 +172,7 @@
 
     def __init__(self):
         super().__init__()
-        self.owners = CrashingOwners(4)
+        self.owners = OwnersWithCrashingWorkers(4)
         self.jobs = 0
 
     @rule(
