--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -47,7 +47,7 @@
         self.spec_by_id = {}
         self.progress_by_id = {}
         self.kept_by_part = {}
-        self.late = []
+        self.delayed_starts = []
         self.stops = []
         self.noted = set()
         self.take_over()
@@ -156,7 +156,7 @@
         """Send the order of a start, whose assignment is kept."""
         order = Order(start.worker_id, start.key, start.run)
         if fate == 'late':
-            self.late.append(order)
+            self.delayed_starts.append(order)
         else:
             self.workers[order.worker_id].start(order)
         if fate == 'answered':
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -184,9 +184,9 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def carry_out_late(self, choice):
-        if self.owners.late:
-            order = choice.choice(self.owners.late)
-            self.owners.late.remove(order)
+        if self.owners.delayed_starts:
+            order = choice.choice(self.owners.delayed_starts)
+            self.owners.delayed_starts.remove(order)
             self.owners.workers[order.worker_id].start(order)
 
     @rule(choice=st.randoms(use_true_random=False))
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -142,7 +142,7 @@
             if run.worker_id == worker_id
         )
         self.silent.discard(worker_id)
-        self.late = [order for order in self.late if order.worker_id != worker_id]
+        self.delayed_starts = [order for order in self.delayed_starts if order.worker_id != worker_id]
         self.stops = [order for order in self.stops if order.worker_id != worker_id]
         successor = f'{worker_id}+'
         self.workers[successor] = self.new_worker(successor)
@@ -225,16 +225,16 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def crash_before_a_start_is_carried_out(self, choice):
-        if self.owners.late:
-            worker_id = choice.choice(self.owners.late).worker_id
+        if self.owners.delayed_starts:
+            worker_id = choice.choice(self.owners.delayed_starts).worker_id
             self.owners.pass_time(0.5)
             self.owners.crash(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def carry_out_late(self, choice):
-        if self.owners.late:
-            order = choice.choice(self.owners.late)
-            self.owners.late.remove(order)
+        if self.owners.delayed_starts:
+            order = choice.choice(self.owners.delayed_starts)
+            self.owners.delayed_starts.remove(order)
             self.owners.workers[order.worker_id].start(order)
             self.owners.crash_if_it_must(order.worker_id)
 
