--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -48,7 +48,7 @@
         self.progress_by_id = {}
         self.kept_by_part = {}
         self.delayed_starts = []
-        self.stops = []
+        self.pending_stops = []
         self.noted = set()
         self.take_over()
 
@@ -59,7 +59,7 @@
     def take_over(self):
         """Let another owner read what is kept, and ask the workers that are not silent."""
         self.epoch += 3
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.workers:
             self.scheduler.update_worker(WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
@@ -145,7 +145,7 @@
             self.take_over()
             return []
         starts = [effect for effect in effects if isinstance(effect, StartRun)]
-        self.stops.extend(
+        self.pending_stops.extend(
             Order(effect.worker_id, effect.key, effect.run) for effect in effects if isinstance(effect, StopRun)
         )
         for start in starts:
@@ -162,12 +162,12 @@
         if fate == 'answered':
             self.scheduler.run_started(*order, self.now)
         else:
-            self.stops.append(order)
+            self.pending_stops.append(order)
 
     def deliver_stop(self, order):
         if order.worker_id in self.silent or order.run >> EPOCH_SHIFT > self.epoch:
             return
-        self.stops.remove(order)
+        self.pending_stops.remove(order)
         self.workers[order.worker_id].stop(order)
         self.survey(order.worker_id)
         if order.key not in self.workers[order.worker_id].run_by_key:
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -191,8 +191,8 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def deliver_stop(self, choice):
-        if self.owners.stops:
-            self.owners.deliver_stop(choice.choice(self.owners.stops))
+        if self.owners.pending_stops:
+            self.owners.deliver_stop(choice.choice(self.owners.pending_stops))
 
     @rule(choice=st.randoms(use_true_random=False), kind=st.sampled_from((EndKind.DONE, EndKind.FAILED)))
     def end(self, choice, kind):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -143,7 +143,7 @@
         )
         self.silent.discard(worker_id)
         self.delayed_starts = [order for order in self.delayed_starts if order.worker_id != worker_id]
-        self.stops = [order for order in self.stops if order.worker_id != worker_id]
+        self.pending_stops = [order for order in self.pending_stops if order.worker_id != worker_id]
         successor = f'{worker_id}+'
         self.workers[successor] = self.new_worker(successor)
         self.unknown_crashes.append((worker_id, successor))
