--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -91,7 +91,7 @@
         self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
         for end in worker.ends:
             self.scheduler.run_ended(end, self.now)
-        self.keep()
+        self.save()
         self.acknowledge(worker)
         rows = tuple(ListedRun(key, run, '', self.percent_of(key)) for key, run in worker.run_by_key.items())
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
@@ -105,7 +105,7 @@
         self.noted.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
         worker.ends = []
 
-    def keep(self):
+    def save(self):
         for job_id in self.scheduler.take_dirty_jobs():
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
             self.scheduler.mark_saved(job_id)
@@ -140,7 +140,7 @@
     def decide(self, fate='answered'):
         """Decide, keep that, and send the orders: answered, unanswered, carried out late, or not at all."""
         effects = self.scheduler.decide(self.now)
-        self.keep()
+        self.save()
         if fate == 'owner ends':
             self.take_over()
             return []
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -97,7 +97,7 @@
     assert owners.assigned_runs(A)
     owners.workers[start.worker_id].end(start.key, EndKind.LAPSED)
     owners.survey(start.worker_id)
-    owners.keep()
+    owners.save()
     assert not owners.assigned_runs(A)
 
 
@@ -123,7 +123,7 @@
     owners.scheduler.worker_replaced(start.worker_id, successor, owners.now_s + 20.0)
     owners.scheduler.worker_over(start.worker_id, owners.now)
     owners.scheduler.expect_worker(former._replace(worker_id=successor), owners.now)
-    owners.keep()
+    owners.save()
     owners.workers[successor] = LeasedWorker(successor)
     del owners.workers[start.worker_id]
     owners.silent.add(successor)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -80,9 +80,9 @@
     def as_crashing(self, worker):
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
 
-    def keep(self):
+    def save(self):
         if self.has_store:
-            super().keep()
+            super().save()
             self.roster = set(self.scheduler.worker_by_id)
 
     def acknowledge(self, worker):
@@ -195,7 +195,7 @@
     @rule(seconds=st.floats(0.0, 4.0), fate=st.sampled_from(('answered', 'answered', 'unanswered')))
     def go_on(self, seconds, fate):
         self.owners.learn()
-        self.owners.keep()
+        self.owners.save()
         self.owners.pass_time(seconds)
         self.owners.decide(fate)
 
@@ -206,7 +206,7 @@
     @rule(is_away=st.booleans())
     def change_store(self, is_away):
         self.owners.has_store = not is_away
-        self.owners.keep()
+        self.owners.save()
         if not is_away:
             self.owners.release()
 
