--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -46,7 +46,7 @@
         self.silent = set()
         self.spec_by_id = {}
         self.progress_by_id = {}
-        self.kept_by_part = {}
+        self.saved_by_part = {}
         self.delayed_starts = []
         self.pending_stops = []
         self.noted = set()
@@ -110,7 +110,7 @@
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
             self.scheduler.mark_saved(job_id)
         for part in self.scheduler.assignments.take_unsaved():
-            self.kept_by_part[part] = encode(self.scheduler.assignments.for_part(part))
+            self.saved_by_part[part] = encode(self.scheduler.assignments.for_part(part))
 
     def progress_of(self, job_id):
         value = self.progress_by_id.get(job_id)
@@ -118,7 +118,7 @@
 
     def assignments_of(self, job_id):
         """Return what is kept of a job's assignments."""
-        kept = {part: decode(value, StepAssignments, 'assignments') for part, value in self.kept_by_part.items()}
+        kept = {part: decode(value, StepAssignments, 'assignments') for part, value in self.saved_by_part.items()}
         return {part: each for part, each in kept.items() if part.job_id == job_id}
 
     def assigned_runs(self, job_id):
