--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -49,7 +49,7 @@
         self.saved_by_part = {}
         self.delayed_starts = []
         self.pending_stops = []
-        self.noted = set()
+        self.recorded_successes = set()
         self.take_over()
 
     @property
@@ -102,7 +102,7 @@
 
     def acknowledge(self, worker):
         """Let a worker forget its ends, which are kept."""
-        self.noted.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
+        self.recorded_successes.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
         worker.ends = []
 
     def save(self):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -213,7 +213,7 @@
 
     @invariant()
     def nothing_runs_again_after_a_success_that_was_noted(self):
-        assert not [key for _, key in self.owners.running() if key in self.owners.noted]
+        assert not [key for _, key in self.owners.running() if key in self.owners.recorded_successes]
 
 
 Owners.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
