--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -29,9 +29,9 @@
 class CrashingWorker(LeasedWorker):
     """A worker that notes its starts, and whether one of them crashes it."""
 
-    def __init__(self, worker_id, crashing, starts):
+    def __init__(self, worker_id, crashing_job_ids, starts):
         super().__init__(worker_id)
-        self.crashing = crashing
+        self.crashing_job_ids = crashing_job_ids
         self.starts = starts
         self.must_crash = False
 
@@ -40,14 +40,14 @@
         super().start(order)
         if self.run_by_key.get(order.key) != was_running:
             self.starts[order.key] += 1
-            self.must_crash = self.must_crash or order.key.job_id in self.crashing
+            self.must_crash = self.must_crash or order.key.job_id in self.crashing_job_ids
 
 
 class OwnersWithCrashingWorkers(StoreBackedOwners):
     """The same owners; workers crash, and are back under other names, and the store may be away."""
 
     def __init__(self, workers):
-        self.crashing = set()
+        self.crashing_job_ids = set()
         self.starts = Counter()
         self.crashes = Counter()
         self.crashes_where_assigned = Counter()
@@ -75,7 +75,7 @@
             self.scheduler.worker_over(worker_id, self.now)
 
     def new_worker(self, worker_id):
-        return CrashingWorker(worker_id, self.crashing, self.starts)
+        return CrashingWorker(worker_id, self.crashing_job_ids, self.starts)
 
     def as_crashing(self, worker):
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
@@ -185,7 +185,7 @@
         self.jobs += 1
         job_id = f'{self.jobs:016x}'
         if is_crashing:
-            self.owners.crashing.add(job_id)
+            self.owners.crashing_job_ids.add(job_id)
         self.owners.submit(job_id, [task(count, accelerators, work_s=WORK_S)], queue)
 
     @rule(fate=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
@@ -252,7 +252,7 @@
         assert not [
             key
             for key, count in self.owners.starts.items()
-            if key.job_id in self.owners.crashing and count > MOST_STARTS
+            if key.job_id in self.owners.crashing_job_ids and count > MOST_STARTS
         ]
 
     @invariant()
