--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -29,17 +29,17 @@
 class CrashingWorker(LeasedWorker):
     """A worker that notes its starts, and whether one of them crashes it."""
 
-    def __init__(self, worker_id, crashing_job_ids, starts):
+    def __init__(self, worker_id, crashing_job_ids, start_count_by_key):
         super().__init__(worker_id)
         self.crashing_job_ids = crashing_job_ids
-        self.starts = starts
+        self.start_count_by_key = start_count_by_key
         self.must_crash = False
 
     def start(self, order):
         was_running = self.run_by_key.get(order.key)
         super().start(order)
         if self.run_by_key.get(order.key) != was_running:
-            self.starts[order.key] += 1
+            self.start_count_by_key[order.key] += 1
             self.must_crash = self.must_crash or order.key.job_id in self.crashing_job_ids
 
 
@@ -48,7 +48,7 @@
 
     def __init__(self, workers):
         self.crashing_job_ids = set()
-        self.starts = Counter()
+        self.start_count_by_key = Counter()
         self.crashes = Counter()
         self.crashes_where_assigned = Counter()
         self.started_s_by_key = {}
@@ -75,7 +75,7 @@
             self.scheduler.worker_over(worker_id, self.now)
 
     def new_worker(self, worker_id):
-        return CrashingWorker(worker_id, self.crashing_job_ids, self.starts)
+        return CrashingWorker(worker_id, self.crashing_job_ids, self.start_count_by_key)
 
     def as_crashing(self, worker):
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
@@ -251,7 +251,7 @@
     def no_task_that_crashes_workers_is_started_more_often_than_users_bear(self):
         assert not [
             key
-            for key, count in self.owners.starts.items()
+            for key, count in self.owners.start_count_by_key.items()
             if key.job_id in self.owners.crashing_job_ids and count > MOST_STARTS
         ]
 
