--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -49,7 +49,7 @@
     def __init__(self, workers):
         self.crashing_job_ids = set()
         self.start_count_by_key = Counter()
-        self.crashes = Counter()
+        self.crash_count_by_key = Counter()
         self.crashes_where_assigned = Counter()
         self.started_s_by_key = {}
         self.has_store = True
@@ -133,7 +133,7 @@
             self.drop_held(worker_id)
             self.scheduler.worker_silent(worker_id, self.now)
         worker = self.workers.pop(worker_id)
-        self.crashes.update(worker.run_by_key.keys())
+        self.crash_count_by_key.update(worker.run_by_key.keys())
         self.crashes_where_assigned.update(
             part.first_task._replace(task_index=run.task_index)
             for job_id in self.spec_by_id
@@ -258,7 +258,7 @@
     @invariant()
     def no_job_is_failed_without_a_task_under_which_workers_crashed(self):
         owners = self.owners
-        excused = {key.job_id for key, count in owners.crashes.items() if count >= CRASHES_THAT_EXCUSE}
+        excused = {key.job_id for key, count in owners.crash_count_by_key.items() if count >= CRASHES_THAT_EXCUSE}
         for key, count in owners.crashes_where_assigned.items():
             if count >= UNCERTAIN_CRASHES_THAT_EXCUSE:
                 excused.add(key.job_id)
