--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -50,7 +50,7 @@
         self.crashing_job_ids = set()
         self.start_count_by_key = Counter()
         self.crash_count_by_key = Counter()
-        self.crashes_where_assigned = Counter()
+        self.crash_count_by_assigned_key = Counter()
         self.started_s_by_key = {}
         self.has_store = True
         self.held = []
@@ -134,7 +134,7 @@
             self.scheduler.worker_silent(worker_id, self.now)
         worker = self.workers.pop(worker_id)
         self.crash_count_by_key.update(worker.run_by_key.keys())
-        self.crashes_where_assigned.update(
+        self.crash_count_by_assigned_key.update(
             part.first_task._replace(task_index=run.task_index)
             for job_id in self.spec_by_id
             for part, kept in self.assignments_of(job_id).items()
@@ -259,7 +259,7 @@
     def no_job_is_failed_without_a_task_under_which_workers_crashed(self):
         owners = self.owners
         excused = {key.job_id for key, count in owners.crash_count_by_key.items() if count >= CRASHES_THAT_EXCUSE}
-        for key, count in owners.crashes_where_assigned.items():
+        for key, count in owners.crash_count_by_assigned_key.items():
             if count >= UNCERTAIN_CRASHES_THAT_EXCUSE:
                 excused.add(key.job_id)
         assert not set(owners.failed_jobs()) - excused
