--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -52,7 +52,7 @@
         self.crash_count_by_key = Counter()
         self.crash_count_by_assigned_key = Counter()
         self.started_s_by_key = {}
-        self.has_store = True
+        self.is_store_available = True
         self.held = []
         # Incarnations that have crashed, which the owner does not know yet, with their next ones.
         self.unknown_crashes = []
@@ -61,7 +61,7 @@
 
     def take_over(self):
         """Let another owner take over; the store is there then."""
-        self.has_store = True
+        self.is_store_available = True
         self.held = []
         self.unknown_crashes = []
         self.workers = {worker_id: self.as_crashing(worker) for worker_id, worker in self.workers.items()}
@@ -81,17 +81,17 @@
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
 
     def save(self):
-        if self.has_store:
+        if self.is_store_available:
             super().save()
             self.roster = set(self.scheduler.worker_by_id)
 
     def acknowledge(self, worker):
-        if self.has_store:
+        if self.is_store_available:
             super().acknowledge(worker)
 
     def send(self, start, fate):
         self.held.append((start, fate))
-        if self.has_store:
+        if self.is_store_available:
             self.release()
 
     def release(self):
@@ -205,7 +205,7 @@
 
     @rule(is_away=st.booleans())
     def change_store(self, is_away):
-        self.owners.has_store = not is_away
+        self.owners.is_store_available = not is_away
         self.owners.save()
         if not is_away:
             self.owners.release()
