--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -53,7 +53,7 @@
         self.crash_count_by_assigned_key = Counter()
         self.started_s_by_key = {}
         self.is_store_available = True
-        self.held = []
+        self.held_starts = []
         # Incarnations that have crashed, which the owner does not know yet, with their next ones.
         self.unknown_crashes = []
         self.roster = set()
@@ -62,7 +62,7 @@
     def take_over(self):
         """Let another owner take over; the store is there then."""
         self.is_store_available = True
-        self.held = []
+        self.held_starts = []
         self.unknown_crashes = []
         self.workers = {worker_id: self.as_crashing(worker) for worker_id, worker in self.workers.items()}
         gone = self.roster - self.workers.keys()
@@ -90,14 +90,14 @@
             super().acknowledge(worker)
 
     def send(self, start, fate):
-        self.held.append((start, fate))
+        self.held_starts.append((start, fate))
         if self.is_store_available:
             self.release()
 
     def release(self):
         """Send the starts that were held, unless they are not wanted any more."""
-        held, self.held = self.held, []
-        for start, fate in held:
+        held_starts, self.held_starts = self.held_starts, []
+        for start, fate in held_starts:
             if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
                 self.send_kept(start, fate)
 
@@ -118,10 +118,10 @@
 
     def drop_held(self, worker_id):
         """Give up the starts that are held for a worker which takes none any more."""
-        for start, _ in self.held:
+        for start, _ in self.held_starts:
             if start.worker_id == worker_id:
                 self.refuse(start)
-        self.held = [(start, fate) for start, fate in self.held if start.worker_id != worker_id]
+        self.held_starts = [(start, fate) for start, fate in self.held_starts if start.worker_id != worker_id]
 
     def crash_if_it_must(self, worker_id):
         if self.workers[worker_id].must_crash:
