--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -116,7 +116,7 @@
     def refuse(self, start):
         self.scheduler.run_ended(RunEnd(start.worker_id, start.key, start.run, EndKind.REFUSED), self.now)
 
-    def drop_held(self, worker_id):
+    def refuse_held_starts(self, worker_id):
         """Give up the starts that are held for a worker which takes none any more."""
         for start, _ in self.held_starts:
             if start.worker_id == worker_id:
@@ -130,7 +130,7 @@
     def crash(self, worker_id, *, is_seen=True):
         """Let a worker crash; its owner may see at once that it takes no calls any more."""
         if is_seen:
-            self.drop_held(worker_id)
+            self.refuse_held_starts(worker_id)
             self.scheduler.worker_silent(worker_id, self.now)
         worker = self.workers.pop(worker_id)
         self.crash_count_by_key.update(worker.run_by_key.keys())
@@ -152,7 +152,7 @@
         """Let the owner learn of crashes: the next incarnations answer."""
         unknown, self.unknown_crashes = self.unknown_crashes, []
         for worker_id, successor in unknown:
-            self.drop_held(worker_id)
+            self.refuse_held_starts(worker_id)
             self.scheduler.worker_over(worker_id, self.now)
             self.scheduler.update_worker(WorkerProfile(successor, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
 
