--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -92,9 +92,9 @@
     def send(self, start, fate):
         self.held_starts.append((start, fate))
         if self.is_store_available:
-            self.release()
+            self.send_held_starts()
 
-    def release(self):
+    def send_held_starts(self):
         """Send the starts that were held, unless they are not wanted any more."""
         held_starts, self.held_starts = self.held_starts, []
         for start, fate in held_starts:
@@ -208,7 +208,7 @@
         self.owners.is_store_available = not is_away
         self.owners.save()
         if not is_away:
-            self.owners.release()
+            self.owners.send_held_starts()
 
     @rule(choice=st.randoms(use_true_random=False), is_seen=st.booleans())
     def crash(self, choice, is_seen):
