--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -99,12 +99,12 @@
         held_starts, self.held_starts = self.held_starts, []
         for start, fate in held_starts:
             if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
-                self.send_kept(start, fate)
+                self.send_saved(start, fate)
 
     def percent_of(self, key):
         return min(99.0, 100.0 * (self.now_s - self.started_s_by_key.get(key, self.now_s)) / WORK_S)
 
-    def send_kept(self, start, fate):
+    def send_saved(self, start, fate):
         if start.worker_id not in self.workers:
             # It has crashed, and the call fails.
             self.refuse(start)
