--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -55,7 +55,7 @@
         self.is_store_available = True
         self.held_starts = []
         # Incarnations that have crashed, which the owner does not know yet, with their next ones.
-        self.unknown_crashes = []
+        self.undetected_crashes = []
         self.roster = set()
         super().__init__(workers)
 
@@ -63,7 +63,7 @@
         """Let another owner take over; the store is there then."""
         self.is_store_available = True
         self.held_starts = []
-        self.unknown_crashes = []
+        self.undetected_crashes = []
         self.workers = {worker_id: self.as_crashing(worker) for worker_id, worker in self.workers.items()}
         gone = self.roster - self.workers.keys()
         self.silent |= gone
@@ -146,11 +146,11 @@
         self.pending_stops = [order for order in self.pending_stops if order.worker_id != worker_id]
         successor = f'{worker_id}+'
         self.workers[successor] = self.new_worker(successor)
-        self.unknown_crashes.append((worker_id, successor))
+        self.undetected_crashes.append((worker_id, successor))
 
     def learn(self):
         """Let the owner learn of crashes: the next incarnations answer."""
-        unknown, self.unknown_crashes = self.unknown_crashes, []
+        unknown, self.undetected_crashes = self.undetected_crashes, []
         for worker_id, successor in unknown:
             self.refuse_held_starts(worker_id)
             self.scheduler.worker_over(worker_id, self.now)
@@ -158,7 +158,7 @@
 
     def pass_time(self, seconds):
         # Surveys of incarnations that the owner does not know yet have to wait.
-        unknown = {successor for _, successor in self.unknown_crashes} - self.silent
+        unknown = {successor for _, successor in self.undetected_crashes} - self.silent
         self.silent |= unknown
         super().pass_time(seconds)
         self.silent -= unknown
