--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -148,7 +148,7 @@
         self.workers[successor] = self.new_worker(successor)
         self.undetected_crashes.append((worker_id, successor))
 
-    def learn(self):
+    def detect_crashes(self):
         """Let the owner learn of crashes: the next incarnations answer."""
         unknown, self.undetected_crashes = self.undetected_crashes, []
         for worker_id, successor in unknown:
@@ -194,7 +194,7 @@
 
     @rule(seconds=st.floats(0.0, 4.0), fate=st.sampled_from(('answered', 'answered', 'unanswered')))
     def go_on(self, seconds, fate):
-        self.owners.learn()
+        self.owners.detect_crashes()
         self.owners.save()
         self.owners.pass_time(seconds)
         self.owners.decide(fate)
@@ -244,7 +244,7 @@
         if running:
             worker_id, key = choice.choice(running)
             self.owners.workers[worker_id].end(key, EndKind.DONE)
-            self.owners.learn()
+            self.owners.detect_crashes()
             self.owners.pass_time(0.1)
 
     @invariant()
