--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -64,7 +64,7 @@
         self.is_store_available = True
         self.held_starts = []
         self.undetected_crashes = []
-        self.workers = {worker_id: self.as_crashing(worker) for worker_id, worker in self.workers.items()}
+        self.workers = {worker_id: self.to_crashing_worker(worker) for worker_id, worker in self.workers.items()}
         gone = self.roster - self.workers.keys()
         self.silent |= gone
         self.workers |= {worker_id: self.new_worker(worker_id) for worker_id in gone}
@@ -77,7 +77,7 @@
     def new_worker(self, worker_id):
         return CrashingWorker(worker_id, self.crashing_job_ids, self.start_count_by_key)
 
-    def as_crashing(self, worker):
+    def to_crashing_worker(self, worker):
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
 
     def save(self):
