--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -33,14 +33,14 @@
         super().__init__(worker_id)
         self.crashing_job_ids = crashing_job_ids
         self.start_count_by_key = start_count_by_key
-        self.must_crash = False
+        self.is_crash_due = False
 
     def start(self, order):
         was_running = self.run_by_key.get(order.key)
         super().start(order)
         if self.run_by_key.get(order.key) != was_running:
             self.start_count_by_key[order.key] += 1
-            self.must_crash = self.must_crash or order.key.job_id in self.crashing_job_ids
+            self.is_crash_due = self.is_crash_due or order.key.job_id in self.crashing_job_ids
 
 
 class OwnersWithCrashingWorkers(StoreBackedOwners):
@@ -124,7 +124,7 @@
         self.held_starts = [(start, fate) for start, fate in self.held_starts if start.worker_id != worker_id]
 
     def crash_if_it_must(self, worker_id):
-        if self.workers[worker_id].must_crash:
+        if self.workers[worker_id].is_crash_due:
             self.crash(worker_id)
 
     def crash(self, worker_id, *, is_seen=True):
