--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -111,7 +111,7 @@
             return
         self.started_s_by_key[start.key] = self.now_s
         super().send(start, fate)
-        self.crash_if_it_must(start.worker_id)
+        self.crash_if_due(start.worker_id)
 
     def refuse(self, start):
         self.scheduler.run_ended(RunEnd(start.worker_id, start.key, start.run, EndKind.REFUSED), self.now)
@@ -123,7 +123,7 @@
                 self.refuse(start)
         self.held_starts = [(start, fate) for start, fate in self.held_starts if start.worker_id != worker_id]
 
-    def crash_if_it_must(self, worker_id):
+    def crash_if_due(self, worker_id):
         if self.workers[worker_id].is_crash_due:
             self.crash(worker_id)
 
@@ -236,7 +236,7 @@
             order = choice.choice(self.owners.delayed_starts)
             self.owners.delayed_starts.remove(order)
             self.owners.workers[order.worker_id].start(order)
-            self.owners.crash_if_it_must(order.worker_id)
+            self.owners.crash_if_due(order.worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def end(self, choice):
