--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -15,7 +15,7 @@
 from .recorded_owners import LeasedWorker, StoreBackedOwners
 
 # Starts of a task that crashes workers which its users bear: three that tell, two more.
-MOST_STARTS = 5
+MAX_STARTS = 5
 # Crashes under a task after which users bear that its job is shown as failed.
 CRASHES_THAT_EXCUSE = 2
 # The same where no more is known than that the task was assigned to the workers.
@@ -252,7 +252,7 @@
         assert not [
             key
             for key, count in self.owners.start_count_by_key.items()
-            if key.job_id in self.owners.crashing_job_ids and count > MOST_STARTS
+            if key.job_id in self.owners.crashing_job_ids and count > MAX_STARTS
         ]
 
     @invariant()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -20,7 +20,7 @@
 A, B = 'a' * 16, 'b' * 16
 CRASHING = TaskKey(A, 0, 0, 0)
 # Starts of a task that crashes workers which its users bear: three that tell, two more.
-MOST_STARTS = 5
+MAX_STARTS = 5
 
 
 def starts_of(effects, key):
@@ -61,7 +61,7 @@
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
     pool.submit(A, task(1, work_s=8.0), queue=queue)
-    assert crashes_under(pool, CRASHING, most=160, ran_s=ran_s) <= MOST_STARTS
+    assert crashes_under(pool, CRASHING, most=160, ran_s=ran_s) <= MAX_STARTS
     assert phase(pool) == 'failed'
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize('seed', range(12))
 def test_no_unrelated_job_is_given_up_beside_crashing_ones(seed):
     most, unrelated, _ = play_crashes(seed)
-    assert most <= MOST_STARTS
+    assert most <= MAX_STARTS
     assert not unrelated
 
 
@@ -274,7 +274,7 @@
     given_up = jobs = 0
     for seed in range(100, 115):
         most, unrelated, all_jobs = play_crashes(seed, share=0.2)
-        assert most <= MOST_STARTS
+        assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
@@ -289,7 +289,7 @@
     given_up = jobs = 0
     for seed in range(200, 215):
         most, unrelated, all_jobs = play_crashes(seed, wave=0.33)
-        assert most <= MOST_STARTS
+        assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
@@ -10,7 +10,7 @@
 A = 'a' * 16
 TASK = TaskKey(A, 0, 0, 0)
 # Starts of a task that crashes workers which its users bear.
-MOST_STARTS = 5
+MAX_STARTS = 5
 WORK_S = 4.0
 
 
@@ -91,7 +91,7 @@
 def test_a_task_whose_crashes_are_all_uncertain_is_not_started_forever(crash):
     pool = Pool()
     pool.submit(A, task(1, work_s=WORK_S))
-    for _ in range(MOST_STARTS):
+    for _ in range(MAX_STARTS):
         crash(pool)
     assert order_start(pool) is None
     assert phase(pool) == 'failed'
