--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -22,7 +22,7 @@
 UNCERTAIN_CRASHES_THAT_EXCUSE = 5
 WORK_S = 2.0
 # Jobs and steps of one random history.
-MOST_JOBS = 4
+MAX_JOBS = 4
 MOST_STEPS = 150
 
 
@@ -290,7 +290,7 @@
         lambda: machine.crash_before_an_end_is_listed(luck),
         lambda: machine.crash_before_a_start_is_carried_out(luck),
     ]
-    odds = (1 if machine.jobs < MOST_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
+    odds = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
     (apply,) = luck.choices(rules, odds)
     apply()
 
