--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -23,7 +23,7 @@
 WORK_S = 2.0
 # Jobs and steps of one random history.
 MAX_JOBS = 4
-MOST_STEPS = 150
+MAX_STEPS = 150
 
 
 class CrashingWorker(LeasedWorker):
@@ -299,7 +299,7 @@
 def test_crashes_under_owners_in_turn_are_counted_where_tasks_were(seed):
     luck = random.Random(seed)
     machine = Crashes()
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_STEPS):
         draw_rule(machine, luck)
         machine.no_task_that_crashes_workers_is_started_more_often_than_users_bear()
         machine.no_job_is_failed_without_a_task_under_which_workers_crashed()
