--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -17,7 +17,7 @@
 # Starts of a task that crashes workers which its users bear: three that tell, two more.
 MAX_STARTS = 5
 # Crashes under a task after which users bear that its job is shown as failed.
-CRASHES_THAT_EXCUSE = 2
+MIN_CRASHES_BEFORE_FAILURE = 2
 # The same where no more is known than that the task was assigned to the workers.
 UNCERTAIN_CRASHES_THAT_EXCUSE = 5
 WORK_S = 2.0
@@ -258,7 +258,9 @@
     @invariant()
     def no_job_is_failed_without_a_task_under_which_workers_crashed(self):
         owners = self.owners
-        excused = {key.job_id for key, count in owners.crash_count_by_key.items() if count >= CRASHES_THAT_EXCUSE}
+        excused = {
+            key.job_id for key, count in owners.crash_count_by_key.items() if count >= MIN_CRASHES_BEFORE_FAILURE
+        }
         for key, count in owners.crash_count_by_assigned_key.items():
             if count >= UNCERTAIN_CRASHES_THAT_EXCUSE:
                 excused.add(key.job_id)
