--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -19,7 +19,7 @@
 # Crashes under a task after which users bear that its job is shown as failed.
 MIN_CRASHES_BEFORE_FAILURE = 2
 # The same where no more is known than that the task was assigned to the workers.
-UNCERTAIN_CRASHES_THAT_EXCUSE = 5
+MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE = 5
 WORK_S = 2.0
 # Jobs and steps of one random history.
 MAX_JOBS = 4
@@ -262,7 +262,7 @@
             key.job_id for key, count in owners.crash_count_by_key.items() if count >= MIN_CRASHES_BEFORE_FAILURE
         }
         for key, count in owners.crash_count_by_assigned_key.items():
-            if count >= UNCERTAIN_CRASHES_THAT_EXCUSE:
+            if count >= MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE:
                 excused.add(key.job_id)
         assert not set(owners.failed_jobs()) - excused
 
