--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -258,13 +258,13 @@
     @invariant()
     def no_job_is_failed_without_a_task_under_which_workers_crashed(self):
         owners = self.owners
-        excused = {
+        allowed_to_fail = {
             key.job_id for key, count in owners.crash_count_by_key.items() if count >= MIN_CRASHES_BEFORE_FAILURE
         }
         for key, count in owners.crash_count_by_assigned_key.items():
             if count >= MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE:
-                excused.add(key.job_id)
-        assert not set(owners.failed_jobs()) - excused
+                allowed_to_fail.add(key.job_id)
+        assert not set(owners.failed_jobs()) - allowed_to_fail
 
     @invariant()
     def no_task_runs_twice_at_a_time(self):
