--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -275,34 +275,34 @@
 TestCrashes = Crashes.TestCase
 
 
-def draw_rule(machine, luck):
+def draw_rule(machine, rng):
     """Apply a rule of the machine with other odds: more time passes, and more ends and starts are lost with workers."""
-    fate = luck.choice(('answered', 'answered', 'unanswered'))
+    fate = rng.choice(('answered', 'answered', 'unanswered'))
     rules = [
         lambda: machine.submit(
-            luck.choice((URGENT, ORDINARY)), luck.randint(1, 2), luck.choice((1, 8)), luck.random() < 0.5
+            rng.choice((URGENT, ORDINARY)), rng.randint(1, 2), rng.choice((1, 8)), rng.random() < 0.5
         ),
-        lambda: machine.decide(luck.choice((fate, 'late', 'owner ends'))),
-        lambda: machine.go_on(luck.choice((0.1, 0.3, 1.0, 2.0, 4.0)), fate),
+        lambda: machine.decide(rng.choice((fate, 'late', 'owner ends'))),
+        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), fate),
         machine.change_owner,
-        lambda: machine.change_store(luck.random() < 0.4),
-        lambda: machine.crash(luck, luck.random() < 0.7),
-        lambda: machine.carry_out_late(luck),
-        lambda: machine.end(luck),
-        lambda: machine.crash_before_an_end_is_listed(luck),
-        lambda: machine.crash_before_a_start_is_carried_out(luck),
+        lambda: machine.change_store(rng.random() < 0.4),
+        lambda: machine.crash(rng, rng.random() < 0.7),
+        lambda: machine.carry_out_late(rng),
+        lambda: machine.end(rng),
+        lambda: machine.crash_before_an_end_is_listed(rng),
+        lambda: machine.crash_before_a_start_is_carried_out(rng),
     ]
     odds = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
-    (apply,) = luck.choices(rules, odds)
+    (apply,) = rng.choices(rules, odds)
     apply()
 
 
 @pytest.mark.parametrize('seed', range(60))
 def test_crashes_under_owners_in_turn_are_counted_where_tasks_were(seed):
-    luck = random.Random(seed)
+    rng = random.Random(seed)
     machine = Crashes()
     for _ in range(MAX_STEPS):
-        draw_rule(machine, luck)
+        draw_rule(machine, rng)
         machine.no_task_that_crashes_workers_is_started_more_often_than_users_bear()
         machine.no_job_is_failed_without_a_task_under_which_workers_crashed()
         machine.no_task_runs_twice_at_a_time()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -228,24 +228,24 @@
 
     A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
     """
-    luck = random.Random(seed)
+    rng = random.Random(seed)
     pool = Pool(workers=16)
     crashing = set()
     starts_by_key = {}
     for tick in range(240):
         if tick % 4 == 0 and tick < 160:
             job_id = f'{tick:016x}'
-            step = task(luck.randint(1, 6), accelerators=luck.choice((1, 2, 8)), work_s=luck.uniform(2.0, 9.0))
-            pool.submit(job_id, step._replace(gang=luck.random() < 0.3), queue=luck.choice((URGENT, PATIENT)))
-            if luck.random() < 0.15:
-                crashing.add(TaskKey(job_id, 0, 0, luck.randrange(step.task_count)))
+            step = task(rng.randint(1, 6), accelerators=rng.choice((1, 2, 8)), work_s=rng.uniform(2.0, 9.0))
+            pool.submit(job_id, step._replace(gang=rng.random() < 0.3), queue=rng.choice((URGENT, PATIENT)))
+            if rng.random() < 0.15:
+                crashing.add(TaskKey(job_id, 0, 0, rng.randrange(step.task_count)))
         started = [effect for effect in pool.step(0.25) if isinstance(effect, StartRun)]
         for effect in started:
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
         dead = {effect.worker_id for effect in started if effect.key in crashing}
-        dead |= {worker_id for worker_id in pool.profiles if luck.random() < share / 40.0}
+        dead |= {worker_id for worker_id in pool.profiles if rng.random() < share / 40.0}
         if wave and tick % 16 == 15:
-            dead |= set(luck.sample(sorted(pool.profiles), int(wave * len(pool.profiles))))
+            dead |= set(rng.sample(sorted(pool.profiles), int(wave * len(pool.profiles))))
         for worker_id in sorted(dead):
             pool.crash(worker_id)
         for worker_id in sorted(pool.profiles):
@@ -253,7 +253,7 @@
         for worker_id, key in sorted(pool.running):
             run = pool.running.get((worker_id, key))
             work_s = pool.spec_by_id[key.job_id].steps[0].estimate_s
-            if run is not None and luck.random() < 0.25 / work_s:
+            if run is not None and rng.random() < 0.25 / work_s:
                 pool.end_unit(key, EndKind.DONE)
         pool.finish_stops()
         pool.keep_progress()
