--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -275,7 +275,7 @@
 TestCrashes = Crashes.TestCase
 
 
-def draw_rule(machine, rng):
+def apply_random_rule(machine, rng):
     """Apply a rule of the machine with other odds: more time passes, and more ends and starts are lost with workers."""
     fate = rng.choice(('answered', 'answered', 'unanswered'))
     rules = [
@@ -302,7 +302,7 @@
     rng = random.Random(seed)
     machine = Crashes()
     for _ in range(MAX_STEPS):
-        draw_rule(machine, rng)
+        apply_random_rule(machine, rng)
         machine.no_task_that_crashes_workers_is_started_more_often_than_users_bear()
         machine.no_job_is_failed_without_a_task_under_which_workers_crashed()
         machine.no_task_runs_twice_at_a_time()
