--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -292,8 +292,8 @@
         lambda: machine.crash_before_an_end_is_listed(rng),
         lambda: machine.crash_before_a_start_is_carried_out(rng),
     ]
-    odds = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
-    (apply,) = rng.choices(rules, odds)
+    weights = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
+    (apply,) = rng.choices(rules, weights)
     apply()
 
 
