--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -293,8 +293,8 @@
         lambda: machine.crash_before_a_start_is_carried_out(rng),
     ]
     weights = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
-    (apply,) = rng.choices(rules, weights)
-    apply()
+    (apply_rule,) = rng.choices(rules, weights)
+    apply_rule()
 
 
 @pytest.mark.parametrize('seed', range(60))
