--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -248,7 +248,7 @@
             self.owners.pass_time(0.1)
 
     @invariant()
-    def no_task_that_crashes_workers_is_started_more_often_than_users_bear(self):
+    def no_crashing_task_exceeds_the_start_limit(self):
         assert not [
             key
             for key, count in self.owners.start_count_by_key.items()
@@ -303,6 +303,6 @@
     machine = Crashes()
     for _ in range(MAX_STEPS):
         apply_random_rule(machine, rng)
-        machine.no_task_that_crashes_workers_is_started_more_often_than_users_bear()
+        machine.no_crashing_task_exceeds_the_start_limit()
         machine.no_job_is_failed_without_a_task_under_which_workers_crashed()
         machine.no_task_runs_twice_at_a_time()
