--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -137,11 +137,11 @@
         for worker_id in self.workers.keys() - self.silent:
             self.survey(worker_id)
 
-    def decide(self, fate='answered'):
+    def decide(self, delivery='answered'):
         """Decide, keep that, and send the orders: answered, unanswered, carried out late, or not at all."""
         effects = self.scheduler.decide(self.now)
         self.save()
-        if fate == 'owner ends':
+        if delivery == 'owner ends':
             self.take_over()
             return []
         starts = [effect for effect in effects if isinstance(effect, StartRun)]
@@ -149,17 +149,17 @@
             Order(effect.worker_id, effect.key, effect.run) for effect in effects if isinstance(effect, StopRun)
         )
         for start in starts:
-            self.send(start, fate)
+            self.send(start, delivery)
         return starts
 
-    def send(self, start, fate):
+    def send(self, start, delivery):
         """Send the order of a start, whose assignment is kept."""
         order = Order(start.worker_id, start.key, start.run)
-        if fate == 'late':
+        if delivery == 'late':
             self.delayed_starts.append(order)
         else:
             self.workers[order.worker_id].start(order)
-        if fate == 'answered':
+        if delivery == 'answered':
             self.scheduler.run_started(*order, self.now)
         else:
             self.pending_stops.append(order)
