--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -17,7 +17,7 @@
 A, B = 'a' * 16, 'b' * 16
 
 
-def begun_on_a_worker_that_falls_silent(count=1, **fields):
+def start_then_lose_contact(count=1, **fields):
     """Return owners of which the first has begun tasks on two workers, one of which falls silent before the second."""
     owners = StoreBackedOwners(2)
     owners.submit(A, [task(count, accelerators=8, **fields)])
@@ -36,7 +36,7 @@
 
 
 def test_a_task_waits_for_the_silent_worker_that_it_was_assigned_to_until_its_lease_has_ended():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.submit(B, [task()])
     assert [each.key.job_id for each in owners.decide()] == [B]
     owners.workers['w1'].end(TaskKey(B, 0, 0, 0), EndKind.DONE)
@@ -58,7 +58,7 @@
 
 
 def test_other_tasks_of_its_step_do_not_wait():
-    owners, (first, second) = begun_on_a_worker_that_falls_silent(count=2)
+    owners, (first, second) = start_then_lose_contact(count=2)
     owners.workers[second.worker_id].end(second.key, EndKind.LAPSED)
     owners.pass_time(0.1)
     assert [each.key for each in owners.decide()] == [second.key]
@@ -66,7 +66,7 @@
 
 
 def test_a_run_that_its_worker_lists_goes_on():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.silent.clear()
     owners.pass_time(1.0)
     assert not owners.decide()
@@ -74,7 +74,7 @@
 
 
 def test_an_end_that_comes_after_the_takeover_counts():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.workers[start.worker_id].end(start.key, EndKind.DONE)
     owners.silent.clear()
     owners.pass_time(1.0)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize('is_over', [True, False])
 def test_a_crash_that_no_owner_lived_to_see_counts_against_the_tasks_that_were_assigned(is_over):
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     if is_over:
         owners.scheduler.worker_over(start.worker_id, owners.now)
     crashes = owners.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
