--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
@@ -9,13 +9,13 @@
 A = 'a' * 16
 
 
-def asked_in(effects):
+def advice_requests_in(effects):
     return [effect for effect in effects if isinstance(effect, AskAdvice)]
 
 
 def submit(pool, *steps):
     pool.submit(A, *steps, queue=ADVISED)
-    return asked_in(pool.scheduler.decide(pool.now))
+    return advice_requests_in(pool.scheduler.decide(pool.now))
 
 
 def consent(pool, question, *workers, valid_s=3.0):
@@ -55,7 +55,7 @@
     pool = Pool(workers=2)
     (question,) = submit(pool, task(1, accelerators=8))
     consent(pool, question, 'w1', valid_s=0.1)
-    (again,) = asked_in(pool.scheduler.decide(pool.now))
+    (again,) = advice_requests_in(pool.scheduler.decide(pool.now))
     assert again.worker_ids == ('w1',)
     consent(pool, again, 'w1')
     assert [start.worker_id for start in starts_in(pool.scheduler.decide(pool.now))] == ['w1']
@@ -69,13 +69,13 @@
     pool.running['w0', start.key] = start.run
     pool.end('w0', start.key, start.run, EndKind.REFUSED)
     pool.now_s += 0.4
-    assert asked_in(pool.scheduler.decide(pool.now))
+    assert advice_requests_in(pool.scheduler.decide(pool.now))
 
 
 def test_a_policy_that_does_not_answer_is_asked_again_after_a_pause():
     pool = Pool(workers=2)
     (question,) = submit(pool, task(1))
     pool.scheduler.advice_failed(question.step, pool.now)
-    assert not asked_in(pool.scheduler.decide(pool.now))
+    assert not advice_requests_in(pool.scheduler.decide(pool.now))
     pool.now_s += 0.6
-    assert asked_in(pool.scheduler.decide(pool.now))
+    assert advice_requests_in(pool.scheduler.decide(pool.now))
