--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
@@ -18,7 +18,7 @@
     return advice_requests_in(pool.scheduler.decide(pool.now))
 
 
-def consent(pool, question, *workers, valid_s=3.0):
+def grant_tickets(pool, question, *workers, valid_s=3.0):
     tickets = {worker: f'ticket-{worker}' for worker in workers}
     pool.scheduler.advice_given(question.step, question.worker_ids, tickets, pool.now_s + valid_s)
 
@@ -38,7 +38,7 @@
 def test_starts_go_to_workers_with_consent_and_bring_the_ticket():
     pool = Pool(workers=4)
     (question,) = submit(pool, task(12, accelerators=2))
-    consent(pool, question, 'w1', 'w3')
+    grant_tickets(pool, question, 'w1', 'w3')
     starts = starts_in(pool.scheduler.decide(pool.now))
     assert len(starts) == 8
     assert {(start.worker_id, start.ticket) for start in starts} == {('w1', 'ticket-w1'), ('w3', 'ticket-w3')}
@@ -47,24 +47,24 @@
 def test_a_gang_needs_consent_for_all_its_members():
     pool = Pool(workers=4)
     (question,) = submit(pool, task(2, accelerators=8, gang=True))
-    consent(pool, question, 'w2')
+    grant_tickets(pool, question, 'w2')
     assert not starts_in(pool.scheduler.decide(pool.now))
 
 
 def test_tickets_that_expired_are_asked_for_again_once_there_is_room():
     pool = Pool(workers=2)
     (question,) = submit(pool, task(1, accelerators=8))
-    consent(pool, question, 'w1', valid_s=0.1)
+    grant_tickets(pool, question, 'w1', valid_s=0.1)
     (again,) = advice_requests_in(pool.scheduler.decide(pool.now))
     assert again.worker_ids == ('w1',)
-    consent(pool, again, 'w1')
+    grant_tickets(pool, again, 'w1')
     assert [start.worker_id for start in starts_in(pool.scheduler.decide(pool.now))] == ['w1']
 
 
 def test_a_ticket_that_a_worker_rejects_is_asked_for_again():
     pool = Pool(workers=2)
     (question,) = submit(pool, task(1))
-    consent(pool, question, 'w0')
+    grant_tickets(pool, question, 'w0')
     (start,) = starts_in(pool.scheduler.decide(pool.now))
     pool.running['w0', start.key] = start.run
     pool.end('w0', start.key, start.run, EndKind.REFUSED)
