--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
@@ -18,9 +18,9 @@
     return advice_requests_in(pool.scheduler.decide(pool.now))
 
 
-def grant_tickets(pool, question, *workers, valid_s=3.0):
+def grant_tickets(pool, advice_request, *workers, valid_s=3.0):
     tickets = {worker: f'ticket-{worker}' for worker in workers}
-    pool.scheduler.advice_given(question.step, question.worker_ids, tickets, pool.now_s + valid_s)
+    pool.scheduler.advice_given(advice_request.step, advice_request.worker_ids, tickets, pool.now_s + valid_s)
 
 
 def starts_in(effects):
@@ -29,16 +29,16 @@
 
 def test_the_policy_is_asked_once_about_every_worker_and_nothing_starts_before():
     pool = Pool(workers=4)
-    question, *others = submit(pool, task(2))
+    advice_request, *others = submit(pool, task(2))
     assert not others
-    assert set(question.worker_ids) == set(pool.profiles)
+    assert set(advice_request.worker_ids) == set(pool.profiles)
     assert not pool.scheduler.decide(pool.now)
 
 
 def test_starts_go_to_workers_with_consent_and_bring_the_ticket():
     pool = Pool(workers=4)
-    (question,) = submit(pool, task(12, accelerators=2))
-    grant_tickets(pool, question, 'w1', 'w3')
+    (advice_request,) = submit(pool, task(12, accelerators=2))
+    grant_tickets(pool, advice_request, 'w1', 'w3')
     starts = starts_in(pool.scheduler.decide(pool.now))
     assert len(starts) == 8
     assert {(start.worker_id, start.ticket) for start in starts} == {('w1', 'ticket-w1'), ('w3', 'ticket-w3')}
@@ -46,15 +46,15 @@
 
 def test_a_gang_needs_consent_for_all_its_members():
     pool = Pool(workers=4)
-    (question,) = submit(pool, task(2, accelerators=8, gang=True))
-    grant_tickets(pool, question, 'w2')
+    (advice_request,) = submit(pool, task(2, accelerators=8, gang=True))
+    grant_tickets(pool, advice_request, 'w2')
     assert not starts_in(pool.scheduler.decide(pool.now))
 
 
 def test_tickets_that_expired_are_asked_for_again_once_there_is_room():
     pool = Pool(workers=2)
-    (question,) = submit(pool, task(1, accelerators=8))
-    grant_tickets(pool, question, 'w1', valid_s=0.1)
+    (advice_request,) = submit(pool, task(1, accelerators=8))
+    grant_tickets(pool, advice_request, 'w1', valid_s=0.1)
     (again,) = advice_requests_in(pool.scheduler.decide(pool.now))
     assert again.worker_ids == ('w1',)
     grant_tickets(pool, again, 'w1')
@@ -63,8 +63,8 @@
 
 def test_a_ticket_that_a_worker_rejects_is_asked_for_again():
     pool = Pool(workers=2)
-    (question,) = submit(pool, task(1))
-    grant_tickets(pool, question, 'w0')
+    (advice_request,) = submit(pool, task(1))
+    grant_tickets(pool, advice_request, 'w0')
     (start,) = starts_in(pool.scheduler.decide(pool.now))
     pool.running['w0', start.key] = start.run
     pool.end('w0', start.key, start.run, EndKind.REFUSED)
@@ -74,8 +74,8 @@
 
 def test_a_policy_that_does_not_answer_is_asked_again_after_a_pause():
     pool = Pool(workers=2)
-    (question,) = submit(pool, task(1))
-    pool.scheduler.advice_failed(question.step, pool.now)
+    (advice_request,) = submit(pool, task(1))
+    pool.scheduler.advice_failed(advice_request.step, pool.now)
     assert not advice_requests_in(pool.scheduler.decide(pool.now))
     pool.now_s += 0.6
     assert advice_requests_in(pool.scheduler.decide(pool.now))
