--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
@@ -55,9 +55,9 @@
     pool = Pool(workers=2)
     (advice_request,) = submit(pool, task(1, accelerators=8))
     grant_tickets(pool, advice_request, 'w1', valid_s=0.1)
-    (again,) = advice_requests_in(pool.scheduler.decide(pool.now))
-    assert again.worker_ids == ('w1',)
-    grant_tickets(pool, again, 'w1')
+    (repeated_request,) = advice_requests_in(pool.scheduler.decide(pool.now))
+    assert repeated_request.worker_ids == ('w1',)
+    grant_tickets(pool, repeated_request, 'w1')
     assert [start.worker_id for start in starts_in(pool.scheduler.decide(pool.now))] == ['w1']
 
 
