--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -113,12 +113,12 @@
     first = Pool()
     first.submit(A, task(1))
     assert crashes_under(first, CRASHING, most=2) == 2
-    heir = Pool(epoch=9)
-    heir.spec_by_id = first.spec_by_id
+    next_owner = Pool(epoch=9)
+    next_owner.spec_by_id = first.spec_by_id
     kept = first.scheduler.job_by_id[A]
-    heir.scheduler.add_job(kept.spec, kept.queue, heir.now, progress=kept.progress())
-    assert crashes_under(heir, CRASHING) == 1
-    assert phase(heir) == 'failed'
+    next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
+    assert crashes_under(next_owner, CRASHING) == 1
+    assert phase(next_owner) == 'failed'
 
 
 def test_the_next_owner_gives_up_what_the_one_before_had_no_time_to():
@@ -131,12 +131,12 @@
         first.crash(start.worker_id)
         first.keep_progress()
     assert phase(first) == 'running'
-    heir = Pool(epoch=9)
-    heir.spec_by_id = first.spec_by_id
+    next_owner = Pool(epoch=9)
+    next_owner.spec_by_id = first.spec_by_id
     kept = first.scheduler.job_by_id[A]
-    heir.scheduler.add_job(kept.spec, kept.queue, heir.now, progress=kept.progress())
-    assert not heir.step(0.1)
-    assert phase(heir) == 'failed'
+    next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
+    assert not next_owner.step(0.1)
+    assert phase(next_owner) == 'failed'
 
 
 def test_a_suspect_starts_again_only_once_its_crashes_are_kept():
