--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -69,8 +69,8 @@
 def test_a_suspect_runs_on_a_worker_of_its_own_until_it_has_outlived_the_suspicion():
     pool = Pool(workers=2)
     pool.submit(A, task(1))
-    first = pool.step()[0]
-    pool.crash(first.worker_id)
+    previous_owner = pool.step()[0]
+    pool.crash(previous_owner.worker_id)
     pool.keep_progress()
     suspect = pool.step(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
@@ -110,30 +110,30 @@
 
 
 def test_the_count_outlasts_the_owner():
-    first = Pool()
-    first.submit(A, task(1))
-    assert crashes_under(first, CRASHING, most=2) == 2
+    previous_owner = Pool()
+    previous_owner.submit(A, task(1))
+    assert crashes_under(previous_owner, CRASHING, most=2) == 2
     next_owner = Pool(epoch=9)
-    next_owner.spec_by_id = first.spec_by_id
-    kept = first.scheduler.job_by_id[A]
+    next_owner.spec_by_id = previous_owner.spec_by_id
+    kept = previous_owner.scheduler.job_by_id[A]
     next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
     assert crashes_under(next_owner, CRASHING) == 1
     assert phase(next_owner) == 'failed'
 
 
 def test_the_next_owner_gives_up_what_the_one_before_had_no_time_to():
-    first = Pool()
-    first.submit(A, task(1, work_s=8.0))
+    previous_owner = Pool()
+    previous_owner.submit(A, task(1, work_s=8.0))
     for _ in range(3):
-        (start,) = starts_of(first.step(0.5), CRASHING)
-        first.now_s += 2.0
-        first.survey(start.worker_id)
-        first.crash(start.worker_id)
-        first.keep_progress()
-    assert phase(first) == 'running'
+        (start,) = starts_of(previous_owner.step(0.5), CRASHING)
+        previous_owner.now_s += 2.0
+        previous_owner.survey(start.worker_id)
+        previous_owner.crash(start.worker_id)
+        previous_owner.keep_progress()
+    assert phase(previous_owner) == 'running'
     next_owner = Pool(epoch=9)
-    next_owner.spec_by_id = first.spec_by_id
-    kept = first.scheduler.job_by_id[A]
+    next_owner.spec_by_id = previous_owner.spec_by_id
+    kept = previous_owner.scheduler.job_by_id[A]
     next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
     assert not next_owner.step(0.1)
     assert phase(next_owner) == 'failed'
