--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -27,7 +27,7 @@
     return [effect for effect in effects if isinstance(effect, StartRun) and effect.key == key]
 
 
-def crashes_under(pool, key, most=12, ran_s=0.0):
+def crash_on_each_start(pool, key, most=12, ran_s=0.0):
     """Let each worker crash that starts a task; return how many did."""
     crashed = 0
     for _ in range(most):
@@ -49,7 +49,7 @@
 def test_a_task_that_crashes_each_worker_that_starts_it_is_given_up():
     pool = Pool()
     pool.submit(A, task(1))
-    assert crashes_under(pool, TaskKey(A, 0, 0, 0)) == 3
+    assert crash_on_each_start(pool, TaskKey(A, 0, 0, 0)) == 3
     assert pool.scheduler.job_by_id[A].phase == 'failed'
 
 
@@ -61,7 +61,7 @@
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
     pool.submit(A, task(1, work_s=8.0), queue=queue)
-    assert crashes_under(pool, CRASHING, most=160, ran_s=ran_s) <= MAX_STARTS
+    assert crash_on_each_start(pool, CRASHING, most=160, ran_s=ran_s) <= MAX_STARTS
     assert phase(pool) == 'failed'
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
@@ -112,12 +112,12 @@
 def test_the_count_outlasts_the_owner():
     previous_owner = Pool()
     previous_owner.submit(A, task(1))
-    assert crashes_under(previous_owner, CRASHING, most=2) == 2
+    assert crash_on_each_start(previous_owner, CRASHING, most=2) == 2
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
     kept = previous_owner.scheduler.job_by_id[A]
     next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
-    assert crashes_under(next_owner, CRASHING) == 1
+    assert crash_on_each_start(next_owner, CRASHING) == 1
     assert phase(next_owner) == 'failed'
 
 
@@ -212,14 +212,14 @@
 def test_a_task_that_lasts_is_not_given_up_for_the_deaths_that_it_sees_while_it_runs():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crashes_under(pool, CRASHING, ran_s=60.0) == 12
+    assert crash_on_each_start(pool, CRASHING, ran_s=60.0) == 12
     assert phase(pool) == 'running'
 
 
 def test_a_task_that_lasts_is_given_up_when_it_crashes_workers_as_it_starts():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crashes_under(pool, CRASHING) == 3
+    assert crash_on_each_start(pool, CRASHING) == 3
     assert phase(pool) == 'failed'
 
 
