--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -160,7 +160,7 @@
     assert pool.step(0.1)
 
 
-def fall_silent(pool, worker_id):
+def lose_contact(pool, worker_id):
     """Let a worker be out of touch until its lease has ended."""
     worker = pool.scheduler.worker_by_id[worker_id]
     worker.lease.assume_until(pool.now_s + 5.0)
@@ -179,7 +179,7 @@
     pool.step(0.1)
     for _ in range(6):
         worker_id, _ = next(iter(pool.running))
-        fall_silent(pool, worker_id)
+        lose_contact(pool, worker_id)
         pool.silent.discard(worker_id)
         pool.add_worker(worker_id, 'r0')
         pool.scheduler.worker_over(worker_id, pool.now)
@@ -192,7 +192,7 @@
     pool.submit(A, task(1))
     pool.step(0.1)
     worker_id, _ = next(iter(pool.running))
-    fall_silent(pool, worker_id)
+    lose_contact(pool, worker_id)
     step = pool.scheduler.job_by_id[A].step_by_key[0, 0]
     assert not step.crashes_by_index
     pool.scheduler.worker_over(worker_id, pool.now)
