--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -223,7 +223,7 @@
     assert phase(pool) == 'failed'
 
 
-def play_crashes(seed, share=0.0, wave=0.0):
+def simulate_crashes(seed, share=0.0, wave=0.0):
     """Play a minute with crashing tasks, and workers that die by themselves; return their starts and who failed.
 
     A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
@@ -264,7 +264,7 @@
 
 @pytest.mark.parametrize('seed', range(12))
 def test_no_unrelated_job_is_given_up_beside_crashing_ones(seed):
-    most, unrelated, _ = play_crashes(seed)
+    most, unrelated, _ = simulate_crashes(seed)
     assert most <= MAX_STARTS
     assert not unrelated
 
@@ -273,7 +273,7 @@
     """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
     given_up = jobs = 0
     for seed in range(100, 115):
-        most, unrelated, all_jobs = play_crashes(seed, share=0.2)
+        most, unrelated, all_jobs = simulate_crashes(seed, share=0.2)
         assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
@@ -288,7 +288,7 @@
     """
     given_up = jobs = 0
     for seed in range(200, 215):
-        most, unrelated, all_jobs = play_crashes(seed, wave=0.33)
+        most, unrelated, all_jobs = simulate_crashes(seed, wave=0.33)
         assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
