--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -223,7 +223,7 @@
     assert phase(pool) == 'failed'
 
 
-def simulate_crashes(seed, share=0.0, wave=0.0):
+def simulate_crashes(seed, crash_share=0.0, wave=0.0):
     """Play a minute with crashing tasks, and workers that die by themselves; return their starts and who failed.
 
     A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
@@ -243,7 +243,7 @@
         for effect in started:
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
         dead = {effect.worker_id for effect in started if effect.key in crashing}
-        dead |= {worker_id for worker_id in pool.profiles if rng.random() < share / 40.0}
+        dead |= {worker_id for worker_id in pool.profiles if rng.random() < crash_share / 40.0}
         if wave and tick % 16 == 15:
             dead |= set(rng.sample(sorted(pool.profiles), int(wave * len(pool.profiles))))
         for worker_id in sorted(dead):
@@ -273,7 +273,7 @@
     """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
     given_up = jobs = 0
     for seed in range(100, 115):
-        most, unrelated, all_jobs = simulate_crashes(seed, share=0.2)
+        most, unrelated, all_jobs = simulate_crashes(seed, crash_share=0.2)
         assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
