--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -223,7 +223,7 @@
     assert phase(pool) == 'failed'
 
 
-def simulate_crashes(seed, crash_share=0.0, wave=0.0):
+def simulate_crashes(seed, crash_share=0.0, mass_crash_share=0.0):
     """Play a minute with crashing tasks, and workers that die by themselves; return their starts and who failed.
 
     A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
@@ -244,8 +244,8 @@
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
         dead = {effect.worker_id for effect in started if effect.key in crashing}
         dead |= {worker_id for worker_id in pool.profiles if rng.random() < crash_share / 40.0}
-        if wave and tick % 16 == 15:
-            dead |= set(rng.sample(sorted(pool.profiles), int(wave * len(pool.profiles))))
+        if mass_crash_share and tick % 16 == 15:
+            dead |= set(rng.sample(sorted(pool.profiles), int(mass_crash_share * len(pool.profiles))))
         for worker_id in sorted(dead):
             pool.crash(worker_id)
         for worker_id in sorted(pool.profiles):
@@ -288,7 +288,7 @@
     """
     given_up = jobs = 0
     for seed in range(200, 215):
-        most, unrelated, all_jobs = simulate_crashes(seed, wave=0.33)
+        most, unrelated, all_jobs = simulate_crashes(seed, mass_crash_share=0.33)
         assert most <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
