--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -242,11 +242,11 @@
         started = [effect for effect in pool.step(0.25) if isinstance(effect, StartRun)]
         for effect in started:
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
-        dead = {effect.worker_id for effect in started if effect.key in crashing}
-        dead |= {worker_id for worker_id in pool.profiles if rng.random() < crash_share / 40.0}
+        crashed_workers = {effect.worker_id for effect in started if effect.key in crashing}
+        crashed_workers |= {worker_id for worker_id in pool.profiles if rng.random() < crash_share / 40.0}
         if mass_crash_share and tick % 16 == 15:
-            dead |= set(rng.sample(sorted(pool.profiles), int(mass_crash_share * len(pool.profiles))))
-        for worker_id in sorted(dead):
+            crashed_workers |= set(rng.sample(sorted(pool.profiles), int(mass_crash_share * len(pool.profiles))))
+        for worker_id in sorted(crashed_workers):
             pool.crash(worker_id)
         for worker_id in sorted(pool.profiles):
             pool.survey(worker_id)
