--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -18,7 +18,7 @@
 from .pool import PATIENT, Pool, task, URGENT
 
 A, B = 'a' * 16, 'b' * 16
-CRASHING = TaskKey(A, 0, 0, 0)
+CRASHING_TASK = TaskKey(A, 0, 0, 0)
 # Starts of a task that crashes workers which its users bear: three that tell, two more.
 MAX_STARTS = 5
 
@@ -61,7 +61,7 @@
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
     pool.submit(A, task(1, work_s=8.0), queue=queue)
-    assert crash_on_each_start(pool, CRASHING, most=160, ran_s=ran_s) <= MAX_STARTS
+    assert crash_on_each_start(pool, CRASHING_TASK, most=160, ran_s=ran_s) <= MAX_STARTS
     assert phase(pool) == 'failed'
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
@@ -86,9 +86,9 @@
     for job_id in ('c' * 16, 'd' * 16):
         pool.submit(job_id, task(1, accelerators=7, work_s=60.0))
     pool.submit(A, task(1))
-    pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING))
+    pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING_TASK))
     pool.keep_progress()
-    waited = [bool(starts_of(pool.step(0.5), CRASHING)) for _ in range(6)]
+    waited = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
     assert any(waited)
 
 
@@ -112,12 +112,12 @@
 def test_the_count_outlasts_the_owner():
     previous_owner = Pool()
     previous_owner.submit(A, task(1))
-    assert crash_on_each_start(previous_owner, CRASHING, most=2) == 2
+    assert crash_on_each_start(previous_owner, CRASHING_TASK, most=2) == 2
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
     kept = previous_owner.scheduler.job_by_id[A]
     next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
-    assert crash_on_each_start(next_owner, CRASHING) == 1
+    assert crash_on_each_start(next_owner, CRASHING_TASK) == 1
     assert phase(next_owner) == 'failed'
 
 
@@ -125,7 +125,7 @@
     previous_owner = Pool()
     previous_owner.submit(A, task(1, work_s=8.0))
     for _ in range(3):
-        (start,) = starts_of(previous_owner.step(0.5), CRASHING)
+        (start,) = starts_of(previous_owner.step(0.5), CRASHING_TASK)
         previous_owner.now_s += 2.0
         previous_owner.survey(start.worker_id)
         previous_owner.crash(start.worker_id)
@@ -203,7 +203,7 @@
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=20.0))
     for _ in range(6):
-        worker_id = starts_of(pool.step(0.1), CRASHING)[0].worker_id
+        worker_id = starts_of(pool.step(0.1), CRASHING_TASK)[0].worker_id
         pool.add_worker(worker_id, 'r0', draining=True, leaves_in_s=1.0)
         pool.crash(worker_id)
     assert not pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
@@ -212,14 +212,14 @@
 def test_a_task_that_lasts_is_not_given_up_for_the_deaths_that_it_sees_while_it_runs():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crash_on_each_start(pool, CRASHING, ran_s=60.0) == 12
+    assert crash_on_each_start(pool, CRASHING_TASK, ran_s=60.0) == 12
     assert phase(pool) == 'running'
 
 
 def test_a_task_that_lasts_is_given_up_when_it_crashes_workers_as_it_starts():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crash_on_each_start(pool, CRASHING) == 3
+    assert crash_on_each_start(pool, CRASHING_TASK) == 3
     assert phase(pool) == 'failed'
 
 
@@ -316,7 +316,7 @@
     pool.submit(A, task(1, work_s=30.0))
     starts = 0
     for _ in range(12):
-        for effect in starts_of(pool.step(0.5), CRASHING):
+        for effect in starts_of(pool.step(0.5), CRASHING_TASK):
             starts += 1
             pool.now_s += 3.0
             pool.survey(effect.worker_id)
