--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -115,8 +115,8 @@
     assert crash_on_each_start(previous_owner, CRASHING_TASK, most=2) == 2
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
-    kept = previous_owner.scheduler.job_by_id[A]
-    next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
+    job = previous_owner.scheduler.job_by_id[A]
+    next_owner.scheduler.add_job(job.spec, job.queue, next_owner.now, progress=job.progress())
     assert crash_on_each_start(next_owner, CRASHING_TASK) == 1
     assert phase(next_owner) == 'failed'
 
@@ -133,8 +133,8 @@
     assert phase(previous_owner) == 'running'
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
-    kept = previous_owner.scheduler.job_by_id[A]
-    next_owner.scheduler.add_job(kept.spec, kept.queue, next_owner.now, progress=kept.progress())
+    job = previous_owner.scheduler.job_by_id[A]
+    next_owner.scheduler.add_job(job.spec, job.queue, next_owner.now, progress=job.progress())
     assert not next_owner.step(0.1)
     assert phase(next_owner) == 'failed'
 
