--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -88,8 +88,8 @@
     pool.submit(A, task(1))
     pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING_TASK))
     pool.keep_progress()
-    waited = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
-    assert any(waited)
+    has_started = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
+    assert any(has_started)
 
 
 def test_a_gang_is_given_up_for_the_member_that_crashes_its_workers():
