--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -69,8 +69,8 @@
 def test_a_suspect_runs_on_a_worker_of_its_own_until_it_has_outlived_the_suspicion():
     pool = Pool(workers=2)
     pool.submit(A, task(1))
-    previous_owner = pool.step()[0]
-    pool.crash(previous_owner.worker_id)
+    first_start = pool.step()[0]
+    pool.crash(first_start.worker_id)
     pool.keep_progress()
     suspect = pool.step(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
