--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -27,10 +27,10 @@
     return [effect for effect in effects if isinstance(effect, StartRun) and effect.key == key]
 
 
-def crash_on_each_start(pool, key, most=12, ran_s=0.0):
+def crash_on_each_start(pool, key, max_rounds=12, ran_s=0.0):
     """Let each worker crash that starts a task; return how many did."""
     crashed = 0
-    for _ in range(most):
+    for _ in range(max_rounds):
         for effect in starts_of(pool.step(0.5), key):
             pool.now_s += ran_s
             pool.survey(effect.worker_id)
@@ -61,7 +61,7 @@
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
     pool.submit(A, task(1, work_s=8.0), queue=queue)
-    assert crash_on_each_start(pool, CRASHING_TASK, most=160, ran_s=ran_s) <= MAX_STARTS
+    assert crash_on_each_start(pool, CRASHING_TASK, max_rounds=160, ran_s=ran_s) <= MAX_STARTS
     assert phase(pool) == 'failed'
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
@@ -112,7 +112,7 @@
 def test_the_count_outlasts_the_owner():
     previous_owner = Pool()
     previous_owner.submit(A, task(1))
-    assert crash_on_each_start(previous_owner, CRASHING_TASK, most=2) == 2
+    assert crash_on_each_start(previous_owner, CRASHING_TASK, max_rounds=2) == 2
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
     job = previous_owner.scheduler.job_by_id[A]
@@ -258,14 +258,14 @@
         pool.finish_stops()
         pool.keep_progress()
     failed = {job_id for job_id in pool.spec_by_id if phase(pool, job_id) == 'failed'}
-    most = max((starts_by_key.get(key, 0) for key in crashing), default=0)
-    return most, failed - {key.job_id for key in crashing}, len(pool.spec_by_id)
+    max_starts = max((starts_by_key.get(key, 0) for key in crashing), default=0)
+    return max_starts, failed - {key.job_id for key in crashing}, len(pool.spec_by_id)
 
 
 @pytest.mark.parametrize('seed', range(12))
 def test_no_unrelated_job_is_given_up_beside_crashing_ones(seed):
-    most, unrelated, _ = simulate_crashes(seed)
-    assert most <= MAX_STARTS
+    max_starts, unrelated, _ = simulate_crashes(seed)
+    assert max_starts <= MAX_STARTS
     assert not unrelated
 
 
@@ -273,8 +273,8 @@
     """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
     given_up = jobs = 0
     for seed in range(100, 115):
-        most, unrelated, all_jobs = simulate_crashes(seed, crash_share=0.2)
-        assert most <= MAX_STARTS
+        max_starts, unrelated, all_jobs = simulate_crashes(seed, crash_share=0.2)
+        assert max_starts <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
@@ -288,8 +288,8 @@
     """
     given_up = jobs = 0
     for seed in range(200, 215):
-        most, unrelated, all_jobs = simulate_crashes(seed, mass_crash_share=0.33)
-        assert most <= MAX_STARTS
+        max_starts, unrelated, all_jobs = simulate_crashes(seed, mass_crash_share=0.33)
+        assert max_starts <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
