--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -74,8 +74,8 @@
     pool.keep_progress()
     suspect = pool.step(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
-    beside = {effect.worker_id for effect in pool.step(0.1)}
-    assert suspect.worker_id not in beside
+    other_workers = {effect.worker_id for effect in pool.step(0.1)}
+    assert suspect.worker_id not in other_workers
     pool.now_s += 1.5
     pool.survey(suspect.worker_id)
     assert {effect.worker_id for effect in pool.step(0.1)} == {suspect.worker_id}
