--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -89,28 +89,28 @@
         if self.is_store_available:
             super().acknowledge(worker)
 
-    def send(self, start, fate):
-        self.held_starts.append((start, fate))
+    def send(self, start, delivery):
+        self.held_starts.append((start, delivery))
         if self.is_store_available:
             self.send_held_starts()
 
     def send_held_starts(self):
         """Send the starts that were held, unless they are not wanted any more."""
         held_starts, self.held_starts = self.held_starts, []
-        for start, fate in held_starts:
+        for start, delivery in held_starts:
             if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
-                self.send_saved(start, fate)
+                self.send_saved(start, delivery)
 
     def percent_of(self, key):
         return min(99.0, 100.0 * (self.now_s - self.started_s_by_key.get(key, self.now_s)) / WORK_S)
 
-    def send_saved(self, start, fate):
+    def send_saved(self, start, delivery):
         if start.worker_id not in self.workers:
             # It has crashed, and the call fails.
             self.refuse(start)
             return
         self.started_s_by_key[start.key] = self.now_s
-        super().send(start, fate)
+        super().send(start, delivery)
         self.crash_if_due(start.worker_id)
 
     def refuse(self, start):
@@ -121,7 +121,7 @@
         for start, _ in self.held_starts:
             if start.worker_id == worker_id:
                 self.refuse(start)
-        self.held_starts = [(start, fate) for start, fate in self.held_starts if start.worker_id != worker_id]
+        self.held_starts = [(start, delivery) for start, delivery in self.held_starts if start.worker_id != worker_id]
 
     def crash_if_due(self, worker_id):
         if self.workers[worker_id].is_crash_due:
