--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -109,7 +109,7 @@
     assert set(counted) == {3}
 
 
-def test_the_count_outlasts_the_owner():
+def test_crash_counts_persist_across_owners():
     previous_owner = Pool()
     previous_owner.submit(A, task(1))
     assert crash_on_each_start(previous_owner, CRASHING_TASK, max_rounds=2) == 2
