--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -121,7 +121,7 @@
     assert phase(next_owner) == 'failed'
 
 
-def test_the_next_owner_gives_up_what_the_one_before_had_no_time_to():
+def test_the_next_owner_gives_up_a_task_over_the_crash_limit():
     previous_owner = Pool()
     previous_owner.submit(A, task(1, work_s=8.0))
     for _ in range(3):
