--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -139,7 +139,7 @@
     assert phase(next_owner) == 'failed'
 
 
-def test_a_suspect_starts_again_only_once_its_crashes_are_kept():
+def test_a_suspect_starts_again_only_once_its_crashes_are_saved():
     """A next owner would know of none: with the store refusing, three owners in turn started a task six times."""
     pool = Pool()
     pool.submit(A, task(1))
