--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -150,7 +150,7 @@
     assert pool.step(0.1)
 
 
-def test_a_task_that_is_no_suspect_does_not_wait_for_the_store():
+def test_a_task_that_is_not_a_suspect_does_not_wait_for_the_store():
     pool = Pool()
     pool.submit(A, task(1))
     worker_id = pool.step(0.1)[0].worker_id
