--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -173,7 +173,7 @@
     pool.step(6.0)
 
 
-def test_a_worker_that_was_only_out_of_touch_counts_against_no_task():
+def test_a_worker_that_was_only_unreachable_counts_against_no_task():
     pool = Pool(workers=12)
     pool.submit(A, task(1))
     pool.step(0.1)
