--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -199,7 +199,7 @@
     assert [crash.worker_id for crash in step.crashes_by_index[0]] == [worker_id]
 
 
-def test_a_worker_that_leaves_as_it_said_counts_against_no_task():
+def test_a_worker_that_leaves_as_announced_counts_against_no_task():
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=20.0))
     for _ in range(6):
