--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -209,7 +209,7 @@
     assert not pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
 
 
-def test_a_task_that_lasts_is_not_given_up_for_the_deaths_that_it_sees_while_it_runs():
+def test_a_lasting_task_is_not_given_up_for_worker_crashes_during_its_run():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
     assert crash_on_each_start(pool, CRASHING_TASK, ran_s=60.0) == 12
