--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -216,7 +216,7 @@
     assert phase(pool) == 'running'
 
 
-def test_a_task_that_lasts_is_given_up_when_it_crashes_workers_as_it_starts():
+def test_a_lasting_task_is_given_up_if_it_crashes_workers_at_its_start():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
     assert crash_on_each_start(pool, CRASHING_TASK) == 3
