--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -269,7 +269,7 @@
     assert not unrelated
 
 
-def test_few_unrelated_jobs_are_given_up_where_workers_also_die_by_themselves():
+def test_few_unrelated_jobs_are_given_up_where_workers_also_crash_on_their_own():
     """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
     given_up = jobs = 0
     for seed in range(100, 115):
