--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize('ran_s', [0.0, 0.4, 2.5, 6.0])
 @pytest.mark.parametrize('queue', [URGENT, PATIENT])
-def test_it_is_given_up_however_long_it_ran_and_its_neighbours_are_not(ran_s, queue):
+def test_a_crashing_task_is_given_up_regardless_of_run_time_and_unrelated_tasks_are_not(ran_s, queue):
     """Seven tasks of other jobs fit beside it on each worker."""
     pool = Pool(workers=4)
     for number in range(28):
