--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -81,7 +81,7 @@
     assert {effect.worker_id for effect in pool.step(0.1)} == {suspect.worker_id}
 
 
-def test_a_suspect_does_not_wait_for_ever_for_a_worker_of_its_own():
+def test_a_suspect_does_not_wait_forever_for_an_empty_worker():
     pool = Pool(workers=2)
     for job_id in ('c' * 16, 'd' * 16):
         pool.submit(job_id, task(1, accelerators=7, work_s=60.0))
