--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -66,7 +66,7 @@
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
 
-def test_a_suspect_runs_on_a_worker_of_its_own_until_it_has_outlived_the_suspicion():
+def test_a_suspect_runs_isolated_until_it_has_outlasted_its_earlier_runs():
     pool = Pool(workers=2)
     pool.submit(A, task(1))
     first_start = pool.step()[0]
