--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -90,7 +90,7 @@
     assert [crash.run for crash in crashes.get(0, ())] == [start.run] * is_over
 
 
-def test_what_ended_or_was_never_sent_is_taken_back():
+def test_the_assignment_of_an_ended_run_is_removed():
     owners = StoreBackedOwners(1)
     owners.submit(A, [task()])
     (start,) = owners.decide()
