--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -113,7 +113,7 @@
     assert owners.scheduler.assignments.take_unsaved() == {part_of(starts[0].key)}
 
 
-def test_a_list_that_the_owner_before_waited_for_is_waited_for():
+def test_a_run_list_that_the_previous_owner_awaited_is_still_awaited():
     owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
