--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -101,7 +101,7 @@
     assert not owners.assigned_runs(A)
 
 
-def test_a_start_in_a_wide_step_does_not_have_all_its_assignments_kept_anew():
+def test_one_change_in_a_large_step_does_not_save_all_its_assignments_again():
     owners = StoreBackedOwners(100)
     owners.submit(A, [task(700)])
     starts = owners.decide()
