--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -140,7 +140,7 @@
     assert [each.key for each in owners.decide()] == [TaskKey(A, 0, 0, 0)]
 
 
-class Owners(RuleBasedStateMachine):
+class TakeoverHistories(RuleBasedStateMachine):
     """Random jobs, silences, late orders, ends and changes of the owner at any step."""
 
     def __init__(self):
@@ -216,5 +216,5 @@
         assert not [key for _, key in self.owners.running() if key in self.owners.recorded_successes]
 
 
-Owners.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
-TestOwners = Owners.TestCase
+TakeoverHistories.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
+TestOwners = TakeoverHistories.TestCase
