--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -217,4 +217,4 @@
 
 
 TakeoverHistories.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
-TestOwners = TakeoverHistories.TestCase
+TestTakeoverHistories = TakeoverHistories.TestCase
