--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize('seed', range(60))
-def test_crashes_under_owners_in_turn_are_counted_where_tasks_were(seed):
+def test_crashes_under_successive_owners_count_where_tasks_ran(seed):
     rng = random.Random(seed)
     machine = Crashes()
     for _ in range(MAX_STEPS):
