--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -167,7 +167,7 @@
         return [job_id for job_id, job in self.scheduler.job_by_id.items() if job.phase == 'failed']
 
 
-class Crashes(RuleBasedStateMachine):
+class CrashHistories(RuleBasedStateMachine):
     """Tasks that crash workers, workers that crash by themselves, owners that end and a store that is away."""
 
     def __init__(self):
@@ -271,8 +271,8 @@
         assert not [key for key, count in Counter(key for _, key in self.owners.running()).items() if count > 1]
 
 
-Crashes.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None)
-TestCrashes = Crashes.TestCase
+CrashHistories.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None)
+TestCrashes = CrashHistories.TestCase
 
 
 def apply_random_rule(machine, rng):
@@ -300,7 +300,7 @@
 @pytest.mark.parametrize('seed', range(60))
 def test_crashes_under_successive_owners_count_where_tasks_ran(seed):
     rng = random.Random(seed)
-    machine = Crashes()
+    machine = CrashHistories()
     for _ in range(MAX_STEPS):
         apply_random_rule(machine, rng)
         machine.no_crashing_task_exceeds_the_start_limit()
