--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -272,7 +272,7 @@
 
 
 CrashHistories.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None)
-TestCrashes = CrashHistories.TestCase
+TestCrashHistories = CrashHistories.TestCase
 
 
 def apply_random_rule(machine, rng):
