--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -1,8 +1,8 @@
-"""Workers that carry starts out late, under owners that come and go.
+"""Workers that may execute start orders late, under successive owners.
 
-They keep what the platform says of them: no run that is not above one stopped
-or ended there, nothing for an older owner. Orders of a dead owner that have
-arrived may still be carried out after its successor's, the hardest reading.
+The workers follow the platform's rules: a worker starts a run only if its number is higher than those of all runs of
+the task that were stopped or ended there, and accepts no orders of a previous owner. Orders that it accepted before the
+previous owner ended may still be executed after those of the next owner: this is the worst case under these rules.
 """
 
 from typing import NamedTuple
@@ -13,12 +13,12 @@
 
 from .pool import START_S, WALL_S, WORKER
 
-# Longer than any lease that a previous owner can have given, in seconds.
+# Upper bound of the leases that a previous owner can have granted, in seconds.
 LONGEST_LEASE_S = 10.3
 
 
 class Order(NamedTuple):
-    """An order about one run."""
+    """A start or stop order for one run."""
 
     worker_id: str
     key: TaskKey
@@ -26,7 +26,7 @@
 
 
 class FakeWorker:
-    """One incarnation of a worker: what runs, and what it has seen of each task."""
+    """One incarnation of a worker: its runs, their unreported ends and the highest run number seen of each task."""
 
     def __init__(self, worker_id):
         self.worker_id = worker_id
@@ -36,14 +36,14 @@
         self.is_silent = False
 
     def start(self, order):
-        """Carry a start out, at once or late."""
+        """Execute a start order, unless its run number is outdated."""
         if order.run <= self.highest_run_by_key.get(order.key, 0):
             return
         self.highest_run_by_key[order.key] = order.run
         self.run_by_key[order.key] = order.run
 
     def stop(self, order):
-        """Stop a run, or refuse it for good if it is not there yet."""
+        """Stop a run; if it has not started yet, its start will be refused."""
         self.highest_run_by_key[order.key] = max(order.run, self.highest_run_by_key.get(order.key, 0))
         if self.run_by_key.get(order.key) == order.run:
             self.end(order.key, EndKind.STOPPED)
@@ -54,7 +54,7 @@
 
 
 class Succession:
-    """Owners in turn over the same workers; the store keeps jobs and cancellations."""
+    """Successive owners of the same workers; the store holds jobs and cancellations, but no assignments or progress."""
 
     def __init__(self, workers):
         self.now_s = START_S
@@ -62,9 +62,9 @@
         self.worker_by_id = {f'w{number}': FakeWorker(f'w{number}') for number in range(workers)}
         self.job_by_id = {}
         self.cancelled = set()
-        # Starts that got no answer and are not carried out yet.
+        # Unacknowledged start orders that are not executed yet.
         self.late = []
-        # Stops that the present owner has ordered and that are not acknowledged.
+        # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
         self.stops = []
         self.scheduler = None
         self.take_over(unreported=(), unlisted=())
@@ -74,7 +74,10 @@
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
     def take_over(self, unreported, unlisted):
-        """Let another owner read the store and ask the workers that it finds."""
+        """Let a new owner read the store and survey the workers.
+
+        Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
+        """
         self.epoch += 3
         self.stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
@@ -113,12 +116,12 @@
         self.scheduler.cancel(job_id, self.now)
 
     def remove(self, job_id):
-        """Remove a cancelled job's record, as is done long after its end."""
+        """Remove a cancelled job's record, as owners do some time after the end of a job."""
         del self.job_by_id[job_id]
         self.scheduler.forget_job(job_id)
 
     def decide(self, seconds, is_answered, is_late):
-        """Let time pass, decide and give the orders."""
+        """Advance the clock, run a scheduling pass and send its orders."""
         self.now_s += seconds
         for effect in self.scheduler.decide(self.now):
             order = Order(effect.worker_id, effect.key, effect.run)
@@ -136,7 +139,7 @@
         if is_answered and not is_late:
             self.scheduler.run_started(*order, self.now)
         else:
-            # The owner takes back what stays unacknowledged.
+            # An owner stops the runs whose starts stay unacknowledged.
             self.stops.append(order)
 
     def carry_out_late(self, order):
@@ -144,7 +147,7 @@
         self.worker_by_id[order.worker_id].start(order)
 
     def deliver_stop(self, order, is_answered):
-        """Carry a stop out; one without an answer is ordered again."""
+        """Execute a stop order; it stays pending if the answer is lost, and a silent worker does not receive it."""
         worker = self.worker_by_id[order.worker_id]
         if worker.is_silent:
             return
@@ -157,7 +160,7 @@
             self.scheduler.run_ended(RunEnd(*order, EndKind.STOPPED), self.now)
 
     def survey(self, worker_id):
-        """Take in a worker's ends and what it runs."""
+        """Report the ends and the current runs of a worker to the owner."""
         worker = self.worker_by_id[worker_id]
         worker.is_silent = False
         ends, worker.ends = worker.ends, []
@@ -167,7 +170,7 @@
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def end(self, order, kind):
-        """End a run at its worker, and with it the rest of its gang."""
+        """End a run on its worker, together with the other members of its gang."""
         self.worker_by_id[order.worker_id].end(order.key, kind)
         spec, _ = self.job_by_id.get(order.key.job_id, (None, None))
         if spec is None or not spec.steps[order.key.step].gang:
@@ -178,7 +181,7 @@
                 self.worker_by_id[each.worker_id].end(each.key, others)
 
     def running(self):
-        """Return what runs on any worker."""
+        """Return the runs on all workers."""
         return [
             Order(worker.worker_id, key, run)
             for worker in self.worker_by_id.values()
@@ -186,7 +189,7 @@
         ]
 
     def unwanted(self):
-        """Return the runs of jobs that are cancelled, have ended or are not known."""
+        """Return the runs whose jobs are unknown to the owner or have ended, by cancellation or otherwise."""
         return [order for order in self.running() if self._is_unwanted(order.key.job_id)]
 
     def _is_unwanted(self, job_id):
