--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -1,4 +1,4 @@
-"""A pool of obedient workers in memory, which checks every order that it gets."""
+"""An in-memory pool of workers that execute every order at once and check that it is valid."""
 
 from collections import defaultdict
 
@@ -17,12 +17,12 @@
 
 
 class Pool:
-    """A scheduler and the workers that it orders about.
+    """A scheduler and its workers.
 
     Parameters
     ----------
     workers : int
-        Number of workers, eight to a rack.
+        Number of workers; each rack holds eight of them.
     """
 
     def __init__(self, workers=8, epoch=7, settings=None):
@@ -59,7 +59,7 @@
         return self.scheduler.add_job(spec, queue, self.now)
 
     def step(self, seconds=0.0):
-        """Let time pass, decide, carry out and check what was decided."""
+        """Advance the clock, run a scheduling pass, and execute and check its effects."""
         self.now_s += seconds
         effects = self.scheduler.decide(self.now)
         for effect in effects:
@@ -84,7 +84,7 @@
         self.scheduler.run_ended(RunEnd(worker_id, key, run, kind, checkpoint), self.now)
 
     def end_unit(self, key, kind):
-        """End a run, and with it the rest of its gang as a worker would."""
+        """End a run and, as workers do, the other members of its gang."""
         worker_id, run = next((worker, run) for (worker, each), run in self.running.items() if each == key)
         step = self.spec_by_id[key.job_id].steps[key.step]
         self.end(worker_id, key, run, kind)
@@ -108,12 +108,12 @@
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def keep_progress(self):
-        """Keep what must outlast the owner, as its recorder does."""
+        """Mark changed progress as saved to the store, as the recorder of an owner does."""
         for job_id in self.scheduler.take_dirty_jobs():
             self.scheduler.mark_saved(job_id)
 
     def crash(self, worker_id):
-        """Let a worker die with all that runs there, and come back as another incarnation."""
+        """Crash a worker, which loses its runs and comes back as another incarnation."""
         for running_on, key in sorted(self.running):
             if running_on == worker_id:
                 run = self.running.pop((running_on, key))
@@ -130,21 +130,23 @@
 
     def _start(self, effect):
         key = effect.key
-        assert effect.worker_id not in self.silent, 'a start on a silent worker'
-        assert all(each != key for _, each in self.running), f'two runs of {key}'
-        assert key not in self.done, f'{key} has succeeded'
+        assert effect.worker_id not in self.silent, 'start ordered on a silent worker'
+        assert all(each != key for _, each in self.running), f'start ordered while {key} is running'
+        assert key not in self.done, f'start ordered after {key} succeeded'
         step = self.spec_by_id[key.job_id].steps[key.step]
         for earlier in step.after:
             for index in range(self.spec_by_id[key.job_id].steps[earlier].task_count):
-                assert key._replace(step=earlier, task_index=index) in self.done, 'a step began too early'
+                assert key._replace(step=earlier, task_index=index) in self.done, (
+                    'start ordered before an earlier step was done'
+                )
         queue = self.scheduler.job_by_id[key.job_id].queue
         attempts = self._attempts(key, step)
-        assert attempts < queue.max_attempts, 'a start beyond the attempts'
+        assert attempts < queue.max_attempts, 'start ordered beyond the maximum number of attempts'
         if step.label:
             assert step.label in self.profiles[effect.worker_id].labels
         self.running[effect.worker_id, key] = effect.run
         self.starts.append(effect)
-        assert self.profiles[effect.worker_id].capacity.covers(self.used(effect.worker_id)), 'over capacity'
+        assert self.profiles[effect.worker_id].capacity.covers(self.used(effect.worker_id)), 'worker over capacity'
         if step.max_per_worker:
             same = [1 for worker, each in self.running if worker == effect.worker_id and each[:3] == key[:3]]
             assert len(same) <= step.max_per_worker
@@ -159,18 +161,18 @@
         return len(runs)
 
     def _check_gangs(self):
-        """All of a gang was ordered under one run number, or none of it."""
+        """Check that the members of a gang were all ordered under one run number, or none of them."""
         ordered = defaultdict(set)
         for effect in self.starts:
             step = self.spec_by_id[effect.key.job_id].steps[effect.key.step]
             if step.gang:
                 ordered[effect.key[:3], effect.run].add(effect.key.task_index)
         for (unit, _), indices in ordered.items():
-            assert len(indices) == self.spec_by_id[unit[0]].steps[unit[2]].task_count, 'a partial gang'
+            assert len(indices) == self.spec_by_id[unit[0]].steps[unit[2]].task_count, 'start of a partial gang ordered'
 
 
 def task(count=1, accelerators=1, work_s=5.0, **fields):
-    """Return a step of small tasks."""
+    """Return the specification of a step of small tasks."""
     return StepSpec(count, Resources(4_000, 16_000, accelerators), work_s, **fields)
 
 
@@ -181,7 +183,7 @@
 
 
 def learn_slow_workers(pool, slow):
-    """Let tasks of one step end on every worker, later on the slow ones."""
+    """Run steps whose tasks take longer on the slow workers, so that the scheduler learns the pace of each worker."""
     for number in range(6):
         job_id = f'{number + 500:016x}'
         pool.submit(job_id, task(len(pool.profiles), accelerators=8, work_s=4.0), queue=PATIENT)
