--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -1,4 +1,4 @@
-"""Owners in turn that keep assignments and progress in a store, and the workers that they share."""
+"""Successive owners that save assignments and progress in a store, and the workers that they share."""
 
 from dahliaarch_kernel.codec import decode, encode
 from dahliaarch_kernel.scheduler import (
@@ -19,12 +19,12 @@
 from .pool import ORDINARY, START_S, WALL_S, WORKER
 
 EPOCH_SHIFT = 20
-# Lease that each survey gives, in seconds: shorter than the longest that an owner assumes.
+# Lease that each survey grants, in seconds: shorter than the upper bound that an owner assumes.
 LEASE_S = LONGEST_LEASE_S - 0.3
 
 
 class LeasedWorker(FakeWorker):
-    """A worker that refuses orders of older owners, and kills what runs when its lease ends."""
+    """A worker that refuses starts of previous owners, and whose lease ends unless it is renewed."""
 
     def __init__(self, worker_id):
         super().__init__(worker_id)
@@ -37,7 +37,7 @@
 
 
 class StoreBackedOwners:
-    """Owners in turn, each of which keeps assignments and progress before it sends orders."""
+    """Successive owners, each of which saves assignments and progress before it sends orders."""
 
     def __init__(self, workers):
         self.now_s = START_S
@@ -57,7 +57,7 @@
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
     def take_over(self):
-        """Let another owner read what is kept, and ask the workers that are not silent."""
+        """Let a new owner read the store and survey the workers that are not silent."""
         self.epoch += 3
         self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
@@ -84,7 +84,7 @@
         self.scheduler.add_job(spec, queue, self.now)
 
     def survey(self, worker_id):
-        """Let a worker answer: it renews its lease, and lists ends and what runs."""
+        """Survey a worker: renew its lease, and report its ends and its current runs to the owner."""
         worker = self.workers[worker_id]
         worker.fence = self.epoch
         worker.lease_until_s = self.now_s + LEASE_S
@@ -97,11 +97,11 @@
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def percent_of(self, key):
-        """Return how much of its work a task that runs has done."""
+        """Return the reported progress of a running task, in percent."""
         return 50.0
 
     def acknowledge(self, worker):
-        """Let a worker forget its ends, which are kept."""
+        """Acknowledge the ends of a worker, which the store holds now; the worker drops them."""
         self.recorded_successes.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
         worker.ends = []
 
@@ -117,7 +117,7 @@
         return None if value is None else decode(value, JobProgress, 'progress')
 
     def assignments_of(self, job_id):
-        """Return what is kept of a job's assignments."""
+        """Return the saved assignments of a job."""
         kept = {part: decode(value, StepAssignments, 'assignments') for part, value in self.saved_by_part.items()}
         return {part: each for part, each in kept.items() if part.job_id == job_id}
 
@@ -125,7 +125,7 @@
         return [run for each in self.assignments_of(job_id).values() for run in each.runs]
 
     def pass_time(self, seconds):
-        """Let time pass; workers that are not silent answer at least once a second."""
+        """Advance the clock; workers that are not silent are surveyed at least once a second."""
         while seconds > 1.0:
             self.pass_time(1.0)
             seconds -= 1.0
@@ -138,7 +138,11 @@
             self.survey(worker_id)
 
     def decide(self, delivery='answered'):
-        """Decide, keep that, and send the orders: answered, unanswered, carried out late, or not at all."""
+        """Run a scheduling pass, save its results and send the start orders.
+
+        With `delivery` 'answered' or 'unanswered' they are executed at once, with 'late' later and unanswered. With
+        'owner ends' the next owner takes over before any is sent.
+        """
         effects = self.scheduler.decide(self.now)
         self.save()
         if delivery == 'owner ends':
@@ -153,7 +157,7 @@
         return starts
 
     def send(self, start, delivery):
-        """Send the order of a start, whose assignment is kept."""
+        """Send a start order, whose assignment is saved already."""
         order = Order(start.worker_id, start.key, start.run)
         if delivery == 'late':
             self.delayed_starts.append(order)
