--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Steps whose workers an outside policy must consent to."""
+"""Tests of steps that start only on workers for which an outside policy has issued tickets."""
 
 from dahliaarch_kernel.configuration import AdviceTerms
 from dahliaarch_kernel.scheduler import AskAdvice, EndKind, StartRun
