--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""A new owner knows where the one before assigned each task, and waits for these workers and these tasks only."""
+"""Tests that a new owner reads the saved assignments, and holds back only tasks assigned to workers that are silent."""
 
 from collections import Counter
 
@@ -18,7 +18,10 @@
 
 
 def start_then_lose_contact(count=1, **fields):
-    """Return owners of which the first has begun tasks on two workers, one of which falls silent before the second."""
+    """Start tasks under one owner, silence the worker of the first task, and let the next owner take over.
+
+    Return the owners and the starts.
+    """
     owners = StoreBackedOwners(2)
     owners.submit(A, [task(count, accelerators=8, **fields)])
     starts = owners.decide()
@@ -52,7 +55,7 @@
     (start,) = owners.decide('late')
     owners.take_over()
     assert [each.key for each in owners.decide()] == [start.key]
-    # The start of the owner before comes now.
+    # The start order of the previous owner arrives only now.
     owners.workers[start.worker_id].start(Order(start.worker_id, start.key, start.run))
     assert Counter(key for _, key in owners.running()) == {start.key: 1}
 
@@ -117,7 +120,7 @@
     owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
-    # The worker has started again, and may have begun what was sent to its earlier incarnation.
+    # The worker has restarted, and its new incarnation may execute the start that was sent to the previous one.
     successor = f'{start.worker_id}+'
     former = owners.scheduler.worker_by_id[start.worker_id].profile
     owners.scheduler.worker_replaced(start.worker_id, successor, owners.now_s + 20.0)
@@ -141,7 +144,7 @@
 
 
 class TakeoverHistories(RuleBasedStateMachine):
-    """Random jobs, silences, late orders, ends and changes of the owner at any step."""
+    """Random histories of jobs, silent workers, late starts, ends and takeovers."""
 
     def __init__(self):
         super().__init__()
