--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -1,4 +1,7 @@
-"""Owners in turn, any of which may end before it has kept, or learned of, a crash."""
+"""Random histories of worker crashes under successive owners.
+
+An owner may end before it has detected a crash, or before it has saved it.
+"""
 
 import random
 from collections import Counter
@@ -14,20 +17,20 @@
 from .pool import ORDINARY, task, URGENT, WORKER
 from .recorded_owners import LeasedWorker, StoreBackedOwners
 
-# Starts of a task that crashes workers which its users bear: three that tell, two more.
+# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
 MAX_STARTS = 5
-# Crashes under a task after which users bear that its job is shown as failed.
+# Number of crashes under a task from which users accept that its job is failed.
 MIN_CRASHES_BEFORE_FAILURE = 2
-# The same where no more is known than that the task was assigned to the workers.
+# The same, if it is only known that the task was assigned to the crashed workers, and not that it ran there.
 MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE = 5
 WORK_S = 2.0
-# Jobs and steps of one random history.
+# Number of jobs and of rules applied in one random history.
 MAX_JOBS = 4
 MAX_STEPS = 150
 
 
 class CrashingWorker(LeasedWorker):
-    """A worker that notes its starts, and whether one of them crashes it."""
+    """A worker that counts the starts of each task and records whether a started task must crash it."""
 
     def __init__(self, worker_id, crashing_job_ids, start_count_by_key):
         super().__init__(worker_id)
@@ -44,7 +47,7 @@
 
 
 class OwnersWithCrashingWorkers(StoreBackedOwners):
-    """The same owners; workers crash, and are back under other names, and the store may be away."""
+    """Successive owners whose workers crash and return as other incarnations, and whose store may be unavailable."""
 
     def __init__(self, workers):
         self.crashing_job_ids = set()
@@ -54,13 +57,13 @@
         self.started_s_by_key = {}
         self.is_store_available = True
         self.held_starts = []
-        # Incarnations that have crashed, which the owner does not know yet, with their next ones.
+        # Pairs of a crashed incarnation and its successor that the owner has not detected yet.
         self.undetected_crashes = []
         self.roster = set()
         super().__init__(workers)
 
     def take_over(self):
-        """Let another owner take over; the store is there then."""
+        """Make the store available again and let a new owner take over."""
         self.is_store_available = True
         self.held_starts = []
         self.undetected_crashes = []
@@ -95,7 +98,7 @@
             self.send_held_starts()
 
     def send_held_starts(self):
-        """Send the starts that were held, unless they are not wanted any more."""
+        """Send the held starts that are still wanted."""
         held_starts, self.held_starts = self.held_starts, []
         for start, delivery in held_starts:
             if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
@@ -106,7 +109,7 @@
 
     def send_saved(self, start, delivery):
         if start.worker_id not in self.workers:
-            # It has crashed, and the call fails.
+            # The worker has crashed, so the call fails.
             self.refuse(start)
             return
         self.started_s_by_key[start.key] = self.now_s
@@ -117,7 +120,7 @@
         self.scheduler.run_ended(RunEnd(start.worker_id, start.key, start.run, EndKind.REFUSED), self.now)
 
     def refuse_held_starts(self, worker_id):
-        """Give up the starts that are held for a worker which takes none any more."""
+        """Refuse the starts held for a worker that no longer accepts any."""
         for start, _ in self.held_starts:
             if start.worker_id == worker_id:
                 self.refuse(start)
@@ -128,7 +131,7 @@
             self.crash(worker_id)
 
     def crash(self, worker_id, *, is_seen=True):
-        """Let a worker crash; its owner may see at once that it takes no calls any more."""
+        """Crash a worker; with `is_seen`, its owner notices at once that calls to it fail."""
         if is_seen:
             self.refuse_held_starts(worker_id)
             self.scheduler.worker_silent(worker_id, self.now)
@@ -149,7 +152,7 @@
         self.undetected_crashes.append((worker_id, successor))
 
     def detect_crashes(self):
-        """Let the owner learn of crashes: the next incarnations answer."""
+        """Let the owner detect all crashes so far: the successors answer."""
         unknown, self.undetected_crashes = self.undetected_crashes, []
         for worker_id, successor in unknown:
             self.refuse_held_starts(worker_id)
@@ -157,7 +160,7 @@
             self.scheduler.update_worker(WorkerProfile(successor, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
 
     def pass_time(self, seconds):
-        # Surveys of incarnations that the owner does not know yet have to wait.
+        # Incarnations that the owner does not know yet cannot be surveyed.
         unknown = {successor for _, successor in self.undetected_crashes} - self.silent
         self.silent |= unknown
         super().pass_time(seconds)
@@ -168,7 +171,7 @@
 
 
 class CrashHistories(RuleBasedStateMachine):
-    """Tasks that crash workers, workers that crash by themselves, owners that end and a store that is away."""
+    """Random histories of tasks that crash workers, unrelated crashes, takeovers and an unavailable store."""
 
     def __init__(self):
         super().__init__()
@@ -276,7 +279,10 @@
 
 
 def apply_random_rule(machine, rng):
-    """Apply a rule of the machine with other odds: more time passes, and more ends and starts are lost with workers."""
+    """Apply a random rule of the state machine.
+
+    The weights differ from Hypothesis's draws: more time passes, and workers lose more ends and starts when they crash.
+    """
     fate = rng.choice(('answered', 'answered', 'unanswered'))
     rules = [
         lambda: machine.submit(
