--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -1,11 +1,9 @@
-"""Tasks under which workers crash.
-
-A task that crashed each worker that started it was started again for as long as
-its job lasted: fifteen workers in fifty seconds, each gone 10 ms after the start,
-and their neighbours' work with them. An end by the death of the worker counted
-against no task; only ends that a worker survives to report did. The owner's log held
-`worker_over` and then `run_ordered` for the same task in the same millisecond,
-fifteen times, and no `run_ended` between them.
+"""Tests of the crash limit, for tasks that crash their workers.
+
+A task that crashed every worker it started on was restarted without limit: it crashed fifteen workers in fifty seconds,
+each within 10 ms of the start, and the other runs on them were lost. The cause was that a run lost with its worker
+counted against no task; only ends that a worker reported did. The log of the owner showed `worker_over` followed by
+`run_ordered` for the same task in the same millisecond, fifteen times, without a `run_ended` in between.
 """
 
 import random
@@ -19,7 +17,7 @@
 
 A, B = 'a' * 16, 'b' * 16
 CRASHING_TASK = TaskKey(A, 0, 0, 0)
-# Starts of a task that crashes workers which its users bear: three that tell, two more.
+# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
 MAX_STARTS = 5
 
 
@@ -28,7 +26,7 @@
 
 
 def crash_on_each_start(pool, key, max_rounds=12, ran_s=0.0):
-    """Let each worker crash that starts a task; return how many did."""
+    """Crash every worker that starts a task; return the number of crashes."""
     crashed = 0
     for _ in range(max_rounds):
         for effect in starts_of(pool.step(0.5), key):
@@ -56,7 +54,7 @@
 @pytest.mark.parametrize('ran_s', [0.0, 0.4, 2.5, 6.0])
 @pytest.mark.parametrize('queue', [URGENT, PATIENT])
 def test_a_crashing_task_is_given_up_regardless_of_run_time_and_unrelated_tasks_are_not(ran_s, queue):
-    """Seven tasks of other jobs fit beside it on each worker."""
+    """Seven tasks of unrelated jobs fit on each worker beside the crashing one."""
     pool = Pool(workers=4)
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
@@ -140,7 +138,10 @@
 
 
 def test_a_suspect_starts_again_only_once_its_crashes_are_saved():
-    """A next owner would know of none: with the store refusing, three owners in turn started a task six times."""
+    """The next owner would not know of crashes that were not saved.
+
+    While the store refused writes, three successive owners started one task six times.
+    """
     pool = Pool()
     pool.submit(A, task(1))
     for _ in range(2):
@@ -161,7 +162,7 @@
 
 
 def lose_contact(pool, worker_id):
-    """Let a worker be out of touch until its lease has ended."""
+    """Keep a worker unreachable until its lease has ended."""
     worker = pool.scheduler.worker_by_id[worker_id]
     worker.lease.assume_until(pool.now_s + 5.0)
     pool.scheduler.worker_silent(worker_id, pool.now)
@@ -224,9 +225,21 @@
 
 
 def simulate_crashes(seed, crash_share=0.0, mass_crash_share=0.0):
-    """Play a minute with crashing tasks, and workers that die by themselves; return their starts and who failed.
-
-    A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
+    """Simulate a minute with tasks that crash workers, and with unrelated crashes.
+
+    Parameters
+    ----------
+    seed : int
+        Seed of the random draws.
+    crash_share : float
+        Share of the workers that crash for other reasons every ten seconds, at independent times.
+    mass_crash_share : float
+        Share of the workers that crash at the same time every four seconds.
+
+    Returns
+    -------
+    tuple of (int, set of str, int)
+        Largest number of starts of a crashing task, failed jobs without one, and number of jobs.
     """
     rng = random.Random(seed)
     pool = Pool(workers=16)
@@ -270,7 +283,7 @@
 
 
 def test_few_unrelated_jobs_are_given_up_where_workers_also_crash_on_their_own():
-    """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
+    """With a fifth of the workers crashing every ten seconds, at most 1% of all jobs are given up without a cause."""
     given_up = jobs = 0
     for seed in range(100, 115):
         max_starts, unrelated, all_jobs = simulate_crashes(seed, crash_share=0.2)
@@ -281,10 +294,11 @@
 
 
 def test_few_unrelated_jobs_are_given_up_where_workers_crash_together():
-    """Of sixty jobs on workers a third of which crashed each four seconds, two to six were shown as failed.
+    """Guards against failing jobs for crashes that their tasks did not cause.
 
-    Three workers had crashed under a task of each, by nobody's fault: it had run for seconds, and seven other workers
-    crashed in the same moment.
+    With a third of the workers crashing every four seconds, two to six of sixty jobs were shown as failed. Three
+    workers had crashed under a task of each, but the task had been running for seconds and seven other workers crashed
+    at the same time.
     """
     given_up = jobs = 0
     for seed in range(200, 215):
@@ -311,7 +325,7 @@
 
 
 def test_crashes_of_a_task_are_discounted_twice_at_most():
-    """It may have caused some of the crashes that come together with others."""
+    """The task may have caused some of the crashes that coincide with others."""
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=30.0))
     starts = 0
