--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
@@ -1,4 +1,4 @@
-"""Crashes of workers on which a run may not have been any more, or never was."""
+"""Tests of crashes of workers on which a run may have ended already, or may never have started."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 
 A = 'a' * 16
 TASK = TaskKey(A, 0, 0, 0)
-# Starts of a task that crashes workers which its users bear.
+# Maximum number of starts of a task that crashes workers.
 MAX_STARTS = 5
 WORK_S = 4.0
 
 
 def order_start(pool):
-    """Decide until the task is ordered; return its start, which nobody has answered."""
+    """Run scheduling passes until the task is started; return the unacknowledged start, or None after 20 passes."""
     for _ in range(20):
         pool.now_s += 0.5
         starts = [effect for effect in pool.scheduler.decide(pool.now) if isinstance(effect, StartRun)]
@@ -28,7 +28,7 @@
 
 
 def crash_without_starting(pool):
-    """Let a worker answer a survey without the run that it was sent, and crash."""
+    """Crash a worker after a survey that does not list the run ordered there."""
     start = order_start(pool)
     pool.now_s += 0.5
     pool.survey(start.worker_id)
@@ -36,7 +36,7 @@
 
 
 def crash_after_end(pool):
-    """Let a worker fall silent, and crash when its run must have ended."""
+    """Crash a worker that was last surveyed while the task ran, after the expected end of the run."""
     start = order_start(pool)
     pool.scheduler.run_started(start.worker_id, start.key, start.run, pool.now)
     pool.running[start.worker_id, start.key] = start.run
@@ -47,17 +47,17 @@
 
 
 def crash_under_task(pool):
-    """Let a worker crash as soon as it has started the task."""
+    """Crash a worker right after it has acknowledged the start of the task."""
     start = order_start(pool)
     pool.scheduler.run_started(start.worker_id, start.key, start.run, pool.now)
     pool.scheduler.worker_silent(start.worker_id, pool.now)
-    # Its next incarnation answers long after the run would have ended.
+    # The next incarnation answers long after the expected end of the run.
     pool.now_s += 2 * WORK_S
     pool.crash(start.worker_id)
 
 
 def crash_before_answer(pool):
-    """Let a worker crash as soon as it has started the task, before it could answer."""
+    """Crash a worker right after the start of the task, before it could acknowledge it."""
     pool.crash(order_start(pool).worker_id)
 
 
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize('crash', [crash_without_starting, crash_after_end])
 def test_a_job_is_not_failed_for_crashes_at_which_its_task_may_not_have_run(crash):
-    # Two such crashes and one under the task were three, and the job was shown as failed.
+    # Two such crashes used to count like the one under the task: three in all, and the job was shown as failed.
     pool = Pool()
     pool.submit(A, task(1, work_s=WORK_S))
     crash(pool)
