--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that ended long ago are forgotten."""
+"""Tests that the memory of a job is freed once the scheduler forgets the job after its end."""
 
 import gc
 import weakref
@@ -11,7 +11,7 @@
 
 
 def test_a_forgotten_job_is_freed_without_a_garbage_collection():
-    # Collections do not walk frozen objects, so that its memory would stay in use.
+    # The garbage collector skips frozen objects, so a reference cycle through the job would never be freed.
     pool = Pool()
     pool.submit(A, task(2), task(1, after=(0,)))
     pool.step()
