--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -14,7 +14,7 @@
 from .pool import START_S, WALL_S, WORKER
 
 # Upper bound of the leases that a previous owner can have granted, in seconds.
-LONGEST_LEASE_S = 10.3
+MAX_LEASE_S = 10.3
 
 
 class Order(NamedTuple):
@@ -85,9 +85,7 @@
             if worker_id not in unlisted:
                 self.list_worker(worker_id)
         for spec, queue in self.job_by_id.values():
-            self.scheduler.add_job(
-                spec, queue, self.now, not_before_s=self.now_s + LONGEST_LEASE_S if unreported else 0.0
-            )
+            self.scheduler.add_job(spec, queue, self.now, not_before_s=self.now_s + MAX_LEASE_S if unreported else 0.0)
         for job_id in self.cancelled & self.job_by_id.keys():
             self.scheduler.cancel(job_id, self.now)
         for worker_id in set(self.worker_by_id) - set(unlisted) - set(unreported):
@@ -103,7 +101,7 @@
         self.worker_by_id[worker_id].is_silent = True
         known = self.scheduler.worker_by_id.get(worker_id)
         if known is not None:
-            known.lease.assume_until(self.now_s + LONGEST_LEASE_S)
+            known.lease.assume_until(self.now_s + MAX_LEASE_S)
             self.scheduler.worker_silent(worker_id, self.now)
 
     def submit(self, job_id, steps, queue):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -15,12 +15,12 @@
 from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec
 
-from .late_workers import FakeWorker, LONGEST_LEASE_S, Order
+from .late_workers import FakeWorker, MAX_LEASE_S, Order
 from .pool import ORDINARY, START_S, WALL_S, WORKER
 
 EPOCH_SHIFT = 20
 # Lease that each survey grants, in seconds: shorter than the upper bound that an owner assumes.
-LEASE_S = LONGEST_LEASE_S - 0.3
+LEASE_S = MAX_LEASE_S - 0.3
 
 
 class LeasedWorker(FakeWorker):
@@ -63,7 +63,7 @@
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.workers:
             self.scheduler.update_worker(WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
-            self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
+            self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + MAX_LEASE_S)
         for job_id, (spec, queue) in self.spec_by_id.items():
             self.scheduler.add_job(
                 spec,
@@ -88,7 +88,7 @@
         worker = self.workers[worker_id]
         worker.fence = self.epoch
         worker.lease_until_s = self.now_s + LEASE_S
-        self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
+        self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + MAX_LEASE_S)
         for end in worker.ends:
             self.scheduler.run_ended(end, self.now)
         self.save()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -10,7 +10,7 @@
 from dahliaarch_kernel.scheduler import EndKind, part_of, Scheduler, SchedulerSettings, WorkerProfile
 from dahliaarch_kernel.workload import TaskKey
 
-from .late_workers import LONGEST_LEASE_S, Order
+from .late_workers import MAX_LEASE_S, Order
 from .pool import ORDINARY, task, URGENT, WORKER
 from .recorded_owners import LeasedWorker, StoreBackedOwners
 
@@ -43,7 +43,7 @@
     owners.submit(B, [task()])
     assert [each.key.job_id for each in owners.decide()] == [B]
     owners.workers['w1'].end(TaskKey(B, 0, 0, 0), EndKind.DONE)
-    owners.pass_time(LONGEST_LEASE_S - 0.1)
+    owners.pass_time(MAX_LEASE_S - 0.1)
     assert not owners.decide()
     owners.pass_time(0.2)
     assert [each.key for each in owners.decide()] == [start.key]
