--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -162,9 +162,9 @@
         self.owners.submit(f'{self.jobs:016x}', [task(count, accelerators, gang=gang)], queue)
         self.owners.decide()
 
-    @rule(fate=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
-    def decide(self, fate):
-        self.owners.decide(fate)
+    @rule(delivery=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
+    def decide(self, delivery):
+        self.owners.decide(delivery)
 
     @rule(seconds=st.floats(0.0, 4.0))
     def wait(self, seconds):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -191,16 +191,16 @@
             self.owners.crashing_job_ids.add(job_id)
         self.owners.submit(job_id, [task(count, accelerators, work_s=WORK_S)], queue)
 
-    @rule(fate=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
-    def decide(self, fate):
-        self.owners.decide(fate)
+    @rule(delivery=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
+    def decide(self, delivery):
+        self.owners.decide(delivery)
 
-    @rule(seconds=st.floats(0.0, 4.0), fate=st.sampled_from(('answered', 'answered', 'unanswered')))
-    def go_on(self, seconds, fate):
+    @rule(seconds=st.floats(0.0, 4.0), delivery=st.sampled_from(('answered', 'answered', 'unanswered')))
+    def go_on(self, seconds, delivery):
         self.owners.detect_crashes()
         self.owners.save()
         self.owners.pass_time(seconds)
-        self.owners.decide(fate)
+        self.owners.decide(delivery)
 
     @rule()
     def change_owner(self):
@@ -283,13 +283,13 @@
 
     The weights differ from Hypothesis's draws: more time passes, and workers lose more ends and starts when they crash.
     """
-    fate = rng.choice(('answered', 'answered', 'unanswered'))
+    delivery = rng.choice(('answered', 'answered', 'unanswered'))
     rules = [
         lambda: machine.submit(
             rng.choice((URGENT, ORDINARY)), rng.randint(1, 2), rng.choice((1, 8)), rng.random() < 0.5
         ),
-        lambda: machine.decide(rng.choice((fate, 'late', 'owner ends'))),
-        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), fate),
+        lambda: machine.decide(rng.choice((delivery, 'late', 'owner ends'))),
+        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
         machine.change_owner,
         lambda: machine.change_store(rng.random() < 0.4),
         lambda: machine.crash(rng, rng.random() < 0.7),
