--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -206,11 +206,11 @@
     def change_owner(self):
         self.owners.take_over()
 
-    @rule(is_away=st.booleans())
-    def change_store(self, is_away):
-        self.owners.is_store_available = not is_away
+    @rule(is_store_unavailable=st.booleans())
+    def change_store(self, is_store_unavailable):
+        self.owners.is_store_available = not is_store_unavailable
         self.owners.save()
-        if not is_away:
+        if not is_store_unavailable:
             self.owners.send_held_starts()
 
     @rule(choice=st.randoms(use_true_random=False), is_seen=st.booleans())
