--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -68,11 +68,11 @@
         self.held_starts = []
         self.undetected_crashes = []
         self.workers = {worker_id: self.to_crashing_worker(worker) for worker_id, worker in self.workers.items()}
-        gone = self.roster - self.workers.keys()
-        self.silent |= gone
-        self.workers |= {worker_id: self.new_worker(worker_id) for worker_id in gone}
+        missing_worker_ids = self.roster - self.workers.keys()
+        self.silent |= missing_worker_ids
+        self.workers |= {worker_id: self.new_worker(worker_id) for worker_id in missing_worker_ids}
         super().take_over()
-        for worker_id in gone:
+        for worker_id in missing_worker_ids:
             self.silent.discard(worker_id)
             del self.workers[worker_id]
             self.scheduler.worker_over(worker_id, self.now)
