--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -140,8 +140,8 @@
         self.crash_count_by_assigned_key.update(
             part.first_task._replace(task_index=run.task_index)
             for job_id in self.spec_by_id
-            for part, kept in self.assignments_of(job_id).items()
-            for run in kept.runs
+            for part, saved_assignments in self.assignments_of(job_id).items()
+            for run in saved_assignments.runs
             if run.worker_id == worker_id
         )
         self.silent.discard(worker_id)
