--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -103,8 +103,8 @@
         pool.keep_progress()
     assert crashed == 3
     assert phase(pool) == 'failed'
-    counted = pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
-    assert set(counted) == {3}
+    crashes_by_index = pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
+    assert set(crashes_by_index) == {3}
 
 
 def test_crash_counts_persist_across_owners():
