--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -118,8 +118,8 @@
 
     def assignments_of(self, job_id):
         """Return the saved assignments of a job."""
-        kept = {part: decode(value, StepAssignments, 'assignments') for part, value in self.saved_by_part.items()}
-        return {part: each for part, each in kept.items() if part.job_id == job_id}
+        saved = {part: decode(value, StepAssignments, 'assignments') for part, value in self.saved_by_part.items()}
+        return {part: each for part, each in saved.items() if part.job_id == job_id}
 
     def assigned_runs(self, job_id):
         return [run for each in self.assignments_of(job_id).values() for run in each.runs]
