--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/recorded_owners.py
@@ -1,4 +1,4 @@
-"""Owners in turn that keep assignments and progress in a store, and the workers that they share."""
+"""Successive owners that save assignments and progress in a store, and the workers that they share."""
 
 from dahliaarch_kernel.codec import decode, encode
 from dahliaarch_kernel.scheduler import (
@@ -15,16 +15,16 @@
 from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import JobSpec
 
-from .late_workers import LateWorker, LONGEST_LEASE_S, Order
+from .late_workers import FakeWorker, MAX_LEASE_S, Order
 from .pool import ORDINARY, START_S, WALL_S, WORKER
 
 EPOCH_SHIFT = 20
-# Lease that each survey gives, in seconds: shorter than the longest that an owner assumes.
-LEASE_S = LONGEST_LEASE_S - 0.3
+# Lease that each survey grants, in seconds: shorter than the upper bound that an owner assumes.
+LEASE_S = MAX_LEASE_S - 0.3
 
 
-class LeasedWorker(LateWorker):
-    """A worker that refuses orders of older owners, and kills what runs when its lease ends."""
+class LeasedWorker(FakeWorker):
+    """A worker that refuses starts of previous owners, and whose lease ends unless it is renewed."""
 
     def __init__(self, worker_id):
         super().__init__(worker_id)
@@ -36,8 +36,8 @@
             super().start(order)
 
 
-class RecordedOwners:
-    """Owners in turn, each of which keeps assignments and progress before it sends orders."""
+class StoreBackedOwners:
+    """Successive owners, each of which saves assignments and progress before it sends orders."""
 
     def __init__(self, workers):
         self.now_s = START_S
@@ -46,10 +46,10 @@
         self.silent = set()
         self.spec_by_id = {}
         self.progress_by_id = {}
-        self.kept_by_part = {}
-        self.late = []
-        self.stops = []
-        self.noted = set()
+        self.saved_by_part = {}
+        self.delayed_starts = []
+        self.pending_stops = []
+        self.recorded_successes = set()
         self.take_over()
 
     @property
@@ -57,13 +57,13 @@
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
     def take_over(self):
-        """Let another owner read what is kept, and ask the workers that are not silent."""
+        """Let a new owner read the store and survey the workers that are not silent."""
         self.epoch += 3
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.workers:
             self.scheduler.update_worker(WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
-            self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
+            self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + MAX_LEASE_S)
         for job_id, (spec, queue) in self.spec_by_id.items():
             self.scheduler.add_job(
                 spec,
@@ -84,48 +84,48 @@
         self.scheduler.add_job(spec, queue, self.now)
 
     def survey(self, worker_id):
-        """Let a worker answer: it renews its lease, and lists ends and what runs."""
+        """Survey a worker: renew its lease, and report its ends and its current runs to the owner."""
         worker = self.workers[worker_id]
         worker.fence = self.epoch
         worker.lease_until_s = self.now_s + LEASE_S
-        self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + LONGEST_LEASE_S)
+        self.scheduler.worker_by_id[worker_id].lease.assume_until(self.now_s + MAX_LEASE_S)
         for end in worker.ends:
             self.scheduler.run_ended(end, self.now)
-        self.keep()
+        self.save()
         self.acknowledge(worker)
         rows = tuple(ListedRun(key, run, '', self.percent_of(key)) for key, run in worker.run_by_key.items())
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
     def percent_of(self, key):
-        """Return how much of its work a task that runs has done."""
+        """Return the reported progress of a running task, in percent."""
         return 50.0
 
     def acknowledge(self, worker):
-        """Let a worker forget its ends, which are kept."""
-        self.noted.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
+        """Acknowledge the ends of a worker, which the store holds now; the worker drops them."""
+        self.recorded_successes.update(end.key for end in worker.ends if end.kind is EndKind.DONE)
         worker.ends = []
 
-    def keep(self):
+    def save(self):
         for job_id in self.scheduler.take_dirty_jobs():
             self.progress_by_id[job_id] = encode(self.scheduler.job_by_id[job_id].progress())
             self.scheduler.mark_saved(job_id)
         for part in self.scheduler.assignments.take_unsaved():
-            self.kept_by_part[part] = encode(self.scheduler.assignments.for_part(part))
+            self.saved_by_part[part] = encode(self.scheduler.assignments.for_part(part))
 
     def progress_of(self, job_id):
         value = self.progress_by_id.get(job_id)
         return None if value is None else decode(value, JobProgress, 'progress')
 
     def assignments_of(self, job_id):
-        """Return what is kept of a job's assignments."""
-        kept = {part: decode(value, StepAssignments, 'assignments') for part, value in self.kept_by_part.items()}
-        return {part: each for part, each in kept.items() if part.job_id == job_id}
+        """Return the saved assignments of a job."""
+        saved = {part: decode(value, StepAssignments, 'assignments') for part, value in self.saved_by_part.items()}
+        return {part: each for part, each in saved.items() if part.job_id == job_id}
 
     def assigned_runs(self, job_id):
         return [run for each in self.assignments_of(job_id).values() for run in each.runs]
 
     def pass_time(self, seconds):
-        """Let time pass; workers that are not silent answer at least once a second."""
+        """Advance the clock; workers that are not silent are surveyed at least once a second."""
         while seconds > 1.0:
             self.pass_time(1.0)
             seconds -= 1.0
@@ -137,37 +137,41 @@
         for worker_id in self.workers.keys() - self.silent:
             self.survey(worker_id)
 
-    def decide(self, fate='answered'):
-        """Decide, keep that, and send the orders: answered, unanswered, carried out late, or not at all."""
+    def decide(self, delivery='answered'):
+        """Run a scheduling pass, save its results and send the start orders.
+
+        With `delivery` 'answered' or 'unanswered' they are executed at once, with 'late' later and unanswered. With
+        'owner ends' the next owner takes over before any is sent.
+        """
         effects = self.scheduler.decide(self.now)
-        self.keep()
-        if fate == 'owner ends':
+        self.save()
+        if delivery == 'owner ends':
             self.take_over()
             return []
         starts = [effect for effect in effects if isinstance(effect, StartRun)]
-        self.stops.extend(
+        self.pending_stops.extend(
             Order(effect.worker_id, effect.key, effect.run) for effect in effects if isinstance(effect, StopRun)
         )
         for start in starts:
-            self.send(start, fate)
+            self.send(start, delivery)
         return starts
 
-    def send(self, start, fate):
-        """Send the order of a start, whose assignment is kept."""
+    def send(self, start, delivery):
+        """Send a start order, whose assignment is saved already."""
         order = Order(start.worker_id, start.key, start.run)
-        if fate == 'late':
-            self.late.append(order)
+        if delivery == 'late':
+            self.delayed_starts.append(order)
         else:
             self.workers[order.worker_id].start(order)
-        if fate == 'answered':
+        if delivery == 'answered':
             self.scheduler.run_started(*order, self.now)
         else:
-            self.stops.append(order)
+            self.pending_stops.append(order)
 
     def deliver_stop(self, order):
         if order.worker_id in self.silent or order.run >> EPOCH_SHIFT > self.epoch:
             return
-        self.stops.remove(order)
+        self.pending_stops.remove(order)
         self.workers[order.worker_id].stop(order)
         self.survey(order.worker_id)
         if order.key not in self.workers[order.worker_id].run_by_key:
