--- a/packages/kernel/dahliaarch_kernel/configuration/changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/changes.py
@@ -1,8 +1,8 @@
-"""The difference between two versions of the configuration.
+"""Incremental changes between versions of the configuration.
 
-A version of a thousand queues differs from the one before it by little; what
-travels between instances, and what a version holds in memory beside another,
-is that difference.
+Consecutive versions of a configuration with a thousand queues differ in few
+entries. Instances therefore send each other only the changed entries, and
+versions held in memory share the unchanged ones.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,37 +12,37 @@
 from .core import Account, build_configuration, Configuration, ConfigurationParts, HttpLimits, Queue, ServiceSettings
 
 
-class _Named(Protocol):
+class _NamedEntry(Protocol):
     @property
     def name(self) -> str:
-        """Name by which an entry is found."""
+        """Unique name of the entry among entries of its type."""
 
 
-Entry = TypeVar('Entry', bound=_Named)
+Entry = TypeVar('Entry', bound=_NamedEntry)
 
-# Version that a whole configuration builds on.
+# Base version of a change that carries a complete configuration.
 NO_VERSION = -1
 
 
 class ChangeMismatchError(DahliaarchError):
-    """A change builds on another version than the present one."""
+    """The base version of a change is not the current version."""
 
 
 class ConfigurationChange(NamedTuple):
-    """What turns one version into another.
+    """Entries to update and remove to get from one version to another.
 
     Parameters
     ----------
     base : int
-        Version that it builds on; `NO_VERSION` for a whole configuration.
+        Version that the change applies to; `NO_VERSION` for a complete configuration.
     version : int
-        Version that it leads to.
+        Version that results from the change.
     queues, services, accounts : tuple
-        Entries that are new or differ.
+        Added and modified entries.
     gone_queues, gone_services, gone_accounts : tuple of str
-        Names of entries that are left out.
+        Names of removed entries.
     limits : HttpLimits
-        Bounds on requests, whole.
+        Limits on requests; always complete, also when unchanged.
     """
 
     base: int
@@ -56,56 +56,60 @@
     limits: HttpLimits = HttpLimits()
 
 
-EMPTY = build_configuration(ConfigurationParts(NO_VERSION))
+EMPTY_CONFIGURATION = build_configuration(ConfigurationParts(NO_VERSION))
 
 
-def difference(before: Configuration, after: Configuration) -> ConfigurationChange:
-    """Return the change that leads from one configuration to another."""
+def diff_configurations(before: Configuration, after: Configuration) -> ConfigurationChange:
+    """Return the change that turns ``before`` into ``after``."""
     return ConfigurationChange(
         base=before.version,
         version=after.version,
-        queues=_differing(before.queue_by_name, after.queue_by_name),
-        services=_differing(before.service_by_name, after.service_by_name),
-        accounts=_differing(before.account_by_name, after.account_by_name),
-        gone_queues=_gone(before.queue_by_name, after.queue_by_name),
-        gone_services=_gone(before.service_by_name, after.service_by_name),
-        gone_accounts=_gone(before.account_by_name, after.account_by_name),
+        queues=_changed_entries(before.queue_by_name, after.queue_by_name),
+        services=_changed_entries(before.service_by_name, after.service_by_name),
+        accounts=_changed_entries(before.account_by_name, after.account_by_name),
+        gone_queues=_removed_names(before.queue_by_name, after.queue_by_name),
+        gone_services=_removed_names(before.service_by_name, after.service_by_name),
+        gone_accounts=_removed_names(before.account_by_name, after.account_by_name),
         limits=after.limits,
     )
 
 
 def apply_change(before: Configuration, change: ConfigurationChange) -> Configuration:
-    """Return the configuration that a change leads to; equal entries are shared.
+    """Return the configuration after a change; unchanged entries are shared with ``before``.
 
     Raises
     ------
     ChangeMismatchError
-        When the change builds on another version.
+        If the base of the change is not the version of ``before``.
     """
     if before.version != change.base:
-        raise ChangeMismatchError(f'version {before.version}, but the change builds on {change.base}')
+        raise ChangeMismatchError(
+            f'current version is {before.version}, but the change applies to version {change.base}'
+        )
     return build_configuration(
         ConfigurationParts(
             version=change.version,
-            queues=_merged(before.queue_by_name, change.queues, change.gone_queues),
-            services=_merged(before.service_by_name, change.services, change.gone_services),
-            accounts=_merged(before.account_by_name, change.accounts, change.gone_accounts),
+            queues=_merge_entries(before.queue_by_name, change.queues, change.gone_queues),
+            services=_merge_entries(before.service_by_name, change.services, change.gone_services),
+            accounts=_merge_entries(before.account_by_name, change.accounts, change.gone_accounts),
             limits=change.limits,
         )
     )
 
 
-def _differing(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[Entry, ...]:
+def _changed_entries(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[Entry, ...]:
     return tuple(entry for name, entry in after.items() if before.get(name) != entry)
 
 
-def _gone(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[str, ...]:
+def _removed_names(before: Mapping[str, Entry], after: Mapping[str, Entry]) -> tuple[str, ...]:
     return tuple(name for name in before if name not in after)
 
 
-def _merged(before: Mapping[str, Entry], changed: Iterable[Entry], gone: Iterable[str]) -> Iterable[Entry]:
+def _merge_entries(
+    before: Mapping[str, Entry], changed: Iterable[Entry], removed_names: Iterable[str]
+) -> Iterable[Entry]:
     merged = dict(before)
-    for name in gone:
+    for name in removed_names:
         merged.pop(name, None)
     merged.update((entry.name, entry) for entry in changed)
     return merged.values()
--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes lead from any version to any other, and requests find their queue in each."""
+"""Tests of configuration changes between arbitrary versions and of request routing."""
 
 import pytest
 from hypothesis import given
@@ -10,8 +10,8 @@
     build_configuration,
     ChangeMismatchError,
     ConfigurationParts,
-    difference,
-    EMPTY,
+    diff_configurations,
+    EMPTY_CONFIGURATION,
     find_queue,
     Queue,
     RouteNotFoundError,
@@ -36,8 +36,10 @@
 def accounts():
     name = st.sampled_from(('crew', 'desk', 'depot'))
     return name.flatmap(
-        lambda found: st.builds(
-            Account, st.just(found), st.lists(st.sampled_from((found + '1', found + '2')), unique=True).map(tuple)
+        lambda account_name: st.builds(
+            Account,
+            st.just(account_name),
+            st.lists(st.sampled_from((account_name + '1', account_name + '2')), unique=True).map(tuple),
         )
     )
 
@@ -55,28 +57,28 @@
 
 @given(configurations(3), configurations(8))
 def test_the_difference_leads_from_one_version_to_the_other(before, after):
-    assert apply_change(before, difference(before, after)) == after
-    assert apply_change(EMPTY, difference(EMPTY, after)) == after
+    assert apply_change(before, diff_configurations(before, after)) == after
+    assert apply_change(EMPTY_CONFIGURATION, diff_configurations(EMPTY_CONFIGURATION, after)) == after
 
 
 @given(configurations(3), configurations(8))
 def test_a_change_does_not_touch_the_version_that_it_builds_on(before, after):
-    kept = dict(before.queue_by_name)
-    apply_change(before, difference(before, after))
-    assert before.queue_by_name == kept
+    queues_before = dict(before.queue_by_name)
+    apply_change(before, diff_configurations(before, after))
+    assert before.queue_by_name == queues_before
 
 
-def test_a_change_of_another_version_is_refused():
-    change = difference(build_configuration(ConfigurationParts(3)), build_configuration(ConfigurationParts(8)))
+def test_a_change_with_another_base_version_is_rejected():
+    change = diff_configurations(build_configuration(ConfigurationParts(3)), build_configuration(ConfigurationParts(8)))
     with pytest.raises(ChangeMismatchError):
         apply_change(build_configuration(ConfigurationParts(4)), change)
 
 
 def test_equal_entries_are_not_part_of_a_change():
-    many = [Queue(f'q{number}', 'a.example', f'/{number}/', 's') for number in range(100)]
-    before = build_configuration(ConfigurationParts(3, many))
-    after = build_configuration(ConfigurationParts(8, [*many, Queue('new', 'a.example', '/new/', 's')]))
-    assert [queue.name for queue in difference(before, after).queues] == ['new']
+    existing_queues = [Queue(f'q{number}', 'a.example', f'/{number}/', 's') for number in range(100)]
+    before = build_configuration(ConfigurationParts(3, existing_queues))
+    after = build_configuration(ConfigurationParts(8, [*existing_queues, Queue('new', 'a.example', '/new/', 's')]))
+    assert [queue.name for queue in diff_configurations(before, after).queues] == ['new']
 
 
 @given(configurations(3), st.sampled_from(HOSTS), st.sampled_from(('/x/y/1', '/x/1', '/z/', '/', 'w')))
--- a/packages/kernel/dahliaarch_kernel/scheduler/advice.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/advice.py
@@ -56,7 +56,7 @@
             return ''
         return known.text
 
-    def to_ask(self, workers: Iterable[WorkerState], now_s: float) -> tuple[str, ...]:
+    def workers_to_query(self, workers: Iterable[WorkerState], now_s: float) -> tuple[str, ...]:
         """Return the workers to query the policy about now, and mark the query as pending.
 
         Parameters
@@ -76,14 +76,14 @@
         self._is_request_pending = bool(worker_ids)
         return tuple(worker_ids[:MAX_WORKERS_PER_REQUEST])
 
-    def take_in(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
+    def record_answer(self, asked: Iterable[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Record an answer; workers without a ticket in it are refused."""
         self._is_request_pending = False
         self._refused_worker_ids.update(worker_id for worker_id in asked if worker_id not in tickets)
         for worker_id, text in tickets.items():
             self._ticket_by_worker[worker_id] = Ticket(text, until_s)
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Record that a query failed, and delay the next one."""
         self._is_request_pending = False
         self._retry_at_s = now_s + _RETRY_DELAY_S
--- a/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/assignments.py
@@ -64,17 +64,17 @@
         """Wrap a scheduler state."""
         self._state = state
 
-    def take_unkept(self) -> set[AssignmentsPart]:
+    def take_unsaved(self) -> set[AssignmentsPart]:
         """Return the parts with unsaved changes, and clear that set."""
-        unsaved = self._state.unkept_assignments
-        self._state.unkept_assignments = set()
+        unsaved = self._state.unsaved_assignments
+        self._state.unsaved_assignments = set()
         return unsaved
 
-    def mark_unkept(self, parts: Iterable[AssignmentsPart]) -> None:
+    def mark_unsaved(self, parts: Iterable[AssignmentsPart]) -> None:
         """Mark parts as unsaved again after a failed write."""
-        self._state.unkept_assignments.update(parts)
+        self._state.unsaved_assignments.update(parts)
 
-    def of_part(self, part: AssignmentsPart) -> StepAssignments:
+    def for_part(self, part: AssignmentsPart) -> StepAssignments:
         """Return the current assignments of a part; none once the job has ended."""
         step = self._state.step_of(part.first_task)
         if step is None or step.job.has_ended:
@@ -85,7 +85,7 @@
             () if part.number else tuple(step.awaited_until_by_worker),
         )
 
-    def sent(self, worker_id: str, key: TaskKey, number: int, now: Moment) -> bool:
+    def record_sent(self, worker_id: str, key: TaskKey, number: int, now: Moment) -> bool:
         """Record that a start order is about to be sent; return false if the run is no longer wanted."""
         worker = self._state.worker_by_id.get(worker_id)
         run = None if worker is None else worker.run_by_key.get(key)
@@ -122,7 +122,7 @@
             if worker is not None:
                 wait_for_survey(state, step, worker_id, now.steady_s + worker.late_order_s)
         # The store already holds this part, except that some of its runs may have ended since.
-        state.unkept_assignments.discard(part)
+        state.unsaved_assignments.discard(part)
 
 
 def _restore_run(state: SchedulerState, step: StepState, assignment: Assignment, now: Moment) -> None:
@@ -135,12 +135,12 @@
     key = step.key(assignment.task_index)
     run = Run(key, assignment.run, worker.worker_id, effective_demand(step), started_s, work_s)
     run.assigned_s = assignment.assigned_s
-    run.seen_s = now.steady_s
+    run.last_seen_s = now.steady_s
     run.is_inherited = True
     run.rank = rank_of_queue(step.job.queue)
     # Only the worker knows the run's progress and pace, so pace is not learned from this run.
     run.has_reported_pace = True
-    run.went_on()
+    run.discard_pace_baseline()
     if assignment.task_index in step.suspects:
         run.isolation_s = isolation_s(step)
     state.add_run(step, run)
--- a/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/crashes.py
@@ -49,7 +49,7 @@
 _SILENT_LOSS_RETENTION_S = 120.0
 
 
-def worker_crashed(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
+def record_worker_crash(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Record the crash of a worker for all tasks that ran there; the end of a draining worker counts against none."""
     crash_by_task = _crash_by_task(state, worker, now)
     silent_loss = state.silent_loss_by_worker.pop(worker.worker_id, None)
@@ -59,14 +59,14 @@
         _record_crash(state, crash_by_task, now)
 
 
-def silent_worker_crashed(state: SchedulerState, worker_id: str, now: Moment) -> None:
+def record_silent_worker_crash(state: SchedulerState, worker_id: str, now: Moment) -> None:
     """Record that a worker given up in silence had crashed, since another incarnation answers at its address."""
     silent_loss = state.silent_loss_by_worker.pop(worker_id, None)
     if silent_loss is not None:
         _record_crash(state, silent_loss.crash_by_task, now)
 
 
-def worker_given_up(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
+def retain_silent_loss(state: SchedulerState, worker: WorkerState, now: Moment) -> None:
     """Remember the runs of a worker whose lease ended in silence until it is known whether it crashed."""
     retained = {
         worker_id: silent_loss
@@ -79,22 +79,22 @@
     state.silent_loss_by_worker = retained
 
 
-def worker_answered(state: SchedulerState, worker_id: str) -> None:
+def discard_silent_loss(state: SchedulerState, worker_id: str) -> None:
     """Discard the possible crash of a worker that answers again: it was only unreachable."""
     state.silent_loss_by_worker.pop(worker_id, None)
 
 
-def suspects(step: StepState) -> set[int]:
+def pending_suspects(step: StepState) -> set[int]:
     """Return the pending suspects of a step; in a gang, one makes all suspects, since members start together."""
     found = step.suspects & step.pending
     return set(step.pending) if found and step.spec.gang else found
 
 
-def waits_for_own_place(step: StepState, now_s: float) -> bool:
+def waits_for_empty_worker(step: StepState, now_s: float) -> bool:
     """Return whether the suspects of a step still wait for empty workers; the wait is bounded."""
-    if step.alone_until_s is None:
-        step.alone_until_s = now_s + _EMPTY_WORKER_WAIT_S
-    return now_s <= step.alone_until_s
+    if step.empty_worker_wait_until_s is None:
+        step.empty_worker_wait_until_s = now_s + _EMPTY_WORKER_WAIT_S
+    return now_s <= step.empty_worker_wait_until_s
 
 
 def isolation_s(step: StepState) -> float:
@@ -124,13 +124,13 @@
 
 def _counts_as_running(state: SchedulerState, run: Run, crashed_s: float) -> bool:
     """Return whether a run counts as running when its worker crashed: it did not fail to start or end unreported."""
-    if not run.is_confirmed and (run.was_absent or run.is_inherited):
+    if not run.is_confirmed and (run.was_unlisted or run.is_inherited):
         return False
     step = state.step_of(run.key)
     return step is None or step.spec.lasting or not run.may_have_ended(crashed_s)
 
 
-def check_kept_crashes(job: JobState, now: Moment) -> None:
+def check_restored_crashes(job: JobState, now: Moment) -> None:
     """Schedule the crash limit for a restored job: its previous owner may have stopped before applying it."""
     saved = (crashes for step in job.step_by_key.values() for crashes in step.crashes_by_index.values())
     if any(_is_over_crash_limit(crashes) for crashes in saved):
--- a/packages/kernel/dahliaarch_kernel/scheduler/gates.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/gates.py
@@ -7,16 +7,16 @@
 from .successors import is_waiting_for_survey
 
 
-def job_gate(job: JobState, now: Moment) -> WaitReason | None:
+def job_wait_reason(job: JobState, now: Moment) -> WaitReason | None:
     """Return why no task of a job may start now, or None if tasks may start."""
     if job.crash_limit_at_s is not None:
         return WaitReason.CRASH_REVIEW
-    if job.known_since_s > now.steady_s:
+    if job.not_before_s > now.steady_s:
         return WaitReason.PREVIOUS_OWNER
-    return WaitReason.CRASHES_NOT_SAVED if job.has_unkept_crashes else None
+    return WaitReason.CRASHES_NOT_SAVED if job.has_unsaved_crashes else None
 
 
-def step_gate(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
+def step_wait_reason(state: SchedulerState, step: StepState, now: Moment) -> WaitReason | None:
     """Return why no task of a step may start now, or None if tasks may start."""
     if step.refused_until_s > now.steady_s:
         return WaitReason.REFUSED
--- a/packages/kernel/dahliaarch_kernel/scheduler/health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/health.py
@@ -126,8 +126,8 @@
         return
     estimate = _estimate_move(step, run, slowness)
     if _meets_target_only_if_moved(state, step, estimate, now) or _is_far_behind(estimate):
-        step.failed_on.add(run.worker_id)
-        state.stop_unit(run, 'stalled')
+        step.failed_worker_ids.add(run.worker_id)
+        state.stop_with_gang(run, 'stalled')
 
 
 class _MoveEstimate(NamedTuple):
@@ -152,7 +152,7 @@
 def _estimate_move(step: StepState, run: Run, slowness: float) -> _MoveEstimate:
     left_s = run.work_s * (1.0 - run.percent / _FULL_PERCENT)
     repeated_s = 0.0 if step.spec.checkpoints else run.work_s - left_s
-    delay_s = run.seen_s - run.started_s - (run.work_s - left_s)
+    delay_s = run.last_seen_s - run.started_s - (run.work_s - left_s)
     # A degradation is expected to last at least as long again as it has lasted so far.
     degraded_s = max(_MIN_DEGRADATION_S, delay_s)
     remaining_s = min(left_s * slowness, degraded_s + max(0.0, left_s - degraded_s / slowness))
--- a/packages/kernel/dahliaarch_kernel/scheduler/memory.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/memory.py
@@ -1,7 +1,7 @@
-"""Caches failed searches for room between scheduling passes, so that they are not repeated.
+"""Caches failed searches for free capacity between scheduling passes, so that they are not repeated.
 
-A step that found no room can't find any until the room of some worker grows. Starts and
-reservations only reduce room; the cache records every event that may increase it.
+A step that found too little free capacity can't find more until that of some worker grows.
+Starts and reservations only reduce it; the cache records every event that may increase it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,12 +12,12 @@
 
 
 class SearchKey(NamedTuple):
-    """Key of a search for room; steps with the same key have the same placement constraints.
+    """Key of a search for free capacity; steps with the same key have the same placement constraints.
 
     Parameters
     ----------
     demand : Resources
-        Resources that one task takes from a worker's room.
+        Resources that one task takes from a worker's free capacity.
     rank : int
         Rank of the step.
     service, label : str
@@ -42,12 +42,12 @@
 
 
 class FailedSearches:
-    """Cache of failed searches for room and for runs to preempt.
+    """Cache of failed searches for free capacity and for runs to preempt.
 
     Attributes
     ----------
     grown_workers : set of str
-        Workers whose room may have grown since the last pass.
+        Workers whose free capacity may have grown since the last pass.
     last_full_pass_s : float
         Steady time of the last pass that considered all steps.
     """
@@ -74,12 +74,12 @@
             if search_key.owner is None
         }
 
-    def is_known_to_lack_room(self, search_key: SearchKey, task_count: int) -> bool:
-        """Return whether a search for this number of tasks, or for fewer, found no room."""
+    def is_known_to_lack_capacity(self, search_key: SearchKey, task_count: int) -> bool:
+        """Return whether a search for this number of tasks, or for fewer, found too little free capacity."""
         return self._failed_placements.get(search_key, task_count + 1) <= task_count
 
-    def record_no_room(self, search_key: SearchKey, task_count: int) -> None:
-        """Record that a search for this number of tasks found no room."""
+    def record_no_capacity(self, search_key: SearchKey, task_count: int) -> None:
+        """Record that a search for this number of tasks found too little free capacity."""
         self._failed_placements[search_key] = min(task_count, self._failed_placements.get(search_key, task_count))
 
     def is_known_to_lack_victims(self, search_key: SearchKey, rank: int, task_count: int, since_s: float) -> bool:
@@ -92,7 +92,7 @@
         self._failed_victim_searches[search_key, rank] = (task_count, now_s)
 
     def invalidate(self, free_by_id: Mapping[str, Resources], freed: Iterable[str]) -> None:
-        """Discard failed searches that could succeed because the room of some worker has grown.
+        """Discard failed searches that could succeed because the free capacity of some worker has grown.
 
         Parameters
         ----------
@@ -105,7 +105,7 @@
         grown = (self.grown_workers | set(freed)) & eligible | eligible - self._eligible_workers
         self.grown_workers = set()
         self._eligible_workers = eligible
-        free_rooms = [free_by_id[worker_id] for worker_id in grown]
+        grown_free = [free_by_id[worker_id] for worker_id in grown]
         for search_key in tuple(self._failed_placements):
-            if any(fits(free, search_key.demand) for free in free_rooms):
+            if any(fits(free, search_key.demand) for free in grown_free):
                 del self._failed_placements[search_key]
--- a/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/scheduler.py
@@ -3,14 +3,20 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from ..configuration import Queue
-from ..policies import compile_policy, Policy, SHIPPED
+from ..policies import compile_policy, Policy, SHIPPED_POLICIES
 from ..workload import JobSpec, StepKey, TaskKey
 from .assignments import Assignments, restore_assignments, StepAssignments
 from .clock import Moment
-from .crashes import apply_crash_limit, check_kept_crashes, silent_worker_crashed, worker_answered, worker_crashed
+from .crashes import (
+    apply_crash_limit,
+    check_restored_crashes,
+    discard_silent_loss,
+    record_silent_worker_crash,
+    record_worker_crash,
+)
 from .effects import Effect
-from .ends import take_in_end
-from .events import EndKind, LossCause, Note, RunEnd, RunSeen
+from .ends import apply_run_end
+from .events import EndKind, ListedRun, LossCause, Note, RunEnd
 from .health import assess_workers
 from .job_state import ENDED_PHASES, JobPhase, JobState
 from .learning import update_slowdowns
@@ -47,7 +53,7 @@
 
     def __init__(self, settings: SchedulerSettings, epoch: int, policy: Policy | None = None) -> None:
         """Start without jobs and workers."""
-        self._state = SchedulerState(settings, epoch, policy or compile_policy(SHIPPED['first-come']))
+        self._state = SchedulerState(settings, epoch, policy or compile_policy(SHIPPED_POLICIES['first-come']))
         self.assignments = Assignments(self._state)
 
     @property
@@ -71,7 +77,7 @@
 
     def set_services_without_capacity_check(self, services: Iterable[str]) -> None:
         """Replace the services whose workers start tasks without checking their own capacity."""
-        self._state.unguarded_services = frozenset(services)
+        self._state.services_without_capacity_check = frozenset(services)
 
     def workers_synced(self, now: Moment) -> None:
         """Record that the published entries of all workers are up to date."""
@@ -107,10 +113,10 @@
         if spec.job_id in self._state.job_by_id:
             return False
         job = JobState(spec, queue)
-        job.known_since_s = not_before_s
+        job.not_before_s = not_before_s
         if progress is not None:
             job.restore(progress)
-            check_kept_crashes(job, now)
+            check_restored_crashes(job, now)
         self._state.job_by_id[spec.job_id] = job
         if not job.has_ended:
             self._state.active_job_by_id[spec.job_id] = job
@@ -142,7 +148,7 @@
             worker = WorkerState(profile)
             self._state.worker_by_id[profile.worker_id] = worker
         if worker.profile.capacity != profile.capacity:
-            self._state.memory.grown_workers.add(profile.worker_id)
+            self._state.failed_searches.grown_workers.add(profile.worker_id)
         worker.profile = profile
         worker.is_listed = True
         worker.has_published_profile = True
@@ -185,7 +191,7 @@
     def all_workers_reported(self) -> None:
         """Record that no unknown run of a previous owner can remain, so that jobs need not wait for silent workers."""
         for job in self._state.job_by_id.values():
-            job.known_since_s = 0.0
+            job.not_before_s = 0.0
 
     def worker_silent(self, worker_id: str, now: Moment) -> None:
         """Record that a worker has stopped answering."""
@@ -211,13 +217,13 @@
         self._state.given_up_unacknowledged.discard(worker_id)
         worker = self._state.worker_by_id.pop(worker_id, None)
         if worker is None:
-            silent_worker_crashed(self._state, worker_id, now)
+            record_silent_worker_crash(self._state, worker_id, now)
             return
-        self._state.note_losses(worker, LossCause.WORKER_OVER)
+        self._state.record_losses(worker, LossCause.WORKER_OVER)
         for run in tuple(worker.run_by_key.values()):
             end = RunEnd(worker_id, run.key, run.number, EndKind.LAPSED, run.checkpoint)
-            take_in_end(self._state, end, now)
-        worker_crashed(self._state, worker, now)
+            apply_run_end(self._state, end, now)
+        record_worker_crash(self._state, worker, now)
 
     def run_started(self, worker_id: str, key: TaskKey, run: int, now: Moment) -> None:
         """Record that a worker acknowledged a start."""
@@ -225,34 +231,34 @@
         found = None if worker is None else worker.run_by_key.get(key)
         if worker is None or found is None or found.number != run:
             return
-        worker.refusal_backoff.started()
+        worker.refusal_backoff.record_start()
         found.is_confirmed = True
-        found.seen_s = max(found.seen_s, now.steady_s)
+        found.last_seen_s = max(found.last_seen_s, now.steady_s)
         if found.phase is RunPhase.STARTING:
             found.phase = RunPhase.RUNNING
         self._state.job_by_id[found.key.job_id].mark_begun()
 
     def run_ended(self, end: RunEnd, now: Moment) -> None:
         """Apply the end of a run; repeated reports have no effect."""
-        take_in_end(self._state, end, now)
+        apply_run_end(self._state, end, now)
 
     def advice_given(self, key: StepKey, asked: Sequence[str], tickets: Mapping[str, str], until_s: float) -> None:
         """Record for which of the workers that were asked about the outside policy gave tickets, and until when."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
-            step.advice.take_in(asked, tickets, until_s)
+            step.advice.record_answer(asked, tickets, until_s)
 
     def advice_failed(self, key: StepKey, now: Moment) -> None:
         """Record that the outside policy failed to answer."""
         step = self._state.step_of(TaskKey(*key, 0))
         if step is not None and step.advice is not None:
-            step.advice.failed(now.steady_s)
+            step.advice.record_failure(now.steady_s)
 
     def worker_surveyed(
         self,
         worker_id: str,
-        running: Sequence[RunSeen],
-        begun_s: float,
+        running: Sequence[ListedRun],
+        requested_s: float,
         now: Moment,
         *,
         lists_ends: bool = False,
@@ -263,9 +269,9 @@
         ----------
         worker_id : str
             The worker that was surveyed.
-        running : sequence of RunSeen
+        running : sequence of ListedRun
             Runs on the worker; the ends that it listed must have been applied before.
-        begun_s : float
+        requested_s : float
             Steady time of the request: the list does not cover starts after it.
         now : Moment
             Current time.
@@ -274,12 +280,12 @@
         """
         worker = self._state.worker_by_id.get(worker_id)
         if worker is not None:
-            worker_answered(self._state, worker_id)
+            discard_silent_loss(self._state, worker_id)
             self._state.given_up_unacknowledged.discard(worker_id)
             if lists_ends and worker.may_hide_ends:
                 worker.may_hide_ends = False
-                self._state.memory.grown_workers.add(worker_id)
-            apply_survey(self._state, worker, running, begun_s, now)
+                self._state.failed_searches.grown_workers.add(worker_id)
+            apply_survey(self._state, worker, running, requested_s, now)
 
     def decide(self, now: Moment) -> list[Effect]:
         """Run one scheduling pass and return the resulting orders."""
@@ -314,20 +320,20 @@
         return bool(self._state.dirty_jobs)
 
     @property
-    def has_ends_to_keep(self) -> bool:
+    def has_unsaved_ends(self) -> bool:
         """Whether the end of any job has to be stored."""
         jobs = self._state.job_by_id
         return any(jobs[job_id].has_ended for job_id in self._state.dirty_jobs if job_id in jobs)
 
-    def mark_kept(self, job_id: str) -> bool:
+    def mark_saved(self, job_id: str) -> bool:
         """Record that a job's progress is stored; return True if its end may now be reported to callers."""
         job = self._state.job_by_id.get(job_id)
         if job is None or job_id in self._state.dirty_jobs:
             return False
-        job.has_unkept_crashes = False
-        if not job.has_ended or job.is_end_kept:
+        job.has_unsaved_crashes = False
+        if not job.has_ended or job.is_end_saved:
             return False
-        job.is_end_kept = True
+        job.is_end_saved = True
         return True
 
     def mark_dirty(self, job_ids: set[str]) -> None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""A new owner knows where the one before assigned each task, and waits for these workers and these tasks only."""
+"""Tests that a new owner reads the saved assignments, and holds back only tasks assigned to workers that are silent."""
 
 from collections import Counter
 
@@ -10,16 +10,19 @@
 from dahliaarch_kernel.scheduler import EndKind, part_of, Scheduler, SchedulerSettings, WorkerProfile
 from dahliaarch_kernel.workload import TaskKey
 
-from .late_workers import LONGEST_LEASE_S, Order
+from .late_workers import MAX_LEASE_S, Order
 from .pool import ORDINARY, task, URGENT, WORKER
-from .recorded_owners import LeasedWorker, RecordedOwners
+from .recorded_owners import LeasedWorker, StoreBackedOwners
 
 A, B = 'a' * 16, 'b' * 16
 
 
-def begun_on_a_worker_that_falls_silent(count=1, **fields):
-    """Return owners of which the first has begun tasks on two workers, one of which falls silent before the second."""
-    owners = RecordedOwners(2)
+def start_then_lose_contact(count=1, **fields):
+    """Start tasks under one owner, silence the worker of the first task, and let the next owner take over.
+
+    Return the owners and the starts.
+    """
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task(count, accelerators=8, **fields)])
     starts = owners.decide()
     owners.silent.add(starts[0].worker_id)
@@ -28,7 +31,7 @@
 
 
 def test_a_job_that_never_began_does_not_wait_for_silent_workers():
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.silent.add('w0')
     owners.submit(A, [task()])
     owners.take_over()
@@ -36,29 +39,29 @@
 
 
 def test_a_task_waits_for_the_silent_worker_that_it_was_assigned_to_until_its_lease_has_ended():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.submit(B, [task()])
     assert [each.key.job_id for each in owners.decide()] == [B]
     owners.workers['w1'].end(TaskKey(B, 0, 0, 0), EndKind.DONE)
-    owners.pass_time(LONGEST_LEASE_S - 0.1)
+    owners.pass_time(MAX_LEASE_S - 0.1)
     assert not owners.decide()
     owners.pass_time(0.2)
     assert [each.key for each in owners.decide()] == [start.key]
 
 
 def test_a_task_does_not_wait_once_its_worker_has_listed_its_runs_without_it():
-    owners = RecordedOwners(2)
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
     owners.take_over()
     assert [each.key for each in owners.decide()] == [start.key]
-    # The start of the owner before comes now.
+    # The start order of the previous owner arrives only now.
     owners.workers[start.worker_id].start(Order(start.worker_id, start.key, start.run))
     assert Counter(key for _, key in owners.running()) == {start.key: 1}
 
 
 def test_other_tasks_of_its_step_do_not_wait():
-    owners, (first, second) = begun_on_a_worker_that_falls_silent(count=2)
+    owners, (first, second) = start_then_lose_contact(count=2)
     owners.workers[second.worker_id].end(second.key, EndKind.LAPSED)
     owners.pass_time(0.1)
     assert [each.key for each in owners.decide()] == [second.key]
@@ -66,7 +69,7 @@
 
 
 def test_a_run_that_its_worker_lists_goes_on():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.silent.clear()
     owners.pass_time(1.0)
     assert not owners.decide()
@@ -74,7 +77,7 @@
 
 
 def test_an_end_that_comes_after_the_takeover_counts():
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     owners.workers[start.worker_id].end(start.key, EndKind.DONE)
     owners.silent.clear()
     owners.pass_time(1.0)
@@ -83,26 +86,26 @@
 
 @pytest.mark.parametrize('is_over', [True, False])
 def test_a_crash_that_no_owner_lived_to_see_counts_against_the_tasks_that_were_assigned(is_over):
-    owners, (start,) = begun_on_a_worker_that_falls_silent()
+    owners, (start,) = start_then_lose_contact()
     if is_over:
         owners.scheduler.worker_over(start.worker_id, owners.now)
     crashes = owners.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
     assert [crash.run for crash in crashes.get(0, ())] == [start.run] * is_over
 
 
-def test_what_ended_or_was_never_sent_is_taken_back():
-    owners = RecordedOwners(1)
+def test_the_assignment_of_an_ended_run_is_removed():
+    owners = StoreBackedOwners(1)
     owners.submit(A, [task()])
     (start,) = owners.decide()
     assert owners.assigned_runs(A)
     owners.workers[start.worker_id].end(start.key, EndKind.LAPSED)
     owners.survey(start.worker_id)
-    owners.keep()
+    owners.save()
     assert not owners.assigned_runs(A)
 
 
-def test_a_start_in_a_wide_step_does_not_have_all_its_assignments_kept_anew():
-    owners = RecordedOwners(100)
+def test_one_change_in_a_large_step_does_not_save_all_its_assignments_again():
+    owners = StoreBackedOwners(100)
     owners.submit(A, [task(700)])
     starts = owners.decide()
     assert len(owners.assigned_runs(A)) == 700
@@ -110,20 +113,20 @@
     owners.workers[starts[0].worker_id].end(starts[0].key, EndKind.LAPSED)
     owners.survey(starts[0].worker_id)
     owners.scheduler.decide(owners.now)
-    assert owners.scheduler.assignments.take_unkept() == {part_of(starts[0].key)}
+    assert owners.scheduler.assignments.take_unsaved() == {part_of(starts[0].key)}
 
 
-def test_a_list_that_the_owner_before_waited_for_is_waited_for():
-    owners = RecordedOwners(2)
+def test_a_run_list_that_the_previous_owner_awaited_is_still_awaited():
+    owners = StoreBackedOwners(2)
     owners.submit(A, [task()])
     (start,) = owners.decide('late')
-    # The worker has started again, and may have begun what was sent to its earlier incarnation.
+    # The worker has restarted, and its new incarnation may execute the start that was sent to the previous one.
     successor = f'{start.worker_id}+'
     former = owners.scheduler.worker_by_id[start.worker_id].profile
     owners.scheduler.worker_replaced(start.worker_id, successor, owners.now_s + 20.0)
     owners.scheduler.worker_over(start.worker_id, owners.now)
     owners.scheduler.expect_worker(former._replace(worker_id=successor), owners.now)
-    owners.keep()
+    owners.save()
     owners.workers[successor] = LeasedWorker(successor)
     del owners.workers[start.worker_id]
     owners.silent.add(successor)
@@ -140,12 +143,12 @@
     assert [each.key for each in owners.decide()] == [TaskKey(A, 0, 0, 0)]
 
 
-class Owners(RuleBasedStateMachine):
-    """Random jobs, silences, late orders, ends and changes of the owner at any step."""
+class TakeoverHistories(RuleBasedStateMachine):
+    """Random histories of jobs, silent workers, late starts, ends and takeovers."""
 
     def __init__(self):
         super().__init__()
-        self.owners = RecordedOwners(3)
+        self.owners = StoreBackedOwners(3)
         self.jobs = 0
 
     @rule(
@@ -159,9 +162,9 @@
         self.owners.submit(f'{self.jobs:016x}', [task(count, accelerators, gang=gang)], queue)
         self.owners.decide()
 
-    @rule(fate=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
-    def decide(self, fate):
-        self.owners.decide(fate)
+    @rule(delivery=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
+    def decide(self, delivery):
+        self.owners.decide(delivery)
 
     @rule(seconds=st.floats(0.0, 4.0))
     def wait(self, seconds):
@@ -184,15 +187,15 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def carry_out_late(self, choice):
-        if self.owners.late:
-            order = choice.choice(self.owners.late)
-            self.owners.late.remove(order)
+        if self.owners.delayed_starts:
+            order = choice.choice(self.owners.delayed_starts)
+            self.owners.delayed_starts.remove(order)
             self.owners.workers[order.worker_id].start(order)
 
     @rule(choice=st.randoms(use_true_random=False))
     def deliver_stop(self, choice):
-        if self.owners.stops:
-            self.owners.deliver_stop(choice.choice(self.owners.stops))
+        if self.owners.pending_stops:
+            self.owners.deliver_stop(choice.choice(self.owners.pending_stops))
 
     @rule(choice=st.randoms(use_true_random=False), kind=st.sampled_from((EndKind.DONE, EndKind.FAILED)))
     def end(self, choice, kind):
@@ -213,8 +216,8 @@
 
     @invariant()
     def nothing_runs_again_after_a_success_that_was_noted(self):
-        assert not [key for _, key in self.owners.running() if key in self.owners.noted]
+        assert not [key for _, key in self.owners.running() if key in self.owners.recorded_successes]
 
 
-Owners.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
-TestOwners = Owners.TestCase
+TakeoverHistories.TestCase.settings = settings(max_examples=80, stateful_step_count=40, deadline=None)
+TestTakeoverHistories = TakeoverHistories.TestCase
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -1,4 +1,7 @@
-"""Owners in turn, any of which may end before it has kept, or learned of, a crash."""
+"""Random histories of worker crashes under successive owners.
+
+An owner may end before it has detected a crash, or before it has saved it.
+"""
 
 import random
 from collections import Counter
@@ -12,153 +15,153 @@
 from dahliaarch_kernel.scheduler.events import RunEnd
 
 from .pool import ORDINARY, task, URGENT, WORKER
-from .recorded_owners import LeasedWorker, RecordedOwners
-
-# Starts of a task that crashes workers which its users bear: three that tell, two more.
-MOST_STARTS = 5
-# Crashes under a task after which users bear that its job is shown as failed.
-CRASHES_THAT_EXCUSE = 2
-# The same where no more is known than that the task was assigned to the workers.
-UNCERTAIN_CRASHES_THAT_EXCUSE = 5
+from .recorded_owners import LeasedWorker, StoreBackedOwners
+
+# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
+MAX_STARTS = 5
+# Number of crashes under a task from which users accept that its job is failed.
+MIN_CRASHES_BEFORE_FAILURE = 2
+# The same, if it is only known that the task was assigned to the crashed workers, and not that it ran there.
+MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE = 5
 WORK_S = 2.0
-# Jobs and steps of one random history.
-MOST_JOBS = 4
-MOST_STEPS = 150
+# Number of jobs and of rules applied in one random history.
+MAX_JOBS = 4
+MAX_STEPS = 150
 
 
 class CrashingWorker(LeasedWorker):
-    """A worker that notes its starts, and whether one of them crashes it."""
+    """A worker that counts the starts of each task and records whether a started task must crash it."""
 
-    def __init__(self, worker_id, crashing, starts):
+    def __init__(self, worker_id, crashing_job_ids, start_count_by_key):
         super().__init__(worker_id)
-        self.crashing = crashing
-        self.starts = starts
-        self.must_crash = False
+        self.crashing_job_ids = crashing_job_ids
+        self.start_count_by_key = start_count_by_key
+        self.is_crash_due = False
 
     def start(self, order):
         was_running = self.run_by_key.get(order.key)
         super().start(order)
         if self.run_by_key.get(order.key) != was_running:
-            self.starts[order.key] += 1
-            self.must_crash = self.must_crash or order.key.job_id in self.crashing
+            self.start_count_by_key[order.key] += 1
+            self.is_crash_due = self.is_crash_due or order.key.job_id in self.crashing_job_ids
 
 
-class CrashingOwners(RecordedOwners):
-    """The same owners; workers crash, and are back under other names, and the store may be away."""
+class OwnersWithCrashingWorkers(StoreBackedOwners):
+    """Successive owners whose workers crash and return as other incarnations, and whose store may be unavailable."""
 
     def __init__(self, workers):
-        self.crashing = set()
-        self.starts = Counter()
-        self.crashes = Counter()
-        self.crashes_where_assigned = Counter()
+        self.crashing_job_ids = set()
+        self.start_count_by_key = Counter()
+        self.crash_count_by_key = Counter()
+        self.crash_count_by_assigned_key = Counter()
         self.started_s_by_key = {}
-        self.has_store = True
-        self.held = []
-        # Incarnations that have crashed, which the owner does not know yet, with their next ones.
-        self.unknown_crashes = []
+        self.is_store_available = True
+        self.held_starts = []
+        # Pairs of a crashed incarnation and its successor that the owner has not detected yet.
+        self.undetected_crashes = []
         self.roster = set()
         super().__init__(workers)
 
     def take_over(self):
-        """Let another owner take over; the store is there then."""
-        self.has_store = True
-        self.held = []
-        self.unknown_crashes = []
-        self.workers = {worker_id: self.as_crashing(worker) for worker_id, worker in self.workers.items()}
-        gone = self.roster - self.workers.keys()
-        self.silent |= gone
-        self.workers |= {worker_id: self.new_worker(worker_id) for worker_id in gone}
+        """Make the store available again and let a new owner take over."""
+        self.is_store_available = True
+        self.held_starts = []
+        self.undetected_crashes = []
+        self.workers = {worker_id: self.to_crashing_worker(worker) for worker_id, worker in self.workers.items()}
+        missing_worker_ids = self.roster - self.workers.keys()
+        self.silent |= missing_worker_ids
+        self.workers |= {worker_id: self.new_worker(worker_id) for worker_id in missing_worker_ids}
         super().take_over()
-        for worker_id in gone:
+        for worker_id in missing_worker_ids:
             self.silent.discard(worker_id)
             del self.workers[worker_id]
             self.scheduler.worker_over(worker_id, self.now)
 
     def new_worker(self, worker_id):
-        return CrashingWorker(worker_id, self.crashing, self.starts)
+        return CrashingWorker(worker_id, self.crashing_job_ids, self.start_count_by_key)
 
-    def as_crashing(self, worker):
+    def to_crashing_worker(self, worker):
         return worker if isinstance(worker, CrashingWorker) else self.new_worker(worker.worker_id)
 
-    def keep(self):
-        if self.has_store:
-            super().keep()
+    def save(self):
+        if self.is_store_available:
+            super().save()
             self.roster = set(self.scheduler.worker_by_id)
 
     def acknowledge(self, worker):
-        if self.has_store:
+        if self.is_store_available:
             super().acknowledge(worker)
 
-    def send(self, start, fate):
-        self.held.append((start, fate))
-        if self.has_store:
-            self.release()
+    def send(self, start, delivery):
+        self.held_starts.append((start, delivery))
+        if self.is_store_available:
+            self.send_held_starts()
 
-    def release(self):
-        """Send the starts that were held, unless they are not wanted any more."""
-        held, self.held = self.held, []
-        for start, fate in held:
-            if self.scheduler.assignments.sent(start.worker_id, start.key, start.run, self.now):
-                self.send_kept(start, fate)
+    def send_held_starts(self):
+        """Send the held starts that are still wanted."""
+        held_starts, self.held_starts = self.held_starts, []
+        for start, delivery in held_starts:
+            if self.scheduler.assignments.record_sent(start.worker_id, start.key, start.run, self.now):
+                self.send_saved(start, delivery)
 
     def percent_of(self, key):
         return min(99.0, 100.0 * (self.now_s - self.started_s_by_key.get(key, self.now_s)) / WORK_S)
 
-    def send_kept(self, start, fate):
+    def send_saved(self, start, delivery):
         if start.worker_id not in self.workers:
-            # It has crashed, and the call fails.
+            # The worker has crashed, so the call fails.
             self.refuse(start)
             return
         self.started_s_by_key[start.key] = self.now_s
-        super().send(start, fate)
-        self.crash_if_it_must(start.worker_id)
+        super().send(start, delivery)
+        self.crash_if_due(start.worker_id)
 
     def refuse(self, start):
         self.scheduler.run_ended(RunEnd(start.worker_id, start.key, start.run, EndKind.REFUSED), self.now)
 
-    def drop_held(self, worker_id):
-        """Give up the starts that are held for a worker which takes none any more."""
-        for start, _ in self.held:
+    def refuse_held_starts(self, worker_id):
+        """Refuse the starts held for a worker that no longer accepts any."""
+        for start, _ in self.held_starts:
             if start.worker_id == worker_id:
                 self.refuse(start)
-        self.held = [(start, fate) for start, fate in self.held if start.worker_id != worker_id]
+        self.held_starts = [(start, delivery) for start, delivery in self.held_starts if start.worker_id != worker_id]
 
-    def crash_if_it_must(self, worker_id):
-        if self.workers[worker_id].must_crash:
+    def crash_if_due(self, worker_id):
+        if self.workers[worker_id].is_crash_due:
             self.crash(worker_id)
 
     def crash(self, worker_id, *, is_seen=True):
-        """Let a worker crash; its owner may see at once that it takes no calls any more."""
+        """Crash a worker; with `is_seen`, its owner notices at once that calls to it fail."""
         if is_seen:
-            self.drop_held(worker_id)
+            self.refuse_held_starts(worker_id)
             self.scheduler.worker_silent(worker_id, self.now)
         worker = self.workers.pop(worker_id)
-        self.crashes.update(worker.run_by_key.keys())
-        self.crashes_where_assigned.update(
+        self.crash_count_by_key.update(worker.run_by_key.keys())
+        self.crash_count_by_assigned_key.update(
             part.first_task._replace(task_index=run.task_index)
             for job_id in self.spec_by_id
-            for part, kept in self.assignments_of(job_id).items()
-            for run in kept.runs
+            for part, saved_assignments in self.assignments_of(job_id).items()
+            for run in saved_assignments.runs
             if run.worker_id == worker_id
         )
         self.silent.discard(worker_id)
-        self.late = [order for order in self.late if order.worker_id != worker_id]
-        self.stops = [order for order in self.stops if order.worker_id != worker_id]
+        self.delayed_starts = [order for order in self.delayed_starts if order.worker_id != worker_id]
+        self.pending_stops = [order for order in self.pending_stops if order.worker_id != worker_id]
         successor = f'{worker_id}+'
         self.workers[successor] = self.new_worker(successor)
-        self.unknown_crashes.append((worker_id, successor))
+        self.undetected_crashes.append((worker_id, successor))
 
-    def learn(self):
-        """Let the owner learn of crashes: the next incarnations answer."""
-        unknown, self.unknown_crashes = self.unknown_crashes, []
+    def detect_crashes(self):
+        """Let the owner detect all crashes so far: the successors answer."""
+        unknown, self.undetected_crashes = self.undetected_crashes, []
         for worker_id, successor in unknown:
-            self.drop_held(worker_id)
+            self.refuse_held_starts(worker_id)
             self.scheduler.worker_over(worker_id, self.now)
             self.scheduler.update_worker(WorkerProfile(successor, 'svc', 'z', WORKER, ('a', 'r0')), self.now)
 
     def pass_time(self, seconds):
-        # Surveys of incarnations that the owner does not know yet have to wait.
-        unknown = {successor for _, successor in self.unknown_crashes} - self.silent
+        # Incarnations that the owner does not know yet cannot be surveyed.
+        unknown = {successor for _, successor in self.undetected_crashes} - self.silent
         self.silent |= unknown
         super().pass_time(seconds)
         self.silent -= unknown
@@ -167,12 +170,12 @@
         return [job_id for job_id, job in self.scheduler.job_by_id.items() if job.phase == 'failed']
 
 
-class Crashes(RuleBasedStateMachine):
-    """Tasks that crash workers, workers that crash by themselves, owners that end and a store that is away."""
+class CrashHistories(RuleBasedStateMachine):
+    """Random histories of tasks that crash workers, unrelated crashes, takeovers and an unavailable store."""
 
     def __init__(self):
         super().__init__()
-        self.owners = CrashingOwners(4)
+        self.owners = OwnersWithCrashingWorkers(4)
         self.jobs = 0
 
     @rule(
@@ -185,30 +188,30 @@
         self.jobs += 1
         job_id = f'{self.jobs:016x}'
         if is_crashing:
-            self.owners.crashing.add(job_id)
+            self.owners.crashing_job_ids.add(job_id)
         self.owners.submit(job_id, [task(count, accelerators, work_s=WORK_S)], queue)
 
-    @rule(fate=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
-    def decide(self, fate):
-        self.owners.decide(fate)
+    @rule(delivery=st.sampled_from(('answered', 'answered', 'unanswered', 'late', 'owner ends')))
+    def decide(self, delivery):
+        self.owners.decide(delivery)
 
-    @rule(seconds=st.floats(0.0, 4.0), fate=st.sampled_from(('answered', 'answered', 'unanswered')))
-    def go_on(self, seconds, fate):
-        self.owners.learn()
-        self.owners.keep()
+    @rule(seconds=st.floats(0.0, 4.0), delivery=st.sampled_from(('answered', 'answered', 'unanswered')))
+    def go_on(self, seconds, delivery):
+        self.owners.detect_crashes()
+        self.owners.save()
         self.owners.pass_time(seconds)
-        self.owners.decide(fate)
+        self.owners.decide(delivery)
 
     @rule()
     def change_owner(self):
         self.owners.take_over()
 
-    @rule(is_away=st.booleans())
-    def change_store(self, is_away):
-        self.owners.has_store = not is_away
-        self.owners.keep()
-        if not is_away:
-            self.owners.release()
+    @rule(is_store_unavailable=st.booleans())
+    def change_store(self, is_store_unavailable):
+        self.owners.is_store_available = not is_store_unavailable
+        self.owners.save()
+        if not is_store_unavailable:
+            self.owners.send_held_starts()
 
     @rule(choice=st.randoms(use_true_random=False), is_seen=st.booleans())
     def crash(self, choice, is_seen):
@@ -225,18 +228,18 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def crash_before_a_start_is_carried_out(self, choice):
-        if self.owners.late:
-            worker_id = choice.choice(self.owners.late).worker_id
+        if self.owners.delayed_starts:
+            worker_id = choice.choice(self.owners.delayed_starts).worker_id
             self.owners.pass_time(0.5)
             self.owners.crash(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def carry_out_late(self, choice):
-        if self.owners.late:
-            order = choice.choice(self.owners.late)
-            self.owners.late.remove(order)
+        if self.owners.delayed_starts:
+            order = choice.choice(self.owners.delayed_starts)
+            self.owners.delayed_starts.remove(order)
             self.owners.workers[order.worker_id].start(order)
-            self.owners.crash_if_it_must(order.worker_id)
+            self.owners.crash_if_due(order.worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def end(self, choice):
@@ -244,63 +247,68 @@
         if running:
             worker_id, key = choice.choice(running)
             self.owners.workers[worker_id].end(key, EndKind.DONE)
-            self.owners.learn()
+            self.owners.detect_crashes()
             self.owners.pass_time(0.1)
 
     @invariant()
-    def no_task_that_crashes_workers_is_started_more_often_than_users_bear(self):
+    def no_crashing_task_exceeds_the_start_limit(self):
         assert not [
             key
-            for key, count in self.owners.starts.items()
-            if key.job_id in self.owners.crashing and count > MOST_STARTS
+            for key, count in self.owners.start_count_by_key.items()
+            if key.job_id in self.owners.crashing_job_ids and count > MAX_STARTS
         ]
 
     @invariant()
     def no_job_is_failed_without_a_task_under_which_workers_crashed(self):
         owners = self.owners
-        excused = {key.job_id for key, count in owners.crashes.items() if count >= CRASHES_THAT_EXCUSE}
-        for key, count in owners.crashes_where_assigned.items():
-            if count >= UNCERTAIN_CRASHES_THAT_EXCUSE:
-                excused.add(key.job_id)
-        assert not set(owners.failed_jobs()) - excused
+        allowed_to_fail = {
+            key.job_id for key, count in owners.crash_count_by_key.items() if count >= MIN_CRASHES_BEFORE_FAILURE
+        }
+        for key, count in owners.crash_count_by_assigned_key.items():
+            if count >= MIN_UNCERTAIN_CRASHES_BEFORE_FAILURE:
+                allowed_to_fail.add(key.job_id)
+        assert not set(owners.failed_jobs()) - allowed_to_fail
 
     @invariant()
     def no_task_runs_twice_at_a_time(self):
         assert not [key for key, count in Counter(key for _, key in self.owners.running()).items() if count > 1]
 
 
-Crashes.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None)
-TestCrashes = Crashes.TestCase
+CrashHistories.TestCase.settings = settings(max_examples=200, stateful_step_count=60, deadline=None)
+TestCrashHistories = CrashHistories.TestCase
+
 
+def apply_random_rule(machine, rng):
+    """Apply a random rule of the state machine.
 
-def draw_rule(machine, luck):
-    """Apply a rule of the machine with other odds: more time passes, and more ends and starts are lost with workers."""
-    fate = luck.choice(('answered', 'answered', 'unanswered'))
+    The weights differ from Hypothesis's draws: more time passes, and workers lose more ends and starts when they crash.
+    """
+    delivery = rng.choice(('answered', 'answered', 'unanswered'))
     rules = [
         lambda: machine.submit(
-            luck.choice((URGENT, ORDINARY)), luck.randint(1, 2), luck.choice((1, 8)), luck.random() < 0.5
+            rng.choice((URGENT, ORDINARY)), rng.randint(1, 2), rng.choice((1, 8)), rng.random() < 0.5
         ),
-        lambda: machine.decide(luck.choice((fate, 'late', 'owner ends'))),
-        lambda: machine.go_on(luck.choice((0.1, 0.3, 1.0, 2.0, 4.0)), fate),
+        lambda: machine.decide(rng.choice((delivery, 'late', 'owner ends'))),
+        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
         machine.change_owner,
-        lambda: machine.change_store(luck.random() < 0.4),
-        lambda: machine.crash(luck, luck.random() < 0.7),
-        lambda: machine.carry_out_late(luck),
-        lambda: machine.end(luck),
-        lambda: machine.crash_before_an_end_is_listed(luck),
-        lambda: machine.crash_before_a_start_is_carried_out(luck),
+        lambda: machine.change_store(rng.random() < 0.4),
+        lambda: machine.crash(rng, rng.random() < 0.7),
+        lambda: machine.carry_out_late(rng),
+        lambda: machine.end(rng),
+        lambda: machine.crash_before_an_end_is_listed(rng),
+        lambda: machine.crash_before_a_start_is_carried_out(rng),
     ]
-    odds = (1 if machine.jobs < MOST_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
-    (apply,) = luck.choices(rules, odds)
-    apply()
+    weights = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
+    (apply_rule,) = rng.choices(rules, weights)
+    apply_rule()
 
 
 @pytest.mark.parametrize('seed', range(60))
-def test_crashes_under_owners_in_turn_are_counted_where_tasks_were(seed):
-    luck = random.Random(seed)
-    machine = Crashes()
-    for _ in range(MOST_STEPS):
-        draw_rule(machine, luck)
-        machine.no_task_that_crashes_workers_is_started_more_often_than_users_bear()
+def test_crashes_under_successive_owners_count_where_tasks_ran(seed):
+    rng = random.Random(seed)
+    machine = CrashHistories()
+    for _ in range(MAX_STEPS):
+        apply_random_rule(machine, rng)
+        machine.no_crashing_task_exceeds_the_start_limit()
         machine.no_job_is_failed_without_a_task_under_which_workers_crashed()
         machine.no_task_runs_twice_at_a_time()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -1,11 +1,9 @@
-"""Tasks under which workers crash.
-
-A task that crashed each worker that started it was started again for as long as
-its job lasted: fifteen workers in fifty seconds, each gone 10 ms after the start,
-and their neighbours' work with them. An end by the death of the worker counted
-against no task; only ends that a worker survives to report did. The owner's log held
-`worker_over` and then `run_ordered` for the same task in the same millisecond,
-fifteen times, and no `run_ended` between them.
+"""Tests of the crash limit, for tasks that crash their workers.
+
+A task that crashed every worker it started on was restarted without limit: it crashed fifteen workers in fifty seconds,
+each within 10 ms of the start, and the other runs on them were lost. The cause was that a run lost with its worker
+counted against no task; only ends that a worker reported did. The log of the owner showed `worker_over` followed by
+`run_ordered` for the same task in the same millisecond, fifteen times, without a `run_ended` in between.
 """
 
 import random
@@ -18,19 +16,19 @@
 from .pool import PATIENT, Pool, task, URGENT
 
 A, B = 'a' * 16, 'b' * 16
-CRASHING = TaskKey(A, 0, 0, 0)
-# Starts of a task that crashes workers which its users bear: three that tell, two more.
-MOST_STARTS = 5
+CRASHING_TASK = TaskKey(A, 0, 0, 0)
+# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
+MAX_STARTS = 5
 
 
 def starts_of(effects, key):
     return [effect for effect in effects if isinstance(effect, StartRun) and effect.key == key]
 
 
-def crashes_under(pool, key, most=12, ran_s=0.0):
-    """Let each worker crash that starts a task; return how many did."""
+def crash_on_each_start(pool, key, max_rounds=12, ran_s=0.0):
+    """Crash every worker that starts a task; return the number of crashes."""
     crashed = 0
-    for _ in range(most):
+    for _ in range(max_rounds):
         for effect in starts_of(pool.step(0.5), key):
             pool.now_s += ran_s
             pool.survey(effect.worker_id)
@@ -49,47 +47,47 @@
 def test_a_task_that_crashes_each_worker_that_starts_it_is_given_up():
     pool = Pool()
     pool.submit(A, task(1))
-    assert crashes_under(pool, TaskKey(A, 0, 0, 0)) == 3
+    assert crash_on_each_start(pool, TaskKey(A, 0, 0, 0)) == 3
     assert pool.scheduler.job_by_id[A].phase == 'failed'
 
 
 @pytest.mark.parametrize('ran_s', [0.0, 0.4, 2.5, 6.0])
 @pytest.mark.parametrize('queue', [URGENT, PATIENT])
-def test_it_is_given_up_however_long_it_ran_and_its_neighbours_are_not(ran_s, queue):
-    """Seven tasks of other jobs fit beside it on each worker."""
+def test_a_crashing_task_is_given_up_regardless_of_run_time_and_unrelated_tasks_are_not(ran_s, queue):
+    """Seven tasks of unrelated jobs fit on each worker beside the crashing one."""
     pool = Pool(workers=4)
     for number in range(28):
         pool.submit(f'{number:016x}', task(1, work_s=30.0), queue=PATIENT)
     pool.submit(A, task(1, work_s=8.0), queue=queue)
-    assert crashes_under(pool, CRASHING, most=160, ran_s=ran_s) <= MOST_STARTS
+    assert crash_on_each_start(pool, CRASHING_TASK, max_rounds=160, ran_s=ran_s) <= MAX_STARTS
     assert phase(pool) == 'failed'
     assert all(phase(pool, f'{number:016x}') != 'failed' for number in range(28))
 
 
-def test_a_suspect_runs_on_a_worker_of_its_own_until_it_has_outlived_the_suspicion():
+def test_a_suspect_runs_isolated_until_it_has_outlasted_its_earlier_runs():
     pool = Pool(workers=2)
     pool.submit(A, task(1))
-    first = pool.step()[0]
-    pool.crash(first.worker_id)
+    first_start = pool.step()[0]
+    pool.crash(first_start.worker_id)
     pool.keep_progress()
     suspect = pool.step(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
-    beside = {effect.worker_id for effect in pool.step(0.1)}
-    assert suspect.worker_id not in beside
+    other_workers = {effect.worker_id for effect in pool.step(0.1)}
+    assert suspect.worker_id not in other_workers
     pool.now_s += 1.5
     pool.survey(suspect.worker_id)
     assert {effect.worker_id for effect in pool.step(0.1)} == {suspect.worker_id}
 
 
-def test_a_suspect_does_not_wait_for_ever_for_a_worker_of_its_own():
+def test_a_suspect_does_not_wait_forever_for_an_empty_worker():
     pool = Pool(workers=2)
     for job_id in ('c' * 16, 'd' * 16):
         pool.submit(job_id, task(1, accelerators=7, work_s=60.0))
     pool.submit(A, task(1))
-    pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING))
+    pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING_TASK))
     pool.keep_progress()
-    waited = [bool(starts_of(pool.step(0.5), CRASHING)) for _ in range(6)]
-    assert any(waited)
+    has_started = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
+    assert any(has_started)
 
 
 def test_a_gang_is_given_up_for_the_member_that_crashes_its_workers():
@@ -105,42 +103,45 @@
         pool.keep_progress()
     assert crashed == 3
     assert phase(pool) == 'failed'
-    counted = pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
-    assert set(counted) == {3}
+    crashes_by_index = pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
+    assert set(crashes_by_index) == {3}
 
 
-def test_the_count_outlasts_the_owner():
-    first = Pool()
-    first.submit(A, task(1))
-    assert crashes_under(first, CRASHING, most=2) == 2
-    heir = Pool(epoch=9)
-    heir.spec_by_id = first.spec_by_id
-    kept = first.scheduler.job_by_id[A]
-    heir.scheduler.add_job(kept.spec, kept.queue, heir.now, progress=kept.progress())
-    assert crashes_under(heir, CRASHING) == 1
-    assert phase(heir) == 'failed'
+def test_crash_counts_persist_across_owners():
+    previous_owner = Pool()
+    previous_owner.submit(A, task(1))
+    assert crash_on_each_start(previous_owner, CRASHING_TASK, max_rounds=2) == 2
+    next_owner = Pool(epoch=9)
+    next_owner.spec_by_id = previous_owner.spec_by_id
+    job = previous_owner.scheduler.job_by_id[A]
+    next_owner.scheduler.add_job(job.spec, job.queue, next_owner.now, progress=job.progress())
+    assert crash_on_each_start(next_owner, CRASHING_TASK) == 1
+    assert phase(next_owner) == 'failed'
 
 
-def test_the_next_owner_gives_up_what_the_one_before_had_no_time_to():
-    first = Pool()
-    first.submit(A, task(1, work_s=8.0))
+def test_the_next_owner_gives_up_a_task_over_the_crash_limit():
+    previous_owner = Pool()
+    previous_owner.submit(A, task(1, work_s=8.0))
     for _ in range(3):
-        (start,) = starts_of(first.step(0.5), CRASHING)
-        first.now_s += 2.0
-        first.survey(start.worker_id)
-        first.crash(start.worker_id)
-        first.keep_progress()
-    assert phase(first) == 'running'
-    heir = Pool(epoch=9)
-    heir.spec_by_id = first.spec_by_id
-    kept = first.scheduler.job_by_id[A]
-    heir.scheduler.add_job(kept.spec, kept.queue, heir.now, progress=kept.progress())
-    assert not heir.step(0.1)
-    assert phase(heir) == 'failed'
-
-
-def test_a_suspect_starts_again_only_once_its_crashes_are_kept():
-    """A next owner would know of none: with the store refusing, three owners in turn started a task six times."""
+        (start,) = starts_of(previous_owner.step(0.5), CRASHING_TASK)
+        previous_owner.now_s += 2.0
+        previous_owner.survey(start.worker_id)
+        previous_owner.crash(start.worker_id)
+        previous_owner.keep_progress()
+    assert phase(previous_owner) == 'running'
+    next_owner = Pool(epoch=9)
+    next_owner.spec_by_id = previous_owner.spec_by_id
+    job = previous_owner.scheduler.job_by_id[A]
+    next_owner.scheduler.add_job(job.spec, job.queue, next_owner.now, progress=job.progress())
+    assert not next_owner.step(0.1)
+    assert phase(next_owner) == 'failed'
+
+
+def test_a_suspect_starts_again_only_once_its_crashes_are_saved():
+    """The next owner would not know of crashes that were not saved.
+
+    While the store refused writes, three successive owners started one task six times.
+    """
     pool = Pool()
     pool.submit(A, task(1))
     for _ in range(2):
@@ -150,7 +151,7 @@
     assert pool.step(0.1)
 
 
-def test_a_task_that_is_no_suspect_does_not_wait_for_the_store():
+def test_a_task_that_is_not_a_suspect_does_not_wait_for_the_store():
     pool = Pool()
     pool.submit(A, task(1))
     worker_id = pool.step(0.1)[0].worker_id
@@ -160,10 +161,10 @@
     assert pool.step(0.1)
 
 
-def fall_silent(pool, worker_id):
-    """Let a worker be out of touch until its lease has ended."""
+def lose_contact(pool, worker_id):
+    """Keep a worker unreachable until its lease has ended."""
     worker = pool.scheduler.worker_by_id[worker_id]
-    worker.lease.assume(pool.now_s + 5.0)
+    worker.lease.assume_until(pool.now_s + 5.0)
     pool.scheduler.worker_silent(worker_id, pool.now)
     pool.scheduler.unlist_worker(worker_id)
     for running_on, key in sorted(pool.running):
@@ -173,13 +174,13 @@
     pool.step(6.0)
 
 
-def test_a_worker_that_was_only_out_of_touch_counts_against_no_task():
+def test_a_worker_that_was_only_unreachable_counts_against_no_task():
     pool = Pool(workers=12)
     pool.submit(A, task(1))
     pool.step(0.1)
     for _ in range(6):
         worker_id, _ = next(iter(pool.running))
-        fall_silent(pool, worker_id)
+        lose_contact(pool, worker_id)
         pool.silent.discard(worker_id)
         pool.add_worker(worker_id, 'r0')
         pool.scheduler.worker_over(worker_id, pool.now)
@@ -192,104 +193,117 @@
     pool.submit(A, task(1))
     pool.step(0.1)
     worker_id, _ = next(iter(pool.running))
-    fall_silent(pool, worker_id)
+    lose_contact(pool, worker_id)
     step = pool.scheduler.job_by_id[A].step_by_key[0, 0]
     assert not step.crashes_by_index
     pool.scheduler.worker_over(worker_id, pool.now)
     assert [crash.worker_id for crash in step.crashes_by_index[0]] == [worker_id]
 
 
-def test_a_worker_that_leaves_as_it_said_counts_against_no_task():
+def test_a_worker_that_leaves_as_announced_counts_against_no_task():
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=20.0))
     for _ in range(6):
-        worker_id = starts_of(pool.step(0.1), CRASHING)[0].worker_id
+        worker_id = starts_of(pool.step(0.1), CRASHING_TASK)[0].worker_id
         pool.add_worker(worker_id, 'r0', draining=True, leaves_in_s=1.0)
         pool.crash(worker_id)
     assert not pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
 
 
-def test_a_task_that_lasts_is_not_given_up_for_the_deaths_that_it_sees_while_it_runs():
+def test_a_lasting_task_is_not_given_up_for_worker_crashes_during_its_run():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crashes_under(pool, CRASHING, ran_s=60.0) == 12
+    assert crash_on_each_start(pool, CRASHING_TASK, ran_s=60.0) == 12
     assert phase(pool) == 'running'
 
 
-def test_a_task_that_lasts_is_given_up_when_it_crashes_workers_as_it_starts():
+def test_a_lasting_task_is_given_up_if_it_crashes_workers_at_its_start():
     pool = Pool()
     pool.submit(A, task(1, lasting=True))
-    assert crashes_under(pool, CRASHING) == 3
+    assert crash_on_each_start(pool, CRASHING_TASK) == 3
     assert phase(pool) == 'failed'
 
 
-def play_crashes(seed, share=0.0, wave=0.0):
-    """Play a minute with crashing tasks, and workers that die by themselves; return their starts and who failed.
+def simulate_crashes(seed, crash_share=0.0, mass_crash_share=0.0):
+    """Simulate a minute with tasks that crash workers, and with unrelated crashes.
+
+    Parameters
+    ----------
+    seed : int
+        Seed of the random draws.
+    crash_share : float
+        Share of the workers that crash for other reasons every ten seconds, at independent times.
+    mass_crash_share : float
+        Share of the workers that crash at the same time every four seconds.
 
-    A share of the workers dies each ten seconds for other reasons, and another share all at once each four seconds.
+    Returns
+    -------
+    tuple of (int, set of str, int)
+        Largest number of starts of a crashing task, failed jobs without one, and number of jobs.
     """
-    luck = random.Random(seed)
+    rng = random.Random(seed)
     pool = Pool(workers=16)
     crashing = set()
     starts_by_key = {}
     for tick in range(240):
         if tick % 4 == 0 and tick < 160:
             job_id = f'{tick:016x}'
-            step = task(luck.randint(1, 6), accelerators=luck.choice((1, 2, 8)), work_s=luck.uniform(2.0, 9.0))
-            pool.submit(job_id, step._replace(gang=luck.random() < 0.3), queue=luck.choice((URGENT, PATIENT)))
-            if luck.random() < 0.15:
-                crashing.add(TaskKey(job_id, 0, 0, luck.randrange(step.task_count)))
+            step = task(rng.randint(1, 6), accelerators=rng.choice((1, 2, 8)), work_s=rng.uniform(2.0, 9.0))
+            pool.submit(job_id, step._replace(gang=rng.random() < 0.3), queue=rng.choice((URGENT, PATIENT)))
+            if rng.random() < 0.15:
+                crashing.add(TaskKey(job_id, 0, 0, rng.randrange(step.task_count)))
         started = [effect for effect in pool.step(0.25) if isinstance(effect, StartRun)]
         for effect in started:
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
-        dead = {effect.worker_id for effect in started if effect.key in crashing}
-        dead |= {worker_id for worker_id in pool.profiles if luck.random() < share / 40.0}
-        if wave and tick % 16 == 15:
-            dead |= set(luck.sample(sorted(pool.profiles), int(wave * len(pool.profiles))))
-        for worker_id in sorted(dead):
+        crashed_workers = {effect.worker_id for effect in started if effect.key in crashing}
+        crashed_workers |= {worker_id for worker_id in pool.profiles if rng.random() < crash_share / 40.0}
+        if mass_crash_share and tick % 16 == 15:
+            crashed_workers |= set(rng.sample(sorted(pool.profiles), int(mass_crash_share * len(pool.profiles))))
+        for worker_id in sorted(crashed_workers):
             pool.crash(worker_id)
         for worker_id in sorted(pool.profiles):
             pool.survey(worker_id)
         for worker_id, key in sorted(pool.running):
             run = pool.running.get((worker_id, key))
             work_s = pool.spec_by_id[key.job_id].steps[0].estimate_s
-            if run is not None and luck.random() < 0.25 / work_s:
+            if run is not None and rng.random() < 0.25 / work_s:
                 pool.end_unit(key, EndKind.DONE)
         pool.finish_stops()
         pool.keep_progress()
     failed = {job_id for job_id in pool.spec_by_id if phase(pool, job_id) == 'failed'}
-    most = max((starts_by_key.get(key, 0) for key in crashing), default=0)
-    return most, failed - {key.job_id for key in crashing}, len(pool.spec_by_id)
+    max_starts = max((starts_by_key.get(key, 0) for key in crashing), default=0)
+    return max_starts, failed - {key.job_id for key in crashing}, len(pool.spec_by_id)
 
 
 @pytest.mark.parametrize('seed', range(12))
 def test_no_unrelated_job_is_given_up_beside_crashing_ones(seed):
-    most, unrelated, _ = play_crashes(seed)
-    assert most <= MOST_STARTS
+    max_starts, unrelated, _ = simulate_crashes(seed)
+    assert max_starts <= MAX_STARTS
     assert not unrelated
 
 
-def test_few_unrelated_jobs_are_given_up_where_workers_also_die_by_themselves():
-    """A fifth of the workers dies each ten seconds: of a hundred jobs at most one is given up for it."""
+def test_few_unrelated_jobs_are_given_up_where_workers_also_crash_on_their_own():
+    """With a fifth of the workers crashing every ten seconds, at most 1% of all jobs are given up without a cause."""
     given_up = jobs = 0
     for seed in range(100, 115):
-        most, unrelated, all_jobs = play_crashes(seed, share=0.2)
-        assert most <= MOST_STARTS
+        max_starts, unrelated, all_jobs = simulate_crashes(seed, crash_share=0.2)
+        assert max_starts <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
 
 
 def test_few_unrelated_jobs_are_given_up_where_workers_crash_together():
-    """Of sixty jobs on workers a third of which crashed each four seconds, two to six were shown as failed.
+    """Guards against failing jobs for crashes that their tasks did not cause.
 
-    Three workers had crashed under a task of each, by nobody's fault: it had run for seconds, and seven other workers
-    crashed in the same moment.
+    With a third of the workers crashing every four seconds, two to six of sixty jobs were shown as failed. Three
+    workers had crashed under a task of each, but the task had been running for seconds and seven other workers crashed
+    at the same time.
     """
     given_up = jobs = 0
     for seed in range(200, 215):
-        most, unrelated, all_jobs = play_crashes(seed, wave=0.33)
-        assert most <= MOST_STARTS
+        max_starts, unrelated, all_jobs = simulate_crashes(seed, mass_crash_share=0.33)
+        assert max_starts <= MAX_STARTS
         given_up += len(unrelated)
         jobs += all_jobs
     assert given_up <= jobs / 100
@@ -311,12 +325,12 @@
 
 
 def test_crashes_of_a_task_are_discounted_twice_at_most():
-    """It may have caused some of the crashes that come together with others."""
+    """The task may have caused some of the crashes that coincide with others."""
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=30.0))
     starts = 0
     for _ in range(12):
-        for effect in starts_of(pool.step(0.5), CRASHING):
+        for effect in starts_of(pool.step(0.5), CRASHING_TASK):
             starts += 1
             pool.now_s += 3.0
             pool.survey(effect.worker_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Room that is made by stopping others, and room that is kept for those who wait."""
+"""Tests of preemption and of reservations of capacity for waiting work."""
 
 from dahliaarch_kernel.scheduler import StartRun, StopRun
 
@@ -7,7 +7,7 @@
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
 
-def test_urgent_work_within_its_guarantee_preempts_and_takes_the_room():
+def test_urgent_work_within_its_guarantee_preempts_and_starts_on_the_freed_capacity():
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 16})
     pool.submit(A, task(16, checkpoints=True), queue=PATIENT)
@@ -19,8 +19,8 @@
     assert [effect.key.job_id for effect in started] == [B, B]
 
 
-def test_guaranteed_work_that_first_finds_no_victims_preempts_as_soon_as_there_are_some():
-    """Kept room stayed kept for seconds and nothing was stopped meanwhile."""
+def test_guaranteed_work_that_first_finds_no_victims_preempts_as_soon_as_victims_exist():
+    """Capacity remained reserved for seconds while no run was preempted."""
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8, 'other': 8})
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=9.0), queue=URGENT, account='other')
@@ -34,7 +34,7 @@
     assert B in started
 
 
-def test_the_cheapest_victims_are_those_that_lose_nothing():
+def test_the_cheapest_victims_are_runs_with_checkpoints():
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8, checkpoints=True), queue=PATIENT)
@@ -59,8 +59,8 @@
     assert any(key.job_id == A for _, key in pool.running)
 
 
-def test_the_holder_of_a_reservation_is_tried_though_a_like_gang_was_blocked_by_that_reservation():
-    """A smaller gang of the same shape came first, failed, and stood for both for ever."""
+def test_the_holder_of_a_reservation_is_tried_although_that_reservation_blocked_a_similar_gang():
+    """The cached failed search of a smaller gang with the same search key blocked both gangs forever."""
     pool = Pool(workers=3)
     wide = {'accelerators': 8, 'gang': True, 'work_s': 6.0}
     pool.submit(A, task(2, accelerators=8, work_s=4.0), queue=PATIENT)
@@ -76,7 +76,7 @@
 
 
 def test_two_urgent_gangs_do_not_reserve_the_same_room():
-    """Each was kept from the other's reservation and both waited until the reservations were stale."""
+    """Each gang was blocked by the other's reservation, and both waited until the reservations were stale."""
     pool = Pool(workers=4)
     pool.submit(A, task(4, accelerators=8, checkpoints=True), queue=PATIENT)
     pool.step()
@@ -89,7 +89,7 @@
     assert started == {B, C}
 
 
-def test_guaranteed_work_stops_ordinary_work_before_urgent_work_of_others():
+def test_guaranteed_work_preempts_patient_work_before_urgent_work_of_other_accounts():
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8})
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
@@ -103,8 +103,8 @@
     assert stopped == [A]
 
 
-def test_urgent_work_stops_others_on_fast_workers_first():
-    """It waited for stops and then ran where it took longer: both together made it late."""
+def test_urgent_work_preempts_on_fast_workers_first():
+    """Preemption on slow workers made urgent work late: it waited for the stops and then ran longer."""
     pool = Pool(workers=6)
     learn_slow_workers(pool, {'w0', 'w1'})
     pool.submit(A, task(6, accelerators=8), queue=PATIENT)
@@ -115,8 +115,8 @@
     assert not stopped & {'w0', 'w1'}
 
 
-def test_urgent_work_uses_room_that_is_kept_for_a_waiting_gang():
-    """It stopped other work instead, beside accelerators that stood idle for the gang."""
+def test_urgent_work_uses_capacity_reserved_for_a_waiting_gang():
+    """It preempted other work instead, while accelerators reserved for the gang were idle."""
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8, work_s=9.0), queue=ORDINARY)
     pool.step()
--- a/packages/kernel/dahliaarch_kernel/scheduler/workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/workers.py
@@ -60,29 +60,29 @@
         """Whether the worker's clock has been read."""
         return self._clock_s is not None
 
-    def read(self, clock_s: float, now_s: float) -> None:
+    def record_clock(self, clock_s: float, now_s: float) -> None:
         """Record a reading of the worker's clock, which shows at least ``clock_s`` at ``now_s``."""
         if self._clock_s is None or clock_s >= self._clock_s:
             self._clock_s = clock_s
             self._read_at_s = now_s
 
-    def until(self, hold_s: float, now_s: float) -> float:
-        """Return the end, on the worker's clock, of a lease of ``hold_s`` from now."""
+    def end_of(self, lease_s: float, now_s: float) -> float:
+        """Return the end, on the worker's clock, of a lease of ``lease_s`` from now."""
         if self._clock_s is None:
             return 0.0
-        return self._clock_s + (now_s - self._read_at_s) + hold_s
+        return self._clock_s + (now_s - self._read_at_s) + lease_s
 
-    def sent(self, until_s: float) -> None:
+    def record_sent(self, until_s: float) -> None:
         """Record a lease end that was sent, whether it was answered or not; the lease is never shortened."""
         self._until_s = max(self._until_s, until_s)
 
-    def assume(self, latest_end_s: float) -> None:
+    def assume_until(self, latest_end_s: float) -> None:
         """Assume that a previous owner granted a lease until ``latest_end_s`` at the latest."""
         self._assumed_until_s = max(self._assumed_until_s, latest_end_s)
 
-    def assume_held(self, hold_s: float, now_s: float) -> None:
-        """Assume that a previous owner granted leases of ``hold_s`` until now."""
-        self.assume(now_s + hold_s * _MAX_CLOCK_RATIO)
+    def assume_granted(self, lease_s: float, now_s: float) -> None:
+        """Assume that until now a previous owner granted leases of ``lease_s``."""
+        self.assume_until(now_s + lease_s * _MAX_CLOCK_RATIO)
 
     def latest_end_s(self) -> float:
         """Return the steady time after which the lease has ended and nothing runs on the worker any more."""
@@ -104,7 +104,7 @@
         self._refusals = 0
         self._until_s = float('-inf')
 
-    def refused(self, job_id: str, now_s: float) -> None:
+    def record_refusal(self, job_id: str, now_s: float) -> None:
         """Record that the worker refused a start of a job."""
         self._job_ids.add(job_id)
         # Starts in flight at the same time are refused together and count as one refusal.
@@ -113,7 +113,7 @@
         self._refusals += 1
         self._until_s = now_s + min(_INITIAL_BACKOFF_S * (1 << (self._refusals - 1)), _MAX_BACKOFF_S)
 
-    def started(self) -> None:
+    def record_start(self) -> None:
         """Record that the worker acknowledged a start."""
         self._job_ids.clear()
         self._refusals = 0
@@ -176,7 +176,7 @@
         self.slowdown = 1.0
 
     @property
-    def is_overfull(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether its runs hold more than its capacity, because the capacity has shrunk."""
         return min(self.free) < 0
 
--- a/packages/node/dahliaarch_node/configuration/follower.py
+++ b/packages/node/dahliaarch_node/configuration/follower.py
@@ -1,4 +1,4 @@
-"""The newest configuration that this process has seen."""
+"""Newest configuration that this process has received."""
 
 import anyio
 
@@ -7,8 +7,8 @@
     ChangeMismatchError,
     Configuration,
     ConfigurationChange,
-    difference,
-    EMPTY,
+    diff_configurations,
+    EMPTY_CONFIGURATION,
     NO_VERSION,
 )
 from dahliaarch_kernel.errors import ProtocolError
@@ -20,26 +20,26 @@
 
 
 class ConfigurationFollower:
-    """Holds the configuration in force; an older one never comes into force.
+    """Holds the active configuration and ignores versions that are not newer.
 
     Parameters
     ----------
     metrics : Metrics
-        Where the version is shown.
+        Receives the active version as a gauge.
 
     Attributes
     ----------
     current : Configuration or None
-        The configuration in force.
+        The active configuration; None until one has been received.
     revision : int
         Store revision at which it was written.
     updates : UpdateLog
-        What led to it, for peers that are behind.
+        Recent changes, for peers with older versions.
     changed : Event
-        Set when a version comes into force, and then replaced.
-    overtaken : Event
-        The same for versions that came from a peer: reading them from the store
-        as well is needless.
+        Set whenever a version becomes active, then replaced by a new event.
+    updated_by_peer : Event
+        The same, but only for versions received from a peer: they needn't be read
+        from the store as well.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -48,16 +48,16 @@
         self.revision = 0
         self.updates = UpdateLog()
         self.changed = anyio.Event()
-        self.overtaken = anyio.Event()
+        self.updated_by_peer = anyio.Event()
         self._metrics = metrics
 
     @property
     def version(self) -> int:
-        """Version in force; `NO_VERSION` for none."""
+        """Active version, or `NO_VERSION`."""
         return NO_VERSION if self.current is None else self.current.version
 
-    def take_document(self, text: bytes, revision: int) -> None:
-        """Put a document of the store in force if it is newer than the present version."""
+    def apply_document(self, text: bytes, revision: int) -> None:
+        """Activate a document read from the store if it is newer than the active version."""
         try:
             document = decode_configuration(text)
         except ProtocolError as error:
@@ -65,22 +65,22 @@
             return
         if document.version <= self.version:
             return
-        change = difference(self.current or EMPTY, document)
-        self._put_in_force((change,), revision, 'store', len(text))
+        change = diff_configurations(self.current or EMPTY_CONFIGURATION, document)
+        self._activate((change,), revision, 'store', len(text))
 
-    def take_update(self, update: Update, source: str, size_bytes: int) -> None:
-        """Put what a peer has sent in force if it is newer than the present version."""
+    def apply_update(self, update: Update, source: str, size_bytes: int) -> None:
+        """Activate an update received from a peer if it is newer than the active version."""
         if update.version <= self.version:
             return
         try:
-            self._put_in_force(update.changes, update.revision, source, size_bytes)
+            self._activate(update.changes, update.revision, source, size_bytes)
         except ChangeMismatchError as error:
             log_event('configuration_update_unfit', source=source, why=str(error))
             return
-        overtaken, self.overtaken = self.overtaken, anyio.Event()
-        overtaken.set()
+        updated_by_peer, self.updated_by_peer = self.updated_by_peer, anyio.Event()
+        updated_by_peer.set()
 
-    def _put_in_force(
+    def _activate(
         self,
         changes: tuple[ConfigurationChange, ...],
         revision: int,
@@ -106,7 +106,7 @@
 
     def _apply(self, changes: tuple[ConfigurationChange, ...]) -> Configuration:
         is_whole = changes[0].base == NO_VERSION
-        found = EMPTY if is_whole else self.current or EMPTY
+        configuration = EMPTY_CONFIGURATION if is_whole else self.current or EMPTY_CONFIGURATION
         for change in changes:
-            found = apply_change(found, change)
-        return found
+            configuration = apply_change(configuration, change)
+        return configuration
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests on any instance."""
+"""Handles requests of callers; every instance can answer them."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -35,31 +35,31 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, HOLD_S, keep_cancellation, keep_job, WriteOutcome
-
-# Longest wait for the owner's answer, in seconds: a lost packet is sent again
-# within it, and the store can still be asked after.
-_ASK_OWNER_S = 0.4
-# How long a question for a state waits for an end that is near, in seconds.
-# Callers ask as their last task ends, shortly before that end is kept, and an urgent
-# job may be late by the time they ask again.
+from .acceptance import Fate, keep_cancellation, keep_job, STORE_WRITE_TIMEOUT_S, WriteOutcome
+
+# Timeout of requests to the owner, in seconds: long enough for the retransmission of
+# a lost packet, and short enough to query the store afterwards.
+_OWNER_TIMEOUT_S = 0.4
+# How long the owner may delay its reply to a state request while the job is about to
+# end, in seconds. Callers ask when their last task ends, shortly before that end is
+# stored, and an urgent job may be late by the time they ask again.
 _END_WAIT_S = 0.25
-# Longest try at an own write before the owner is asked to make it, in seconds.
-_OWN_TRY_S = 0.35
-# Longest wait for a read of the store, in seconds.
-_READ_S = 0.6
-# When a caller may come again after a refusal, in whole seconds.
+# Time limit for writing to the store directly, before the owner is asked to, in seconds.
+_LOCAL_WRITE_TIMEOUT_S = 0.35
+# Timeout of reads from the store, in seconds.
+_STORE_READ_TIMEOUT_S = 0.6
+# Value of the Retry-After header of refusals, in whole seconds.
 _RETRY_AFTER_S = 1
 _JOB_ID_LENGTH = 16
 _HEX_DIGITS = frozenset('0123456789abcdef')
 _TOKEN_SCHEME = 'Token '  # noqa: S105
 
 
-_Keep = Callable[[float], Awaitable[WriteOutcome]]
+_StoreWrite = Callable[[float], Awaitable[WriteOutcome]]
 
 
-class _Call(NamedTuple):
-    """A request whose queue and account are known."""
+class _AuthorizedRequest(NamedTuple):
+    """A request with its queue, client account and job id, after authorization."""
 
     request: Request
     queue: Queue
@@ -68,20 +68,20 @@
 
 
 class Front:
-    """Checks, keeps and answers requests.
+    """Checks, stores and answers requests of callers.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the active configuration.
     ownership : Ownership
-        Who owns the pool.
+        Provides the owner of the pool.
     mesh : Mesh
-        Messages to the owner.
+        Sends messages to the owner.
     metrics : Metrics
-        Counters.
+        Counts requests and measures their latency.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         mesh: Mesh,
         metrics: Metrics,
     ) -> None:
-        """Prepare to answer."""
+        """Store the collaborators."""
         self._store = store
         self._follower = follower
         self._ownership = ownership
@@ -100,22 +100,22 @@
         self._metrics = metrics
 
     async def answer(self, request: Request) -> Response:
-        """Answer one request; never raises."""
-        begun_s = time.monotonic()
+        """Answer one request; exceptions result in status 500."""
+        started_s = time.monotonic()
         try:
             operation, response = await self._route(request)
         except Exception as error:
             log_event('request_failed', method=request.method, target=request.target, why=repr(error))
             operation, response = 'failed', Response(HTTPStatus.INTERNAL_SERVER_ERROR)
         self._metrics.requests.labels(operation, str(int(response.status))).inc()
-        self._metrics.request_s.labels(operation).observe(time.monotonic() - begun_s)
+        self._metrics.request_s.labels(operation).observe(time.monotonic() - started_s)
         if response.status >= HTTPStatus.BAD_REQUEST or operation in _LOGGED_OPERATIONS:
             log_event(
                 'request_answered',
                 operation=operation,
                 target=request.target,
                 status=int(response.status),
-                took_s=round(time.monotonic() - begun_s, 4),
+                took_s=round(time.monotonic() - started_s, 4),
                 configuration=self._follower.version,
             )
         return response
@@ -134,14 +134,14 @@
         except AccessDeniedError:
             return 'no_access', Response(HTTPStatus.UNAUTHORIZED)
         job_id = request.path.removeprefix(queue.path_prefix).lstrip('/')
-        call = _Call(request, queue, account, job_id)
+        call = _AuthorizedRequest(request, queue, account, job_id)
         if not job_id:
             return 'pending', await self._pending(call)
         if len(job_id) != _JOB_ID_LENGTH or not _HEX_DIGITS.issuperset(job_id):
             return 'malformed', Response(HTTPStatus.BAD_REQUEST)
         return await self._job_operation(call)
 
-    async def _job_operation(self, call: _Call) -> tuple[str, Response]:
+    async def _job_operation(self, call: _AuthorizedRequest) -> tuple[str, Response]:
         match call.request.method:
             case 'POST':
                 return 'submit', await self._submit(call)
@@ -151,7 +151,7 @@
                 return 'cancel', await self._cancel(call)
         return 'malformed', Response(HTTPStatus.METHOD_NOT_ALLOWED)
 
-    async def _submit(self, call: _Call) -> Response:
+    async def _submit(self, call: _AuthorizedRequest) -> Response:
         try:
             spec = decode_job(call.request.body, call.job_id, call.account, call.queue.name, time.time())
             check_job(spec)
@@ -160,37 +160,37 @@
             return _json(HTTPStatus.BAD_REQUEST, {'error': str(error)})
         owner = self._ownership.owner
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
-        keep = partial(keep_job, self._store, call.job_id, record)
-        outcome = await self._keep(keep, AcceptJob(call.job_id, record))
+        write_to_store = partial(keep_job, self._store, call.job_id, record)
+        outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
-        return _answer_to_write(outcome)
+        return _write_response(outcome)
 
-    async def _cancel(self, call: _Call) -> Response:
-        known = await self._ask_owner(AskState(call.job_id))
-        if isinstance(known, StateReply) and known.is_known:
-            if known.has_ended:
+    async def _cancel(self, call: _AuthorizedRequest) -> Response:
+        reply = await self._ask_owner(AskState(call.job_id))
+        if isinstance(reply, StateReply) and reply.is_known:
+            if reply.has_ended:
                 return Response(HTTPStatus.OK)
         elif self._store.is_suspect:
-            return _answer_to_write(await self._keep_through_owner(AcceptCancel(call.job_id)))
+            return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
         else:
             try:
-                item = await self._store.get(job_key(call.job_id), timeout_s=_READ_S)
+                item = await self._store.get(job_key(call.job_id), timeout_s=_STORE_READ_TIMEOUT_S)
             except STORE_FAILURES as error:
                 log_event('cancel_outcome_unknown', job=call.job_id, why=str(error))
-                return _answer_to_write(await self._keep_through_owner(AcceptCancel(call.job_id)))
+                return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
             if item is None:
                 return Response(HTTPStatus.GONE)
-        keep = partial(keep_cancellation, self._store, call.job_id)
-        outcome = await self._keep(keep, AcceptCancel(call.job_id))
+        write_to_store = partial(keep_cancellation, self._store, call.job_id)
+        outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
         if outcome.fate is Fate.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
-        return _answer_to_write(outcome)
+        return _write_response(outcome)
 
-    async def _state(self, call: _Call) -> Response:
-        known = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
-        if isinstance(known, StateReply) and known.is_known:
-            return _json(HTTPStatus.OK, {'State': known.phase})
+    async def _state(self, call: _AuthorizedRequest) -> Response:
+        reply = await self._ask_owner(AskState(call.job_id, _END_WAIT_S), _END_WAIT_S)
+        if isinstance(reply, StateReply) and reply.is_known:
+            return _json(HTTPStatus.OK, {'State': reply.phase})
         if self._store.is_suspect:
             log_event('state_unknown', job=call.job_id, why='the store does not answer')
             return _unavailable()
@@ -201,14 +201,14 @@
             return _unavailable()
 
     async def _state_in_store(self, job_id: str) -> Response:
-        """Read a job's state: only a read as of now may say that there is none."""
-        if await self._store.get(job_key(job_id), timeout_s=_READ_S) is None:
+        """Read a job's state from the store; only a current read may report that the job doesn't exist."""
+        if await self._store.get(job_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S) is None:
             return Response(HTTPStatus.GONE)
-        item = await self._store.get(progress_key(job_id), timeout_s=_READ_S)
+        item = await self._store.get(progress_key(job_id), timeout_s=_STORE_READ_TIMEOUT_S)
         phase = 'queued' if item is None else decode(item.value, JobProgress, 'progress').phase
         return _json(HTTPStatus.OK, {'State': phase})
 
-    async def _pending(self, call: _Call) -> Response:
+    async def _pending(self, call: _AuthorizedRequest) -> Response:
         if call.request.method != 'GET':
             return Response(HTTPStatus.METHOD_NOT_ALLOWED)
         reply = await self._ask_owner(AskPending(call.queue.name))
@@ -223,31 +223,31 @@
             return None
         address = (owner.member.host, owner.member.port)
         try:
-            return await self._mesh.ask(address, message, timeout_s=_ASK_OWNER_S + wait_s)
+            return await self._mesh.ask(address, message, timeout_s=_OWNER_TIMEOUT_S + wait_s)
         except PeerSilentError as error:
             log_event('owner_silent', owner=owner.member.instance, epoch=owner.epoch, why=str(error))
             return None
 
-    async def _keep(self, keep: _Keep, message: AcceptJob | AcceptCancel) -> WriteOutcome:
-        """Write, and let the owner write what the store does not take from this instance."""
+    async def _write(self, write_to_store: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+        """Write to the store; ask the owner to write if that fails here."""
         if self._ownership.owner is None or self._ownership.is_own:
-            return await keep(HOLD_S)
-        own = await keep(_OWN_TRY_S)
+            return await write_to_store(STORE_WRITE_TIMEOUT_S)
+        own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
         if own.fate is Fate.KEPT:
             return own
-        other = await self._keep_through_owner(message)
+        other = await self._write_through_owner(message)
         if other.fate is Fate.NOT_KEPT and own.fate is Fate.UNKNOWN:
             return own
         return other
 
-    async def _keep_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
-        """Let the owner write what the store would not take from this instance."""
+    async def _write_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
+        """Ask the owner to write what this instance could not write to the store."""
         owner = self._ownership.owner
         if owner is None or self._ownership.is_own:
             return WriteOutcome(Fate.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
-            reply = await self._mesh.ask(address, message, timeout_s=HOLD_S - _OWN_TRY_S)
+            reply = await self._mesh.ask(address, message, timeout_s=STORE_WRITE_TIMEOUT_S - _LOCAL_WRITE_TIMEOUT_S)
         except PeerSilentError as error:
             log_event('write_through_owner_unanswered', job=message.job_id, why=str(error))
             return WriteOutcome(Fate.UNKNOWN)
@@ -274,7 +274,7 @@
 }
 
 
-def _answer_to_write(outcome: WriteOutcome) -> Response:
+def _write_response(outcome: WriteOutcome) -> Response:
     if outcome.fate is Fate.NOT_KEPT:
         return _unavailable()
     return Response(_STATUS_BY_FATE[outcome.fate])
--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -23,10 +23,10 @@
 # Interval of checks for further instances to ask through, in seconds.
 _ASKERS_POLL_S = 0.5
 
-Ask = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
+AskPolicyFunction = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
 
-class Adviser:
+class AdviceDispatcher:
     """Distributes questions over the instances that can reach the policy, one at a time to each.
 
     Parameters
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        askers: Callable[[], Sequence[Ask]],
+        askers: Callable[[], Sequence[AskPolicyFunction]],
         post: Callable[[OwnerMessage], None],
         name_of: Callable[[str], str],
         clock: Callable[[], float],
@@ -86,7 +86,7 @@
             else:
                 self._report_failure(question, 'no policy is configured')
 
-    async def _request_advice(self, question: AskAdvice, ask: Ask) -> None:
+    async def _request_advice(self, question: AskAdvice, ask: AskPolicyFunction) -> None:
         terms = question.terms
         decision_s = terms.decision_s + terms.per_worker_s * len(question.worker_ids)
         step = '.'.join(str(part) for part in question.step)
--- a/packages/node/dahliaarch_node/owner/link_settings.py
+++ b/packages/node/dahliaarch_node/owner/link_settings.py
@@ -16,7 +16,7 @@
 
     Parameters
     ----------
-    hold_s : float
+    lease_s : float
         Duration of the lease granted by each survey: the maximum that workers
         allow, so that runs survive a takeover or an outage.
     draining_lease_s : float
@@ -25,15 +25,15 @@
     start_lease_s : float
         Lease duration carried by a start order: a worker that processes the
         order after its end refuses it as late.
-    wait_s : float
+    survey_wait_s : float
         How long a worker delays the answer to a survey until a run ends; also
         the maximum age of reported progress.
-    idle_wait_s : float
+    idle_survey_wait_s : float
         The same for a worker on which nothing runs: the maximum that workers allow.
-    answer_s : float
+    answer_timeout_s : float
         Answer timeout in addition to that wait: long enough for a lost packet
         to be retransmitted.
-    max_answer_s : float
+    max_answer_timeout_s : float
         Upper bound of the answer timeout, which grows after failures. A worker that
         takes longer counts as silent, and its runs start elsewhere once its lease
         has ended.
@@ -45,8 +45,8 @@
         milliseconds, and the order can be repeated safely.
     max_start_attempts : int
         Maximum number of attempts of a start before it is revoked.
-    max_turn_wait_s : float
-        Maximum time that a start waits for its turn at a worker that leaves starts
+    max_slot_wait_s : float
+        Maximum time that a start waits for a slot at a worker that leaves starts
         unanswered; a start that waits longer is dropped, as its task may start
         elsewhere.
     retry_s : float
@@ -59,24 +59,24 @@
         store, relisting thirty ends on each of 176 workers took 0.7 MB/s.
     """
 
-    hold_s: float = 6.0
+    lease_s: float = 6.0
     draining_lease_s: float = 2.0
     start_lease_s: float = 2.0
-    wait_s: float = 1.0
-    idle_wait_s: float = 2.0
-    answer_s: float = 0.6
-    max_answer_s: float = 2.4
+    survey_wait_s: float = 1.0
+    idle_survey_wait_s: float = 2.0
+    answer_timeout_s: float = 0.6
+    max_answer_timeout_s: float = 2.4
     hedge_delay_s: float = 0.2
     first_hedge_delay_s: float = 0.1
     start_timeout_s: float = 0.3
     max_start_attempts: int = 3
-    max_turn_wait_s: float = 0.4
+    max_slot_wait_s: float = 0.4
     retry_s: float = 0.25
     acknowledgement_wait_s: float = 0.4
     acknowledgement_wait_per_end_s: float = 0.04
 
 
-class StartTurns(NamedTuple):
+class StartLimits(NamedTuple):
     """Concurrency limits of start requests; urgent ones have their own, so that others never delay them."""
 
     urgent: anyio.Semaphore
@@ -110,7 +110,7 @@
         Called when a worker refuses a request because it has seen a newer owner.
     clock : callable
         Steady clock.
-    turns : StartTurns
+    start_limits : StartLimits
         Limits of concurrent start requests over all links.
     may_order : callable
         Returns whether this instance is certain to own the pool now.
@@ -123,5 +123,5 @@
     post: Callable[[OwnerMessage], None]
     on_fenced: Callable[[], None]
     clock: Callable[[], float]
-    turns: StartTurns
+    start_limits: StartLimits
     may_order: Callable[[], bool] = _always
--- a/packages/node/dahliaarch_node/owner/links.py
+++ b/packages/node/dahliaarch_node/owner/links.py
@@ -14,9 +14,9 @@
     OrderStatus,
     Survey,
     WORKER_FAILURES,
+    WorkerHandshakeError,
     WorkerReplacedError,
     WorkerUnansweredError,
-    WorkerUngreetedError,
     WorkerUnreachableError,
 )
 
@@ -50,17 +50,17 @@
         """Initialize the link without contacting the worker."""
         self.incarnation = incarnation
         self.address = address
-        self.acknowledged = 0
-        self.listed = 0
-        self.processed = 0
+        self.last_acknowledged_end = 0
+        self.last_listed_end = 0
+        self.last_processed_end = 0
         # When the last unanswered acknowledgement was sent; the worker may still process it later.
-        self.unanswered_at_s = -math.inf
+        self.unanswered_acknowledgement_s = -math.inf
         # When the worker was inherited from the previous owner, which may have sent it an acknowledgement
         # that was never answered.
-        self.inherited_at_s = -math.inf
+        self.inherited_s = -math.inf
         # Whether a survey that lists running tasks shows that the worker lists ends too: the previous owner
         # had probed it before it started anything there.
-        self.is_trusted_at_work = False
+        self.is_probed_if_running = False
         # When the last survey was answered.
         self.last_contact_s = -math.inf
         # Numbers of the ends listed in the latest answer.
@@ -91,13 +91,13 @@
         self._contact.is_draining = is_draining
 
     @property
-    def is_overfull(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether the running tasks exceed the capacity that the worker reports."""
-        return self._contact.is_overfull
+        return self._contact.is_overcommitted
 
-    @is_overfull.setter
-    def is_overfull(self, is_overfull: bool) -> None:
-        self._contact.is_overfull = is_overfull
+    @is_overcommitted.setter
+    def is_overcommitted(self, is_overcommitted: bool) -> None:
+        self._contact.is_overcommitted = is_overcommitted
 
     @property
     def may_hide_ends(self) -> bool:
@@ -128,15 +128,15 @@
         """Cancel the surveys and all pending orders."""
         self._contact.cancel_scope.cancel()
 
-    def look_again(self) -> None:
+    def survey_now(self) -> None:
         """Abort the pending survey and start a new one, e.g. because the worker may have restarted."""
         if self._survey_abort is not None and not self._survey_abort.done():
             self._survey_abort.set_result(None)
 
     def acknowledge(self, number: int) -> None:
         """Acknowledge ends up to a number in the next survey: the store holds them."""
-        if number > self.acknowledged:
-            self.acknowledged = number
+        if number > self.last_acknowledged_end:
+            self.last_acknowledged_end = number
             acknowledgement_event, self._acknowledgement_event = self._acknowledgement_event, anyio.Event()
             acknowledgement_event.set()
 
@@ -168,10 +168,10 @@
             await self._handle_failed_survey(error)
             return
         except WORKER_FAILURES as error:
-            self._lease.sent(lease_end_s or 0.0)
+            self._lease.record_sent(lease_end_s or 0.0)
             await self._handle_failed_survey(error)
             return
-        self._lease.sent(lease_end_s or 0.0)
+        self._lease.record_sent(lease_end_s or 0.0)
         if isinstance(survey, OrderStatus):
             await self._handle_refused_survey(survey)
             return
@@ -179,7 +179,7 @@
         self.last_contact_s = context.clock()
         if not self._lease.has_reading:
             # Before this answer a previous owner may have granted the longest possible lease.
-            self._lease.assume_held(settings.hold_s, context.clock())
+            self._lease.assume_granted(settings.lease_s, context.clock())
         self._contact.record_clock(survey.clock_s)
         self._process_survey(survey, survey_start)
         if lease_end_s is not None or not context.may_order():
@@ -194,13 +194,13 @@
         Ends that the worker no longer lists are not acknowledged again: an unanswered
         acknowledgement may be processed late, by another incarnation.
         """
-        return max((number for number in self._listed_numbers if number <= self.acknowledged), default=0)
+        return max((number for number in self._listed_numbers if number <= self.last_acknowledged_end), default=0)
 
     @property
     def _lease_duration_s(self) -> float:
         """Duration of the lease that a survey grants."""
         settings = self._context.settings
-        return settings.draining_lease_s if self.is_draining else settings.hold_s
+        return settings.draining_lease_s if self.is_draining else settings.lease_s
 
     async def _survey_with_hedge(self, lease_end_s: float | None, wait_s: float) -> Survey | OrderStatus:
         """Survey the worker, with a hedged request when the answer is late.
@@ -208,7 +208,7 @@
         The worker is reported silent when the answer is late after an earlier failure.
         """
         context = self._context
-        late_s = wait_s + context.settings.answer_s
+        late_s = wait_s + context.settings.answer_timeout_s
         loop = asyncio.get_running_loop()
         timers = [
             loop.call_later(late_s, self._report_late_answer),
@@ -222,25 +222,25 @@
         # After an unanswered acknowledgement the worker's next incarnation has to be probed, so a survey
         # that acknowledges is not aborted when a hedge is answered.
         self._is_acknowledging = bool(acknowledged)
-        earlier_s = self.unanswered_at_s
+        earlier_s = self.unanswered_acknowledgement_s
         if acknowledged:
             # Set before sending: other calls may close this link before the answer arrives.
-            self.unanswered_at_s = context.clock()
+            self.unanswered_acknowledgement_s = context.clock()
         try:
             survey = await self._session.survey(
                 acknowledged=acknowledged,
                 lease_until_s=lease_end_s,
                 wait_s=wait_s,
                 timeout_s=wait_s + self._answer_timeout_s(),
-                given_up=self._survey_abort,
+                cancellation=self._survey_abort,
             )
         except WorkerReplacedError:
-            self.unanswered_at_s = earlier_s
+            self.unanswered_acknowledgement_s = earlier_s
             raise
         except (WorkerUnansweredError, WorkerUnreachableError) as error:
             if isinstance(error, WorkerUnreachableError):
                 # The survey was never sent: the handshake that identifies the incarnation comes first.
-                self.unanswered_at_s = earlier_s
+                self.unanswered_acknowledgement_s = earlier_s
             if self._hedge_answer is None:
                 raise
             return self._hedge_answer
@@ -248,7 +248,7 @@
             for timer in timers:
                 timer.cancel()
             self._hedge_scope.cancel()
-        self.unanswered_at_s = earlier_s
+        self.unanswered_acknowledgement_s = earlier_s
         return survey
 
     def _start_hedge(self, left_s: float) -> None:
@@ -259,23 +259,23 @@
 
     async def _run_hedge(self, cancel_scope: anyio.CancelScope, left_s: float) -> None:
         """Send surveys without lease or acknowledgement until one is answered or the time is used up."""
-        answer_s = self._hedge_delay_s
+        answer_timeout_s = self._hedge_delay_s
         with cancel_scope:
             while left_s > 0:
                 try:
                     self._hedge_answer = await self._session.survey(
-                        acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_s, left_s)
+                        acknowledged=0, lease_until_s=None, wait_s=0.0, timeout_s=min(answer_timeout_s, left_s)
                     )
-                except (WorkerUnansweredError, WorkerUngreetedError):
-                    left_s -= answer_s
-                    answer_s += answer_s
+                except (WorkerUnansweredError, WorkerHandshakeError):
+                    left_s -= answer_timeout_s
+                    answer_timeout_s += answer_timeout_s
                     continue
                 except WORKER_FAILURES as error:
                     # The hedged survey either fails in the same way or is answered.
                     log_event('hedge_failed', worker=self._worker_id, why=str(error))
                     return
                 if not self._is_acknowledging:
-                    self.look_again()
+                    self.survey_now()
                 return
 
     @property
@@ -297,42 +297,42 @@
         """
         settings = self._context.settings
         doublings = min(self._contact.failures, _MAX_DOUBLINGS)
-        return min(settings.answer_s * (1 << doublings), settings.max_answer_s)
+        return min(settings.answer_timeout_s * (1 << doublings), settings.max_answer_timeout_s)
 
     def _survey_wait_s(self) -> float:
         """Return how long the worker may delay its answer to the next survey until a run ends."""
-        has_updates = self.listed > self.acknowledged or not self._lease.has_reading
+        has_updates = self.last_listed_end > self.last_acknowledged_end or not self._lease.has_reading
         # Acknowledgements are sent without a wait to keep the time in which they are unanswered short.
         if has_updates or self._contact.failures or self._last_acknowledgeable_end:
             return 0.0
         if self._orders.has_unresolved_stops:
             return _STOP_POLL_S
         settings = self._context.settings
-        longest_s = settings.idle_wait_s if self._is_idle else settings.wait_s
+        longest_s = settings.idle_survey_wait_s if self._is_idle else settings.survey_wait_s
         if self._contact.may_hide_ends:
             longest_s = _HIDDEN_END_POLL_S
         return min(longest_s, self._orders.max_survey_wait_s())
 
     async def _await_acknowledgement(self, survey: Survey) -> None:
         """Wait until the listed ends are stored: a survey before that would list them again immediately."""
-        if self.listed > self.acknowledged:
+        if self.last_listed_end > self.last_acknowledged_end:
             settings = self._context.settings
             pause_s = max(settings.acknowledgement_wait_s, settings.acknowledgement_wait_per_end_s * len(survey.ended))
             with anyio.move_on_after(min(pause_s, self._lease_duration_s / _SURVEYS_PER_LEASE)):
                 await self._acknowledgement_event.wait()
 
     def _process_survey(self, survey: Survey, survey_start: SurveyStart) -> None:
-        ended = tuple(listed.end for listed in survey.ended if listed.number > self.listed)
+        ended = tuple(listed.end for listed in survey.ended if listed.number > self.last_listed_end)
         for end in ended:
             self._context.metrics.run_ends.labels(end.kind.value).inc()
         self._listed_numbers = tuple(listed.number for listed in survey.ended)
         last_end = max(self._listed_numbers, default=0)
-        if self._listed_numbers or (self.is_trusted_at_work and survey.running):
+        if self._listed_numbers or (self.is_probed_if_running and survey.running):
             self._contact.may_hide_ends = False
         self._is_idle = not survey.running
         self._orders.reconcile(survey, survey_start)
         self._context.post(WorkerSurveyed(self._worker_id, survey.running, ended, last_end, survey_start.at_s))
-        self.listed = max(self.listed, last_end)
+        self.last_listed_end = max(self.last_listed_end, last_end)
 
     async def _handle_failed_survey(self, error: Exception) -> None:
         if isinstance(error, WorkerReplacedError):
@@ -359,7 +359,7 @@
         await anyio.sleep(self._context.settings.retry_s)
 
 
-# Maximum number of doublings of the answer timeout; by then max_answer_s applies.
+# Maximum number of doublings of the answer timeout; by then max_answer_timeout_s applies.
 _MAX_DOUBLINGS = 8
 # Minimum number of surveys per lease duration, so that one or two may be lost.
 _SURVEYS_PER_LEASE = 3
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -173,7 +173,7 @@
             with anyio.move_on_after(_MAX_FLUSH_INTERVAL_S):
                 await self.flush_requested.wait()
             self.flush_requested = anyio.Event()
-            if not (self._held_starts or self._scheduler.has_ends_to_keep):
+            if not (self._held_starts or self._scheduler.has_unsaved_ends):
                 await anyio.sleep(_BATCH_DELAY_S)
             await self._flush()
 
@@ -193,7 +193,7 @@
         processed_ends = self._processed_ends()
         pending = _PendingChanges(
             self._scheduler.take_dirty_jobs(),
-            self._scheduler.assignments.take_unkept(),
+            self._scheduler.assignments.take_unsaved(),
             self._held_starts.runs_by_part(),
         )
         roster_version = self._roster_version
@@ -231,7 +231,7 @@
         for change in changes:
             self._persisted_part_by_key.pop(change.key, None)
         self._scheduler.mark_dirty(pending.job_ids)
-        self._scheduler.assignments.mark_unkept(pending.parts)
+        self._scheduler.assignments.mark_unsaved(pending.parts)
         self.flush_requested.set()
 
     def _mark_persisted(self, batch: Iterable[_Change], pending: _PendingChanges) -> None:
@@ -246,7 +246,7 @@
 
     def _mark_progress_persisted(self, job_id: str, pending: _PendingChanges) -> None:
         pending.job_ids.discard(job_id)
-        if self._scheduler.mark_kept(job_id):
+        if self._scheduler.mark_saved(job_id):
             log_event('job_ended', job=job_id, phase=self._scheduler.job_by_id[job_id].phase)
             self._on_end_persisted(job_id)
 
@@ -298,7 +298,7 @@
         """Yield changes of assignments; a part without assignments is removed."""
         for part in parts:
             key = assignments_key(part)
-            assignments = self._scheduler.assignments.of_part(part)
+            assignments = self._scheduler.assignments.for_part(part)
             if any(assignments):
                 yield _Change(key, encode(assignments), part)
             elif self._revision(key):
--- a/packages/node/dahliaarch_node/owner/registry.py
+++ b/packages/node/dahliaarch_node/owner/registry.py
@@ -88,7 +88,7 @@
             link = WorkerLink(incarnation, address, worker.lease, self._context, fence)
             earlier = self._unanswered_by_name.get(incarnation.name)
             link.may_hide_ends = earlier is not None
-            link.is_trusted_at_work = earlier is not None and not earlier.is_own
+            link.is_probed_if_running = earlier is not None and not earlier.is_own
             worker.is_lapsed = worker.is_lapsed or incarnation.name in self._lapsed_roster_version_by_name
             self._link_by_id[worker.worker_id] = link
             self._link_by_name[incarnation.name] = link
@@ -111,7 +111,7 @@
     @property
     def max_late_run_s(self) -> float:
         """Maximum time after its sending until which a delayed start may run: its delay plus the longest lease."""
-        return _MAX_ORDER_DELAY_S + self._context.settings.hold_s
+        return _MAX_ORDER_DELAY_S + self._context.settings.lease_s
 
     def save_entry(self, entry: WorkerListed) -> None:
         """Store the latest entry read under a worker's name."""
@@ -181,11 +181,11 @@
     @property
     def has_unacknowledged_ends(self) -> bool:
         """Whether any processed end has not been acknowledged yet."""
-        return any(link.processed > link.acknowledged for link in self._link_by_id.values())
+        return any(link.last_processed_end > link.last_acknowledged_end for link in self._link_by_id.values())
 
     def last_processed_ends(self) -> dict[str, int]:
         """Return, by worker, the number of the last processed end."""
-        return {worker_id: link.processed for worker_id, link in self._link_by_id.items()}
+        return {worker_id: link.last_processed_end for worker_id, link in self._link_by_id.items()}
 
     def acknowledge(self, processed_ends: dict[str, int]) -> None:
         """Allow ends up to the given numbers to be acknowledged, since they are persisted."""
@@ -206,10 +206,10 @@
         earlier = self._unanswered_by_name.pop(name, None)
         acknowledgements = [
             _UnansweredAcknowledgement(
-                link.unanswered_at_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
+                link.unanswered_acknowledgement_s + _MAX_ORDER_DELAY_S, is_own=True, incarnation=link.incarnation
             ),
             _UnansweredAcknowledgement(
-                link.inherited_at_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
+                link.inherited_s + _MAX_ORDER_DELAY_S, is_own=False, incarnation=link.incarnation
             ),
         ]
         if earlier is not None:
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -13,13 +13,13 @@
 from dahliaarch_platform.workers import (
     ListedEnd,
     Survey,
+    WorkerHandshakeError,
     WorkerUnansweredError,
-    WorkerUngreetedError,
     WorkerUnreachableError,
 )
 
 from ...metrics import Metrics
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerOver, WorkerSilent, WorkerSurveyed
 from .sessions import Sessions
@@ -69,7 +69,7 @@
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), lease, context)
         link.is_draining = is_draining
@@ -115,7 +115,7 @@
     begun_s = time.monotonic()
     owner = posted_after(failure, lease, is_draining=is_draining)
     assert owner.has_been_posted(WorkerSurveyed)
-    assert lease.latest_end_s() >= begun_s + SETTINGS.hold_s
+    assert lease.latest_end_s() >= begun_s + SETTINGS.lease_s
 
 
 class LateWorker(Sessions):
@@ -146,7 +146,7 @@
 
     async def survey():
         owner = Owner()
-        settings = SETTINGS._replace(hold_s=0.6, answer_s=0.06, wait_s=0.1, idle_wait_s=0.1)
+        settings = SETTINGS._replace(lease_s=0.6, answer_timeout_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
         worker = LateWorker(0.0)
         context = LinkContext(
             worker,
@@ -156,15 +156,15 @@
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
-            worker.late_s = settings.answer_s * times
+            worker.late_s = settings.answer_timeout_s * times
             before = len(owner.posted)
-            await anyio.sleep(settings.hold_s)
+            await anyio.sleep(settings.lease_s)
             tasks.cancel_scope.cancel()
         return owner.posted[before:]
 
@@ -188,7 +188,7 @@
         elif len(self.surveys) % 3:
             await anyio.sleep(timeout_s)
             # What is asked beside another survey needs a new connection.
-            raise WorkerUnansweredError('lost') if lease_until_s else WorkerUngreetedError('lost')
+            raise WorkerUnansweredError('lost') if lease_until_s else WorkerHandshakeError('lost')
         else:
             await anyio.sleep(wait_s)
         return Survey(100.0, (), () if self.has_forgotten else ended)
@@ -202,12 +202,12 @@
         context = LinkContext(
             worker,
             7,
-            LinkSettings(wait_s=0.1, idle_wait_s=0.1),
+            LinkSettings(survey_wait_s=0.1, idle_survey_wait_s=0.1),
             Metrics(),
             owner.post,
             lambda: None,
             time.monotonic,
-            StartTurns(anyio.Semaphore(8), anyio.Semaphore(8)),
+            StartLimits(anyio.Semaphore(8), anyio.Semaphore(8)),
         )
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
@@ -236,7 +236,7 @@
     assert all(acknowledged == 0 for acknowledged, lease in worker.surveys if lease is None)
     assert any(acknowledged for acknowledged, _ in renewing)
     # The acknowledgement that got no answer may be carried out late, though another question was answered.
-    assert link.unanswered_at_s > 0
+    assert link.unanswered_acknowledgement_s > 0
 
 
 def test_an_acknowledgement_that_is_answered_late_is_waited_for():
@@ -245,4 +245,4 @@
     _, link = play_lossy(worker, 2.0)
     assert any(acknowledged for acknowledged, _ in worker.surveys)
     assert any(lease is None for _, lease in worker.surveys[1:])
-    assert link.unanswered_at_s < 0
+    assert link.unanswered_acknowledgement_s < 0
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -23,7 +23,7 @@
 from dahliaarch_platform.settings import Address
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey, WorkerUnansweredError
 
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut
 from .sessions import Sessions
@@ -63,8 +63,8 @@
 
 
 def context_of(worker):
-    settings = LinkSettings(hold_s=6.0)
-    turns = StartTurns(anyio.Semaphore(8), anyio.Semaphore(8))
+    settings = LinkSettings(lease_s=6.0)
+    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
     return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
 
 
@@ -116,15 +116,15 @@
     play(worker, scenario, is_draining=is_draining)
 
 
-@pytest.mark.parametrize('change', ['is_draining', 'is_overfull'])
+@pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
 def test_a_start_that_waited_for_its_turn_is_not_sent_to_a_worker_that_leaves_or_lost_the_room(change):
     """Behind hundreds of unanswered starts a turn comes seconds later; what starts then dies with its worker."""
     worker = Worker()
     posted = []
 
     async def run():
-        turns = StartTurns(anyio.Semaphore(0), anyio.Semaphore(0))
-        context = context_of(worker)._replace(turns=turns, post=posted.append)
+        turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
+        context = context_of(worker)._replace(start_limits=turns, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -11,14 +11,14 @@
 import anyio
 
 from dahliaarch_kernel.scheduler import EndKind, Lease, StopRun
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_platform.incarnations import WorkerIncarnation
 from dahliaarch_platform.settings import Address
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey
 
 from ...metrics import Metrics
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerSurveyed
 from .sessions import Sessions
@@ -44,7 +44,7 @@
         if len(self.ended_at_s) <= self.acknowledged:
             with anyio.move_on_after(wait_s):
                 await self.updated.wait()
-        running = tuple(RunSeen(key, 1, '', 10.0) for key in END_S if key not in self.ended_at_s)
+        running = tuple(ListedRun(key, 1, '', 10.0) for key in END_S if key not in self.ended_at_s)
         ends = tuple(
             ListedEnd(number, RunEnd('w', key, 1, EndKind.STOPPED))
             for number, key in enumerate(self.ended_at_s, start=1)
@@ -74,7 +74,7 @@
         if any(end.key == SECOND for end in message.ended):
             reported.set()
 
-    turns = StartTurns(anyio.Semaphore(8), anyio.Semaphore(8))
+    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
     context = LinkContext(worker, 7, LinkSettings(), Metrics(), post, lambda: None, time.monotonic, turns)
     link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
     async with anyio.create_task_group() as tasks:
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -13,7 +13,7 @@
 import pytest
 
 from dahliaarch_kernel.scheduler import StartRun
-from dahliaarch_kernel.scheduler.events import RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_platform.settings import Bounds
 from dahliaarch_platform.store import StoreUnansweredError
@@ -53,7 +53,7 @@
 
     async def start(self, address, incarnation, order, **options):
         self.starts.append(order.key)
-        self.running += (RunSeen(order.key, order.run, '', 1.0),)
+        self.running += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
@@ -139,7 +139,7 @@
 class SilentStore:
     """A store that answers nothing."""
 
-    async def keep_lease(self, lease, *, timeout_s):
+    async def renew_lease(self, lease, *, timeout_s):
         raise StoreUnansweredError('silent')
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -4,7 +4,7 @@
 import pytest
 
 from dahliaarch_kernel.scheduler import EndKind, Lease, StartRun
-from dahliaarch_kernel.scheduler.events import RunEnd, RunSeen
+from dahliaarch_kernel.scheduler.events import ListedRun, RunEnd
 from dahliaarch_kernel.scheduler.ranks import RANK_ORDINARY
 from dahliaarch_kernel.workload import TaskKey
 from dahliaarch_node.metrics import Metrics
@@ -12,7 +12,7 @@
 from dahliaarch_platform.settings import Address
 from dahliaarch_platform.workers import ListedEnd, OrderReply, OrderStatus, Survey, WorkerUnansweredError
 
-from ..link_settings import LinkContext, LinkSettings, StartTurns
+from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
 from .sessions import Sessions
@@ -48,7 +48,7 @@
         with anyio.move_on_after(wait_s):
             while len(self.ended) <= acknowledged:
                 await anyio.sleep(0.01)
-        running = tuple(RunSeen(key, run, '', 0.0) for key, run in self.running.items())
+        running = tuple(ListedRun(key, run, '', 0.0) for key, run in self.running.items())
         ended = tuple(ListedEnd(number, end) for number, end in enumerate(self.ended, 1) if number > acknowledged)
         return Survey(anyio.current_time(), running, ended)
 
@@ -94,7 +94,7 @@
     def __init__(self, workers):
         self.workers = workers
         self.told_at_s = {}
-        self._turns = StartTurns(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
+        self._turns = StartLimits(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
     def run_in(self, tasks):
@@ -116,7 +116,7 @@
             self.told_at_s.setdefault(message, anyio.current_time())
 
     def _link(self, number, worker):
-        settings = LinkSettings(hold_s=6.0)
+        settings = LinkSettings(lease_s=6.0)
         context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._turns)
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -1,52 +1,52 @@
-"""Messages to peers that are not there any more, and what is counted of them."""
+"""Tests for messages to unreachable peers and for the message metric."""
 
 import anyio
 
 from ..core import Mesh, PeerSilentError
 from ..messages import AskPending
 
-# A port of the loopback address on which nothing listens.
-NOBODY = ('127.0.0.1', 9)
+# Loopback address with a port on which nothing listens.
+UNUSED_ADDRESS = ('127.0.0.1', 9)
 
 
-async def answer(message):
+async def no_reply(message):
     return None
 
 
 async def forget_soon(mesh):
     await anyio.sleep(0.05)
-    mesh.forget(NOBODY)
+    mesh.forget(UNUSED_ADDRESS)
 
 
 async def ask_and_forget():
-    mesh = Mesh(answer)
+    mesh = Mesh(no_reply)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
         tasks.start_soon(forget_soon, mesh)
         try:
-            await mesh.ask(NOBODY, AskPending('q'), timeout_s=0.2)
+            await mesh.ask(UNUSED_ADDRESS, AskPending('q'), timeout_s=0.2)
         except PeerSilentError:
             return
         finally:
             tasks.cancel_scope.cancel()
-    raise AssertionError('an answer from nobody')
+    raise AssertionError('received a reply from an unused address')
 
 
-def test_a_peer_that_is_forgotten_while_it_is_asked_is_silent_and_breaks_nothing():
-    """The daemon ended when the unanswered call connected a closed socket anew."""
+def test_forgetting_a_peer_during_a_request_raises_peer_silent_error():
+    """The daemon crashed: after the timeout, the request reconnected a socket that `forget` had closed."""
     anyio.run(ask_and_forget)
 
 
 async def count_messages():
-    counted = []
-    mesh = Mesh(answer, lambda *each: counted.append(each))
+    observed = []
+    mesh = Mesh(no_reply, lambda *each: observed.append(each))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
-        mesh.tell(NOBODY, AskPending('q' * 1000))
+        mesh.tell(UNUSED_ADDRESS, AskPending('q' * 1000))
         tasks.cancel_scope.cancel()
-    return counted
+    return observed
 
 
 def test_the_bytes_of_each_message_are_counted():
--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -1,4 +1,4 @@
-"""What an operator needs in one look, as plain rows."""
+"""Status page for operators."""
 
 from collections import Counter
 from typing import Any
@@ -11,8 +11,8 @@
 from .owner import PoolOwner
 from .ownership import Ownership
 
-# Times as slow as expected from which a worker is shown as slow.
-_SLOW = 1.5
+# Ratio of actual to expected run time above which a worker is shown as slow.
+_SLOW_FACTOR = 1.5
 
 
 def describe(
@@ -21,21 +21,21 @@
     store: StoreClient,
     owner: PoolOwner | None,
 ) -> dict[str, Any]:
-    """Return what this instance knows, and of the pool if it owns it."""
-    known = ownership.owner
-    found: dict[str, Any] = {
-        'owner': known.member.instance if known else 'not known',
-        'epoch': known.epoch if known else 0,
+    """Return the status of this instance, with jobs, accounts and workers of the pool if it is the owner."""
+    known_owner = ownership.owner
+    status: dict[str, Any] = {
+        'owner': known_owner.member.instance if known_owner else 'not known',
+        'epoch': known_owner.epoch if known_owner else 0,
         'configuration': follower.version,
         'store_calls': [{'call': call, 'count': count} for call, count in sorted(store.count_by_call.items())],
     }
     if owner is not None:
         jobs = [job for job in owner.scheduler.job_by_id.values() if not job.has_ended]
-        found['waiting'] = _waiting(jobs)
-        found['waiting_steps'] = _waiting_steps(owner.scheduler.load)
-        found['accounts'] = _accounts(jobs)
-        found['workers'] = [_worker(worker) for worker in owner.scheduler.worker_by_id.values()]
-    return found
+        status['waiting'] = _waiting(jobs)
+        status['waiting_steps'] = _waiting_steps(owner.scheduler.load)
+        status['accounts'] = _accounts(jobs)
+        status['workers'] = [_worker(worker) for worker in owner.scheduler.worker_by_id.values()]
+    return status
 
 
 def _waiting(jobs: list[JobState]) -> list[dict[str, Any]]:
@@ -71,4 +71,4 @@
         return 'draining'
     if worker.failed_jobs:
         return f'failed {len(worker.failed_jobs)} jobs in turn'
-    return 'slow' if worker.slowness > _SLOW else 'sound'
+    return 'slow' if worker.slowness > _SLOW_FACTOR else 'sound'
