--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -85,7 +85,7 @@
     ) -> None:
         """Start knowing nobody."""
         self._authority = authority
-        self._outdated = outdated
+        self._on_newer_epoch = outdated
         self._member = member
         self._store = store
         self._timing = timing
@@ -168,7 +168,7 @@
             return
         self.announced(member, reply.version)
         if reply.epoch > epoch:
-            self._outdated(reply.epoch)
+            self._on_newer_epoch(reply.epoch)
         else:
             count.agreed()
         if peer.missed:
