--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -81,11 +81,11 @@
         peer_feed: PeerFeed,
         mesh: Mesh,
         authority: Authority,
-        outdated: Callable[[int], None],
+        on_newer_epoch: Callable[[int], None],
     ) -> None:
         """Start knowing nobody."""
         self._authority = authority
-        self._on_newer_epoch = outdated
+        self._on_newer_epoch = on_newer_epoch
         self._member = member
         self._store = store
         self._timing = timing
