--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -84,7 +84,7 @@
             self._timing,
             own.ownership,
             self._authority,
-            is_able=settings.cpu_share * settings.cores >= _ABLE_CORES,
+            is_preferred=settings.cpu_share * settings.cores >= _ABLE_CORES,
         )
         self._advice = AdviceClient(self._http, settings.advice) if settings.advice else None
         self._replies = PeerReplies(self._store, self._follower, self._ownership, self._advice)
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -146,7 +146,7 @@
 def test_a_renewal_without_an_answer_confirms_nothing():
     authority = Authority(LEASE_S)
     member = Member('i0', 'a', 'h', 1)
-    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_able=True)
+    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_preferred=True)
     with pytest.raises(StoreUnansweredError):
         anyio.run(ownership._renew)
     assert not authority.holds(steady_s())
@@ -218,7 +218,9 @@
 
 def test_an_instance_owns_no_pool_of_which_it_was_told_that_another_does():
     member = Member('i0', 'a', 'h', 1)
-    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_able=True)
+    ownership = Ownership(
+        member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_preferred=True
+    )
     ownership.observe(Owner(member, EPOCH))
     ownership.observe_newer_epoch(EPOCH)
     assert ownership.is_own
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -84,7 +84,7 @@
         settings: OwnershipSettings,
         authority: Authority,
         *,
-        is_able: bool,
+        is_preferred: bool,
     ) -> None:
         """Start without knowing an owner."""
         self.owner: Owner | None = None
@@ -95,7 +95,7 @@
         self._timing = timing
         self._settings = settings
         self._authority = authority
-        self._delay_s = settings.claim_delay_s if is_able else settings.slow_claim_delay_s
+        self._delay_s = settings.claim_delay_s if is_preferred else settings.slow_claim_delay_s
         self._lease = 0
         self._had_owner = False
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -78,7 +78,7 @@
         self.follower = ConfigurationFollower(Metrics())
         self._store_feed = StoreFeed(self.follower, store, timing)
         authority = Authority(OwnershipSettings().lease_s)
-        ownership = Ownership(self.member, store, timing, OwnershipSettings(), authority, is_able=True)
+        ownership = Ownership(self.member, store, timing, OwnershipSettings(), authority, is_preferred=True)
         replies = PeerReplies(store, self.follower, ownership, None)
         self.mesh = Mesh(replies.answer)
         self._peer_feed = PeerFeed(self.follower, self.mesh)
