--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -37,7 +37,7 @@
 from .timing import StoreTiming
 
 # An instance with at least this much of a core is an able owner.
-_ABLE_CORES = 0.9
+_MIN_PREFERRED_OWNER_CORES = 0.9
 # Descriptors that are not for callers' connections.
 _RESERVED_FDS = 400
 # How long a stopping instance still takes requests, in seconds: the balancer
@@ -84,7 +84,7 @@
             self._timing,
             own.ownership,
             self._authority,
-            is_preferred=settings.cpu_share * settings.cores >= _ABLE_CORES,
+            is_preferred=settings.cpu_share * settings.cores >= _MIN_PREFERRED_OWNER_CORES,
         )
         self._advice = AdviceClient(self._http, settings.advice) if settings.advice else None
         self._replies = PeerReplies(self._store, self._follower, self._ownership, self._advice)
