--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -225,15 +225,15 @@
             await self._read_back(lease, asked_s)
             return
         if outcome.status is CommitStatus.DONE:
-            self._won(lease, outcome.revision, asked_s)
+            self._become_owner(lease, outcome.revision, asked_s)
 
     async def _read_back(self, lease: int, asked_s: float) -> None:
         """Find out whether a claim without an answer has been carried out."""
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
-            self._won(lease, item.revision, asked_s)
+            self._become_owner(lease, item.revision, asked_s)
 
-    def _won(self, lease: int, epoch: int, asked_s: float) -> None:
+    def _become_owner(self, lease: int, epoch: int, asked_s: float) -> None:
         self._authority.confirm(asked_s)
         self._lease = lease
         self.observe(Owner(self._member, epoch))
