--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -118,7 +118,7 @@
         """Give up a pool that another owner has taken; who it is comes later."""
         if self.is_own:
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
-            self._clear()
+            self._clear_owner()
 
     def observe_newer_epoch(self, newer_epoch: int) -> None:
         """Take in that somebody knows of a newer owner, who is not known here yet.
@@ -250,7 +250,7 @@
                 return
             revision = max(revision, page.revision)
 
-    def _clear(self) -> None:
+    def _clear_owner(self) -> None:
         self.owner = None
         self._lease = 0
         changed, self.changed = self.changed, anyio.Event()
