--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -133,7 +133,7 @@
         """Claim, keep or watch until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._run_once()
             except STORE_FAILURES as error:
                 log_event('owner_key_unreachable', why=str(error), is_own=self.is_own)
                 await anyio.sleep(self._timing.retry_pause_s())
@@ -149,7 +149,7 @@
             log_event('ownership_not_released', why=str(error))
         self.step_down()
 
-    async def _step(self) -> None:
+    async def _run_once(self) -> None:
         if self.is_own and self._lease:
             await self._keep()
             return
