--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -151,7 +151,7 @@
 
     async def _run_once(self) -> None:
         if self.is_own and self._lease:
-            await self._keep()
+            await self._keep_lease()
             return
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is None:
@@ -169,7 +169,7 @@
             return
         await self._watch(item)
 
-    async def _keep(self) -> None:
+    async def _keep_lease(self) -> None:
         await anyio.sleep(self._settings.keep_every_s)
         if self.is_leaving or not self.is_own:
             return
