--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -148,7 +148,7 @@
     member = Member('i0', 'a', 'h', 1)
     ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_preferred=True)
     with pytest.raises(StoreUnansweredError):
-        anyio.run(ownership._renew)
+        anyio.run(ownership._renew_lease)
     assert not authority.holds(steady_s())
 
 
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -173,7 +173,7 @@
         await anyio.sleep(self._settings.keep_every_s)
         if self.is_leaving or not self.is_own:
             return
-        if await self._renew():
+        if await self._renew_lease():
             return
         log_event('owner_lease_over', lease=self._lease)
         self._lease = 0
@@ -185,7 +185,7 @@
         elif decode(item.value, Member, 'member') != self._member:
             self.step_down()
 
-    async def _renew(self) -> bool:
+    async def _renew_lease(self) -> bool:
         """Renew the lease, at once again when the first call gets no answer."""
         try:
             return await self._renew_once()
