--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -155,7 +155,7 @@
             return
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is None:
-            await self._claim_free()
+            await self._claim_absent_key()
             return
         found = decode(item.value, Member, 'member')
         if found == self._member:
@@ -200,7 +200,7 @@
             self._authority.confirm(asked_s)
         return is_kept
 
-    async def _claim_free(self) -> None:
+    async def _claim_absent_key(self) -> None:
         if self.is_leaving:
             await anyio.sleep(self._timing.retry_s)
             return
