--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -222,12 +222,12 @@
                 timeout_s=self._timing.call_s,
             )
         except StoreUnansweredError:
-            await self._read_back(lease, asked_s)
+            await self._verify_claim(lease, asked_s)
             return
         if outcome.status is CommitStatus.DONE:
             self._become_owner(lease, outcome.revision, asked_s)
 
-    async def _read_back(self, lease: int, asked_s: float) -> None:
+    async def _verify_claim(self, lease: int, asked_s: float) -> None:
         """Find out whether a claim without an answer has been carried out."""
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
