--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -167,7 +167,7 @@
             # An earlier process of this instance: it is gone for certain.
             await self._claim(item.revision)
             return
-        await self._watch(item)
+        await self._watch_owner_key(item)
 
     async def _keep_lease(self) -> None:
         await anyio.sleep(self._settings.keep_every_s)
@@ -238,7 +238,7 @@
         self._lease = lease
         self.observe(Owner(self._member, epoch))
 
-    async def _watch(self, item: Item) -> None:
+    async def _watch_owner_key(self, item: Item) -> None:
         """Wait until the owner's key changes or goes."""
         revision = item.read_at
         while not self.is_own:
