--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -95,7 +95,7 @@
         self._timing = timing
         self._settings = settings
         self._authority = authority
-        self._delay_s = settings.claim_delay_s if is_preferred else settings.slow_claim_delay_s
+        self._claim_delay_s = settings.claim_delay_s if is_preferred else settings.slow_claim_delay_s
         self._lease = 0
         self._had_owner = False
 
@@ -205,7 +205,7 @@
             await anyio.sleep(self._timing.retry_s)
             return
         if self._had_owner and not self.is_own:
-            await anyio.sleep(self._delay_s)
+            await anyio.sleep(self._claim_delay_s)
         await self._claim(0)
 
     async def _claim(self, revision: int) -> None:
