--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -34,7 +34,7 @@
     missed: int = 0
 
 
-class _Round:
+class _HeartbeatRound:
     """One heartbeat to all: confirms the owner's authority once most of the instances have agreed."""
 
     def __init__(self, asked_s: float, instances: int, authority: Authority) -> None:
@@ -144,7 +144,7 @@
                 self._mesh.tell((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
-        count = _Round(steady_s(), len(self._peer_by_instance) + 1, self._authority)
+        count = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
         count.agreed()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
@@ -156,7 +156,7 @@
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
 
-    async def _heartbeat(self, peer: _Peer, epoch: int, count: _Round) -> None:
+    async def _heartbeat(self, peer: _Peer, epoch: int, count: _HeartbeatRound) -> None:
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
