--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -42,7 +42,7 @@
         self._needed = instances // 2 + 1
         self._authority = authority
 
-    def agreed(self) -> None:
+    def add_agreement(self) -> None:
         """Take in that one more instance knows of no newer owner."""
         self._needed -= 1
         if self._needed <= 0:
@@ -145,7 +145,7 @@
 
     async def _heartbeat_all(self, epoch: int) -> None:
         count = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
-        count.agreed()
+        count.add_agreement()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
                 tasks.start_soon(self._heartbeat, peer, epoch, count)
@@ -170,7 +170,7 @@
         if reply.epoch > epoch:
             self._on_newer_epoch(reply.epoch)
         else:
-            count.agreed()
+            count.add_agreement()
         if peer.missed:
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
         self._update(peer, _Peer(member, reply.version, steady_s()))
