--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -39,13 +39,13 @@
 
     def __init__(self, asked_s: float, instances: int, authority: Authority) -> None:
         self._asked_s = asked_s
-        self._needed = instances // 2 + 1
+        self._needed_agreements = instances // 2 + 1
         self._authority = authority
 
     def add_agreement(self) -> None:
         """Take in that one more instance knows of no newer owner."""
-        self._needed -= 1
-        if self._needed <= 0:
+        self._needed_agreements -= 1
+        if self._needed_agreements <= 0:
             self._authority.confirm(self._asked_s)
 
 
