--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -144,11 +144,11 @@
                 self._mesh.tell((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
-        count = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
-        count.add_agreement()
+        heartbeat_round = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
+        heartbeat_round.add_agreement()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
-                tasks.start_soon(self._heartbeat, peer, epoch, count)
+                tasks.start_soon(self._heartbeat, peer, epoch, heartbeat_round)
             tasks.start_soon(anyio.sleep, _HEARTBEAT_EVERY_S)
 
     async def _load(self) -> None:
@@ -156,7 +156,7 @@
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
 
-    async def _heartbeat(self, peer: _Peer, epoch: int, count: _HeartbeatRound) -> None:
+    async def _heartbeat(self, peer: _Peer, epoch: int, heartbeat_round: _HeartbeatRound) -> None:
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
@@ -170,7 +170,7 @@
         if reply.epoch > epoch:
             self._on_newer_epoch(reply.epoch)
         else:
-            count.add_agreement()
+            heartbeat_round.add_agreement()
         if peer.missed:
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
         self._update(peer, _Peer(member, reply.version, steady_s()))
