--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -210,7 +210,7 @@
             changed = self._ownership.changed
             owner = self._ownership.owner
             if owner is not None and not self._ownership.is_own:
-                self._membership.greet(owner.member)
+                self._membership.send_hello(owner.member)
             await changed.wait()
 
     async def _follow_limits(self) -> None:
