--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -128,7 +128,7 @@
 
     async def send_heartbeats(self, epoch: int) -> None:
         """Tell every instance who owns the pool, again and again."""
-        await self._load()
+        await self._load_members()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._announce_changes, epoch)
             while True:
@@ -151,7 +151,7 @@
                 tasks.start_soon(self._heartbeat, peer, epoch, heartbeat_round)
             tasks.start_soon(anyio.sleep, _HEARTBEAT_EVERY_S)
 
-    async def _load(self) -> None:
+    async def _load_members(self) -> None:
         page = await read_all(self._store, self._timing, MEMBERS_PREFIX)
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
