--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -148,7 +148,7 @@
         heartbeat_round.add_agreement()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
-                tasks.start_soon(self._heartbeat, peer, epoch, heartbeat_round)
+                tasks.start_soon(self._send_heartbeat, peer, epoch, heartbeat_round)
             tasks.start_soon(anyio.sleep, _HEARTBEAT_EVERY_S)
 
     async def _load_members(self) -> None:
@@ -156,7 +156,7 @@
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
 
-    async def _heartbeat(self, peer: _Peer, epoch: int, heartbeat_round: _HeartbeatRound) -> None:
+    async def _send_heartbeat(self, peer: _Peer, epoch: int, heartbeat_round: _HeartbeatRound) -> None:
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
