--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -162,7 +162,7 @@
         try:
             reply = await self._mesh.ask((member.host, member.port), heartbeat, timeout_s=_HEARTBEAT_ANSWER_S)
         except PeerSilentError as error:
-            self._note_missed(peer, error)
+            self._record_missed(peer, error)
             return
         if not isinstance(reply, HeartbeatReply):
             return
@@ -175,7 +175,7 @@
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
         self._update(peer, _Peer(member, reply.version, steady_s()))
 
-    def _note_missed(self, peer: _Peer, error: PeerSilentError) -> None:
+    def _record_missed(self, peer: _Peer, error: PeerSilentError) -> None:
         if not peer.missed:
             log_event('heartbeat_unanswered', member=peer.member.instance, version=peer.version, why=str(error))
         self._update(peer, peer._replace(missed=peer.missed + 1))
