--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -173,14 +173,14 @@
             heartbeat_round.add_agreement()
         if peer.missed:
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
-        self._update(peer, _Peer(member, reply.version, steady_s()))
+        self._replace_peer(peer, _Peer(member, reply.version, steady_s()))
 
     def _record_missed(self, peer: _Peer, error: PeerSilentError) -> None:
         if not peer.missed:
             log_event('heartbeat_unanswered', member=peer.member.instance, version=peer.version, why=str(error))
-        self._update(peer, peer._replace(missed=peer.missed + 1))
+        self._replace_peer(peer, peer._replace(missed=peer.missed + 1))
 
-    def _update(self, before: _Peer, after: _Peer) -> None:
+    def _replace_peer(self, before: _Peer, after: _Peer) -> None:
         """Keep what is known of a peer, unless it has been forgotten or replaced meanwhile."""
         if self._peer_by_instance.get(before.member.instance) is before:
             self._peer_by_instance[before.member.instance] = after
