--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -133,7 +133,7 @@
             tasks.start_soon(self._announce_changes, epoch)
             while True:
                 await self._heartbeat_all(epoch)
-                await self._forget_silent()
+                await self._remove_silent_peers()
 
     async def _announce_changes(self, epoch: int) -> None:
         """Tell every instance at once when a version comes into force here."""
@@ -185,7 +185,7 @@
         if self._peer_by_instance.get(before.member.instance) is before:
             self._peer_by_instance[before.member.instance] = after
 
-    async def _forget_silent(self) -> None:
+    async def _remove_silent_peers(self) -> None:
         limit_s = steady_s() - _FORGET_AFTER_S
         for instance, peer in tuple(self._peer_by_instance.items()):
             if peer.last_contact_s > limit_s:
