--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -19,7 +19,7 @@
 
 # How often the owner sends heartbeats, in seconds. An instance that missed the update of a
 # configuration learns of it at most this much later.
-_HEARTBEAT_EVERY_S = 0.7
+_HEARTBEAT_INTERVAL_S = 0.7
 # Longest wait for the answer to a heartbeat, in seconds.
 _HEARTBEAT_ANSWER_S = 0.6
 # An instance that was silent for this long is taken off the list, in seconds.
@@ -149,7 +149,7 @@
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
                 tasks.start_soon(self._send_heartbeat, peer, epoch, heartbeat_round)
-            tasks.start_soon(anyio.sleep, _HEARTBEAT_EVERY_S)
+            tasks.start_soon(anyio.sleep, _HEARTBEAT_INTERVAL_S)
 
     async def _load_members(self) -> None:
         page = await read_all(self._store, self._timing, MEMBERS_PREFIX)
