--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -21,7 +21,7 @@
 # configuration learns of it at most this much later.
 _HEARTBEAT_INTERVAL_S = 0.7
 # Longest wait for the answer to a heartbeat, in seconds.
-_HEARTBEAT_ANSWER_S = 0.6
+_HEARTBEAT_TIMEOUT_S = 0.6
 # An instance that was silent for this long is taken off the list, in seconds.
 _FORGET_AFTER_S = 30.0
 
@@ -160,7 +160,7 @@
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
-            reply = await self._mesh.ask((member.host, member.port), heartbeat, timeout_s=_HEARTBEAT_ANSWER_S)
+            reply = await self._mesh.ask((member.host, member.port), heartbeat, timeout_s=_HEARTBEAT_TIMEOUT_S)
         except PeerSilentError as error:
             self._record_missed(peer, error)
             return
