--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -23,7 +23,7 @@
 # Longest wait for the answer to a heartbeat, in seconds.
 _HEARTBEAT_TIMEOUT_S = 0.6
 # An instance that was silent for this long is taken off the list, in seconds.
-_FORGET_AFTER_S = 30.0
+_REMOVE_AFTER_S = 30.0
 
 
 class _Peer(NamedTuple):
@@ -186,7 +186,7 @@
             self._peer_by_instance[before.member.instance] = after
 
     async def _remove_silent_peers(self) -> None:
-        limit_s = steady_s() - _FORGET_AFTER_S
+        limit_s = steady_s() - _REMOVE_AFTER_S
         for instance, peer in tuple(self._peer_by_instance.items()):
             if peer.last_contact_s > limit_s:
                 continue
