--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -160,9 +160,9 @@
             if not self._ownership.is_own:
                 await changed.wait()
                 continue
-            await self._own(self._ownership.owner.epoch if self._ownership.owner else 0)
+            await self._run_owner(self._ownership.owner.epoch if self._ownership.owner else 0)
 
-    async def _own(self, epoch: int) -> None:
+    async def _run_owner(self, epoch: int) -> None:
         owner = PoolOwner(
             OwnerSettings(epoch, self._settings.bounds, self._timing, self._own_settings),
             self._store,
