--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -123,7 +123,7 @@
             tasks.start_soon(self._ownership.run)
             tasks.start_soon(self._membership.register)
             tasks.start_soon(self._send_hello_to_owners)
-            tasks.start_soon(self._own_when_owner)
+            tasks.start_soon(self._run_owner_when_elected)
             tasks.start_soon(self._follow_limits)
             tasks.start_soon(self._watch_settings)
             await self._wait_for_signals(tasks)
@@ -153,7 +153,7 @@
         is_ready = self._follower.current is not None and not self._is_stopping
         return Response(200 if is_ready else 503)
 
-    async def _own_when_owner(self) -> None:
+    async def _run_owner_when_elected(self) -> None:
         """Run the pool's owner for as long as this instance owns the pool."""
         while True:
             changed = self._ownership.changed
