--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -178,7 +178,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._feed_guarantees, owner)
                 tasks.start_soon(self._membership.send_heartbeats, epoch)
-                tasks.start_soon(self._stop_when_replaced, owner, epoch)
+                tasks.start_soon(self._depose_when_replaced, owner, epoch)
                 await owner.run()
                 tasks.cancel_scope.cancel()
         finally:
@@ -187,7 +187,7 @@
         if owner.is_deposed:
             self._ownership.step_down()
 
-    async def _stop_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
+    async def _depose_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
         """Stop an owner whose epoch is over."""
         while True:
             changed = self._ownership.changed
