--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -176,7 +176,7 @@
         self._metrics.is_owner.set(1)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._feed_guarantees, owner)
+                tasks.start_soon(self._forward_configuration, owner)
                 tasks.start_soon(self._membership.send_heartbeats, epoch)
                 tasks.start_soon(self._depose_when_replaced, owner, epoch)
                 await owner.run()
@@ -197,7 +197,7 @@
                 return
             await changed.wait()
 
-    async def _feed_guarantees(self, owner: PoolOwner) -> None:
+    async def _forward_configuration(self, owner: PoolOwner) -> None:
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
