--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -124,7 +124,7 @@
             tasks.start_soon(self._membership.register)
             tasks.start_soon(self._send_hello_to_owners)
             tasks.start_soon(self._run_owner_when_elected)
-            tasks.start_soon(self._follow_limits)
+            tasks.start_soon(self._apply_http_limits)
             tasks.start_soon(self._watch_settings)
             await self._wait_for_signals(tasks)
         self._log_writer.flush()
@@ -213,7 +213,7 @@
                 self._membership.send_hello(owner.member)
             await changed.wait()
 
-    async def _follow_limits(self) -> None:
+    async def _apply_http_limits(self) -> None:
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
