--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -106,8 +106,8 @@
             self._front.answer,
             max_connections=max(64, settings.max_fds - _RESERVED_FDS),
         )
-        self._side_server = HttpServer(self._answer_side)
-        self._metrics_server = HttpServer(self._answer_side)
+        self._side_server = HttpServer(self._answer_internal)
+        self._metrics_server = HttpServer(self._answer_internal)
         self._is_stopping = False
 
     async def run(self) -> None:
@@ -141,7 +141,7 @@
         except OSError as error:
             log_event('metrics_port_taken', port=port, why=str(error))
 
-    async def _answer_side(self, request: Request) -> Response:
+    async def _answer_internal(self, request: Request) -> Response:
         """Answer readiness checks, show the metrics and the state."""
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
