--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -106,7 +106,7 @@
             self._front.answer,
             max_connections=max(64, settings.max_fds - _RESERVED_FDS),
         )
-        self._side_server = HttpServer(self._answer_internal)
+        self._internal_server = HttpServer(self._answer_internal)
         self._metrics_server = HttpServer(self._answer_internal)
         self._is_stopping = False
 
@@ -132,7 +132,7 @@
     async def _listen(self) -> None:
         """Serve callers, readiness checks and, if there is a port for them alone, metrics."""
         await self._front_server.listen(self._settings.front)
-        await self._side_server.listen(self._settings.ready)
+        await self._internal_server.listen(self._settings.ready)
         port = self._own_settings.metrics.port
         if not port:
             return
@@ -261,5 +261,5 @@
             await anyio.sleep(0.05)
         log_event('stopped', took_s=round(time.monotonic() - begun_s, 3))
         self._front_server.close()
-        self._side_server.close()
+        self._internal_server.close()
         self._metrics_server.close()
