--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -46,7 +46,7 @@
 # Part of the grace period kept for the end of the process, in seconds.
 _EXIT_MARGIN_S = 0.8
 # How often the settings file is looked at, in seconds.
-_SETTINGS_EVERY_S = 1.0
+_SETTINGS_POLL_INTERVAL_S = 1.0
 
 
 class Instance:
@@ -225,7 +225,7 @@
     async def _watch_settings(self) -> None:
         """Notice a settings file that changes without a signal."""
         while True:
-            await anyio.sleep(_SETTINGS_EVERY_S)
+            await anyio.sleep(_SETTINGS_POLL_INTERVAL_S)
             self._reload('file')
 
     def _reload(self, cause: str) -> None:
