--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -42,7 +42,7 @@
 _RESERVED_FDS = 400
 # How long a stopping instance still takes requests, in seconds: the balancer
 # drops it after two checks, one a second, that it misses.
-_STOP_ACCEPTING_S = 2.6
+_SHUTDOWN_ACCEPT_S = 2.6
 # Part of the grace period kept for the end of the process, in seconds.
 _EXIT_MARGIN_S = 0.8
 # How often the settings file is looked at, in seconds.
@@ -254,7 +254,7 @@
         self._is_stopping = True
         with anyio.move_on_after(self._settings.bounds.grace_s / 3):
             await self._ownership.release()
-        await anyio.sleep(max(0.0, begun_s + _STOP_ACCEPTING_S - time.monotonic()))
+        await anyio.sleep(max(0.0, begun_s + _SHUTDOWN_ACCEPT_S - time.monotonic()))
         self._front_server.begin_close()
         last_s = begun_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
         while self._front_server.connections and time.monotonic() < last_s:
