--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -226,9 +226,9 @@
         """Notice a settings file that changes without a signal."""
         while True:
             await anyio.sleep(_SETTINGS_POLL_INTERVAL_S)
-            self._reload('file')
+            self._reload_settings('file')
 
-    def _reload(self, cause: str) -> None:
+    def _reload_settings(self, cause: str) -> None:
         try:
             settings = read_settings(self._path)
         except (OSError, SettingsError) as error:
@@ -243,7 +243,7 @@
             async for number in received:
                 if number == signal.SIGTERM:
                     break
-                self._reload('signal')
+                self._reload_settings('signal')
         await self._stop()
         tasks.cancel_scope.cancel()
 
