--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -249,17 +249,17 @@
 
     async def _stop(self) -> None:
         """Hand the pool over, let the balancer turn away, finish what was read."""
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         log_event('stopping', is_owner=self._ownership.is_own)
         self._is_stopping = True
         with anyio.move_on_after(self._settings.bounds.grace_s / 3):
             await self._ownership.release()
-        await anyio.sleep(max(0.0, begun_s + _SHUTDOWN_ACCEPT_S - time.monotonic()))
+        await anyio.sleep(max(0.0, started_s + _SHUTDOWN_ACCEPT_S - time.monotonic()))
         self._front_server.begin_close()
-        last_s = begun_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
+        last_s = started_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
         while self._front_server.connections and time.monotonic() < last_s:
             await anyio.sleep(0.05)
-        log_event('stopped', took_s=round(time.monotonic() - begun_s, 3))
+        log_event('stopped', took_s=round(time.monotonic() - started_s, 3))
         self._front_server.close()
         self._internal_server.close()
         self._metrics_server.close()
