--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -256,8 +256,8 @@
             await self._ownership.release()
         await anyio.sleep(max(0.0, started_s + _SHUTDOWN_ACCEPT_S - time.monotonic()))
         self._front_server.begin_close()
-        last_s = started_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
-        while self._front_server.connections and time.monotonic() < last_s:
+        deadline_s = started_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
+        while self._front_server.connections and time.monotonic() < deadline_s:
             await anyio.sleep(0.05)
         log_event('stopped', took_s=round(time.monotonic() - started_s, 3))
         self._front_server.close()
