--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -64,9 +64,11 @@
         Writes the log lines.
     """
 
-    def __init__(self, settings: InstanceSettings, path: Path, own: OwnSettings, log_writer: LogWriter) -> None:
+    def __init__(
+        self, settings: InstanceSettings, path: Path, own_settings: OwnSettings, log_writer: LogWriter
+    ) -> None:
         """Build the parts; nothing runs yet."""
-        self._own_settings = own
+        self._own_settings = own_settings
         self._settings = settings
         self._path = path
         self._log_writer = log_writer
@@ -77,12 +79,12 @@
         self._member = Member(settings.instance, secrets.token_hex(4), settings.ip, settings.peer_ports[0])
         self._follower = ConfigurationFollower(self._metrics)
         self._store_feed = StoreFeed(self._follower, self._store, self._timing)
-        self._authority = Authority(own.ownership.lease_s)
+        self._authority = Authority(own_settings.ownership.lease_s)
         self._ownership = Ownership(
             self._member,
             self._store,
             self._timing,
-            own.ownership,
+            own_settings.ownership,
             self._authority,
             is_preferred=settings.cpu_share * settings.cores >= _MIN_PREFERRED_OWNER_CORES,
         )
--- a/packages/node/dahliaarch_node/main.py
+++ b/packages/node/dahliaarch_node/main.py
@@ -27,11 +27,11 @@
     path = Path(os.environ.get(PATH_VARIABLE, _DEFAULT_PATH))
     try:
         settings = read_settings(path)
-        own = read_own_settings()
+        own_settings = read_own_settings()
     except (DahliaarchError, OSError) as error:
         sys.exit(f'dahliaarchd: {error}')
     writer = configure_logs(settings.instance)
-    instance = Instance(settings, path, own, writer)
+    instance = Instance(settings, path, own_settings, writer)
     anyio.run(instance.run)
 
 
