--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -31,7 +31,7 @@
 from .peers import Mesh
 from .probing import probe_store
 from .records import Member
-from .relaying import relays
+from .relaying import available_relays
 from .replies import PeerReplies
 from .status import describe
 from .timing import StoreTiming
@@ -172,7 +172,7 @@
             partial(askers, self._advice, self._mesh, self._membership),
             self._metrics,
             self._authority,
-            partial(relays, self._mesh, self._membership),
+            partial(available_relays, self._mesh, self._membership),
         )
         self._replies.owner = owner
         self._metrics.is_owner.set(1)
--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -15,7 +15,7 @@
 )
 
 from ...peers import CommitFor, CommitOutcome
-from ...relaying import make_for_peer, relays
+from ...relaying import available_relays, make_for_peer
 from ..committing import Committer
 
 CONDITION = Condition('k', 7)
@@ -67,7 +67,7 @@
     peers = Peers(*others)
 
     async def run():
-        committer = Committer(own, lambda: relays(peers, peers))
+        committer = Committer(own, lambda: available_relays(peers, peers))
         return await committer.commit((CONDITION,), (WRITE,), ('gone',), timeout_s=0.6)
 
     return anyio.run(run)
--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -31,7 +31,7 @@
 _STATUS_BY_OUTCOME = {outcome: status for status, outcome in _OUTCOME_BY_STATUS.items()}
 
 
-def relays(mesh: Mesh, membership: Membership) -> Sequence[Commit]:
+def available_relays(mesh: Mesh, membership: Membership) -> Sequence[Commit]:
     """Return the ways to have a transaction made by the other instances, in any order."""
     peers = membership.peers()
     random.shuffle(peers)
