--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -43,14 +43,14 @@
     if store.is_suspect:
         return CommitReply(CommitOutcome.REFUSED)
     try:
-        made = await store.commit(
+        result = await store.commit(
             message.conditions, message.writes, message.removals, timeout_s=message.timeout_s * _STORE_SHARE
         )
     except (StoreRefusedError, StoreUnreachableError):
         return CommitReply(CommitOutcome.REFUSED)
     except STORE_FAILURES:
         return CommitReply(CommitOutcome.UNKNOWN)
-    return CommitReply(_OUTCOME_BY_STATUS[made.status], made.revision, made.current)
+    return CommitReply(_OUTCOME_BY_STATUS[result.status], result.revision, result.current)
 
 
 async def _commit_through(
