--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -22,7 +22,7 @@
 from .records import Member
 
 # Share of the time of a transaction that the other instance waits for the store: its answer takes some, too.
-_STORE_SHARE = 0.8
+_STORE_TIMEOUT_SHARE = 0.8
 _OUTCOME_BY_STATUS = {
     CommitStatus.DONE: CommitOutcome.DONE,
     CommitStatus.CONDITION_FAILED: CommitOutcome.CONDITION_FAILED,
@@ -44,7 +44,7 @@
         return CommitReply(CommitOutcome.REFUSED)
     try:
         result = await store.commit(
-            message.conditions, message.writes, message.removals, timeout_s=message.timeout_s * _STORE_SHARE
+            message.conditions, message.writes, message.removals, timeout_s=message.timeout_s * _STORE_TIMEOUT_SHARE
         )
     except (StoreRefusedError, StoreUnreachableError):
         return CommitReply(CommitOutcome.REFUSED)
