--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -120,7 +120,7 @@
         outcome = await keep_job(self._store, message.job_id, message.record, _HOLD_S)
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._forward_to_owner(message.job_id, message.record, outcome.revision, is_cancel=False)
-        return _accepted(outcome)
+        return _acceptance_reply(outcome)
 
     @_reply.register
     async def _(self, message: AcceptCancel) -> Message | None:
@@ -134,7 +134,7 @@
         outcome = await keep_cancellation(self._store, message.job_id, _HOLD_S)
         if outcome.fate is Fate.KEPT:
             self._forward_to_owner(message.job_id, b'', outcome.revision, is_cancel=True)
-        return _accepted(outcome)
+        return _acceptance_reply(outcome)
 
     @_reply.register
     async def _(self, message: AskPolicy) -> Message | None:
@@ -162,5 +162,5 @@
         self.owner.post(JobListed(job.spec, job.queue, revision, job.owner_epoch))
 
 
-def _accepted(outcome: WriteOutcome) -> Accepted:
+def _acceptance_reply(outcome: WriteOutcome) -> Accepted:
     return Accepted(outcome.fate is Fate.KEPT, outcome.fate is Fate.NOT_KEPT)
