--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -36,7 +36,7 @@
 
 # Longest try at a write for another instance, in seconds: what is left of the
 # time that it holds its caller.
-_HOLD_S = 0.45
+_WRITE_TIMEOUT_S = 0.45
 # Longest wait for a read of the store, in seconds.
 _READ_S = 0.4
 
@@ -117,7 +117,7 @@
 
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
-        outcome = await keep_job(self._store, message.job_id, message.record, _HOLD_S)
+        outcome = await keep_job(self._store, message.job_id, message.record, _WRITE_TIMEOUT_S)
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._forward_to_owner(message.job_id, message.record, outcome.revision, is_cancel=False)
         return _acceptance_reply(outcome)
@@ -131,7 +131,7 @@
                 return Accepted(is_done=False, is_certain=True, is_missing=True)
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
-        outcome = await keep_cancellation(self._store, message.job_id, _HOLD_S)
+        outcome = await keep_cancellation(self._store, message.job_id, _WRITE_TIMEOUT_S)
         if outcome.fate is Fate.KEPT:
             self._forward_to_owner(message.job_id, b'', outcome.revision, is_cancel=True)
         return _acceptance_reply(outcome)
