--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -38,7 +38,7 @@
 # time that it holds its caller.
 _WRITE_TIMEOUT_S = 0.45
 # Longest wait for a read of the store, in seconds.
-_READ_S = 0.4
+_READ_TIMEOUT_S = 0.4
 
 
 class PeerReplies:
@@ -127,7 +127,7 @@
         if self._store.is_suspect:
             return Accepted(is_done=False, is_certain=True)
         try:
-            if await self._store.get(job_key(message.job_id), timeout_s=_READ_S) is None:
+            if await self._store.get(job_key(message.job_id), timeout_s=_READ_TIMEOUT_S) is None:
                 return Accepted(is_done=False, is_certain=True, is_missing=True)
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
