--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -19,7 +19,7 @@
 PATH_VARIABLE = 'DAHLIAARCH_SETTINGS'
 
 # Limits of the scheduler that the platform's file decides.
-_PLATFORMS = frozenset(('far_factor', 'stop_timeout_s', 'early_s'))
+_PLATFORM_FIELDS = frozenset(('far_factor', 'stop_timeout_s', 'early_s'))
 _WITHOUT = 'without'
 _LARGEST_FILE_BYTES = 65_536
 
@@ -116,7 +116,7 @@
 def _scheduler(found: Mapping[str, Any]) -> SchedulerSettings:
     table = dict(_table('scheduler', found))
     without = _mechanisms(table.pop(_WITHOUT, []))
-    numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORMS | {_WITHOUT})
+    numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
     return SchedulerSettings()._replace(without=without, **numbers)
 
 
