--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -21,7 +21,7 @@
 # Limits of the scheduler that the platform's file decides.
 _PLATFORM_FIELDS = frozenset(('far_factor', 'stop_timeout_s', 'early_s'))
 _WITHOUT = 'without'
-_LARGEST_FILE_BYTES = 65_536
+_MAX_FILE_BYTES = 65_536
 
 
 class MetricsSettings(NamedTuple):
@@ -82,8 +82,8 @@
     SettingsError
         When a key is unknown or its value is wrong; it names the key.
     """
-    if len(text) > _LARGEST_FILE_BYTES:
-        raise SettingsError('file', f'larger than {_LARGEST_FILE_BYTES} bytes')
+    if len(text) > _MAX_FILE_BYTES:
+        raise SettingsError('file', f'larger than {_MAX_FILE_BYTES} bytes')
     try:
         found = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
