--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -85,15 +85,15 @@
     if len(text) > _MAX_FILE_BYTES:
         raise SettingsError('file', f'larger than {_MAX_FILE_BYTES} bytes')
     try:
-        found = tomllib.loads(text)
+        document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise SettingsError('file', str(error)) from error
-    _refuse_unknown('', found, OwnSettings._fields)
-    scheduler = _scheduler(found)
-    ownership = _numbers('ownership', found, OwnershipSettings(), frozenset())
-    metrics = _numbers('metrics', found, MetricsSettings(), frozenset())
+    _refuse_unknown('', document, OwnSettings._fields)
+    scheduler = _scheduler(document)
+    ownership = _numbers('ownership', document, OwnershipSettings(), frozenset())
+    metrics = _numbers('metrics', document, MetricsSettings(), frozenset())
     return OwnSettings(
-        _policy(_table('policy', found)),
+        _policy(_table('policy', document)),
         scheduler,
         OwnershipSettings()._replace(**ownership),
         MetricsSettings()._replace(**metrics),
@@ -113,8 +113,8 @@
     return policy
 
 
-def _scheduler(found: Mapping[str, Any]) -> SchedulerSettings:
-    table = dict(_table('scheduler', found))
+def _scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
+    table = dict(_table('scheduler', document))
     without = _mechanisms(table.pop(_WITHOUT, []))
     numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
     return SchedulerSettings()._replace(without=without, **numbers)
@@ -130,8 +130,8 @@
         raise SettingsError(f'scheduler.{_WITHOUT}', f'{error}; known: {known}') from error
 
 
-def _numbers(name: str, found: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
-    table = _table(name, found)
+def _numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
+    table = _table(name, document)
     _refuse_unknown(name, table, tuple(field for field in defaults._fields if field not in kept))
     for key, setting in table.items():
         if isinstance(setting, bool) or not isinstance(setting, int | float) or setting < 0:
@@ -139,8 +139,8 @@
     return {key: type(getattr(defaults, key))(setting) for key, setting in table.items()}
 
 
-def _table(name: str, found: Mapping[str, Any]) -> Mapping[str, Any]:
-    table = found.get(name, {})
+def _table(name: str, document: Mapping[str, Any]) -> Mapping[str, Any]:
+    table = document.get(name, {})
     if not isinstance(table, dict):
         raise SettingsError(name, 'is not a table')
     return table
