--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -93,14 +93,14 @@
     ownership = _numbers('ownership', document, OwnershipSettings(), frozenset())
     metrics = _numbers('metrics', document, MetricsSettings(), frozenset())
     return OwnSettings(
-        _policy(_table('policy', document)),
+        _parse_policy(_table('policy', document)),
         scheduler,
         OwnershipSettings()._replace(**ownership),
         MetricsSettings()._replace(**metrics),
     )
 
 
-def _policy(table: Mapping[str, Any]) -> PolicySettings:
+def _parse_policy(table: Mapping[str, Any]) -> PolicySettings:
     if not table:
         return SHIPPED['first-come']
     _refuse_unknown('policy', table, PolicySettings._fields)
