--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -89,7 +89,7 @@
     except tomllib.TOMLDecodeError as error:
         raise SettingsError('file', str(error)) from error
     _refuse_unknown('', document, OwnSettings._fields)
-    scheduler = _scheduler(document)
+    scheduler = _parse_scheduler(document)
     ownership = _numbers('ownership', document, OwnershipSettings(), frozenset())
     metrics = _numbers('metrics', document, MetricsSettings(), frozenset())
     return OwnSettings(
@@ -113,7 +113,7 @@
     return policy
 
 
-def _scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
+def _parse_scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
     table = dict(_table('scheduler', document))
     without = _mechanisms(table.pop(_WITHOUT, []))
     numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
