--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -115,12 +115,12 @@
 
 def _parse_scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
     table = dict(_table('scheduler', document))
-    without = _mechanisms(table.pop(_WITHOUT, []))
+    without = _parse_mechanisms(table.pop(_WITHOUT, []))
     numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
     return SchedulerSettings()._replace(without=without, **numbers)
 
 
-def _mechanisms(names: object) -> frozenset[Mechanism]:
+def _parse_mechanisms(names: object) -> frozenset[Mechanism]:
     known = ', '.join(Mechanism)
     if not isinstance(names, list):
         raise SettingsError(f'scheduler.{_WITHOUT}', f'{names!r} is not a list of: {known}')
