--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -90,8 +90,8 @@
         raise SettingsError('file', str(error)) from error
     _refuse_unknown('', document, OwnSettings._fields)
     scheduler = _parse_scheduler(document)
-    ownership = _numbers('ownership', document, OwnershipSettings(), frozenset())
-    metrics = _numbers('metrics', document, MetricsSettings(), frozenset())
+    ownership = _parse_numbers('ownership', document, OwnershipSettings(), frozenset())
+    metrics = _parse_numbers('metrics', document, MetricsSettings(), frozenset())
     return OwnSettings(
         _parse_policy(_table('policy', document)),
         scheduler,
@@ -116,7 +116,7 @@
 def _parse_scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
     table = dict(_table('scheduler', document))
     without = _parse_mechanisms(table.pop(_WITHOUT, []))
-    numbers = _numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
+    numbers = _parse_numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
     return SchedulerSettings()._replace(without=without, **numbers)
 
 
@@ -130,7 +130,7 @@
         raise SettingsError(f'scheduler.{_WITHOUT}', f'{error}; known: {known}') from error
 
 
-def _numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
+def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
     table = _table(name, document)
     _refuse_unknown(name, table, tuple(field for field in defaults._fields if field not in kept))
     for key, setting in table.items():
