--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -93,7 +93,7 @@
     ownership = _parse_numbers('ownership', document, OwnershipSettings(), frozenset())
     metrics = _parse_numbers('metrics', document, MetricsSettings(), frozenset())
     return OwnSettings(
-        _parse_policy(_table('policy', document)),
+        _parse_policy(_get_table('policy', document)),
         scheduler,
         OwnershipSettings()._replace(**ownership),
         MetricsSettings()._replace(**metrics),
@@ -114,7 +114,7 @@
 
 
 def _parse_scheduler(document: Mapping[str, Any]) -> SchedulerSettings:
-    table = dict(_table('scheduler', document))
+    table = dict(_get_table('scheduler', document))
     without = _parse_mechanisms(table.pop(_WITHOUT, []))
     numbers = _parse_numbers('scheduler', {'scheduler': table}, SchedulerSettings(), _PLATFORM_FIELDS | {_WITHOUT})
     return SchedulerSettings()._replace(without=without, **numbers)
@@ -131,7 +131,7 @@
 
 
 def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
-    table = _table(name, document)
+    table = _get_table(name, document)
     _refuse_unknown(name, table, tuple(field for field in defaults._fields if field not in kept))
     for key, setting in table.items():
         if isinstance(setting, bool) or not isinstance(setting, int | float) or setting < 0:
@@ -139,7 +139,7 @@
     return {key: type(getattr(defaults, key))(setting) for key, setting in table.items()}
 
 
-def _table(name: str, document: Mapping[str, Any]) -> Mapping[str, Any]:
+def _get_table(name: str, document: Mapping[str, Any]) -> Mapping[str, Any]:
     table = document.get(name, {})
     if not isinstance(table, dict):
         raise SettingsError(name, 'is not a table')
