--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -88,7 +88,7 @@
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise SettingsError('file', str(error)) from error
-    _refuse_unknown('', document, OwnSettings._fields)
+    _check_known_keys('', document, OwnSettings._fields)
     scheduler = _parse_scheduler(document)
     ownership = _parse_numbers('ownership', document, OwnershipSettings(), frozenset())
     metrics = _parse_numbers('metrics', document, MetricsSettings(), frozenset())
@@ -103,7 +103,7 @@
 def _parse_policy(table: Mapping[str, Any]) -> PolicySettings:
     if not table:
         return SHIPPED['first-come']
-    _refuse_unknown('policy', table, PolicySettings._fields)
+    _check_known_keys('policy', table, PolicySettings._fields)
     for key, setting in table.items():
         if not isinstance(setting, str):
             raise SettingsError(f'policy.{key}', f'{setting!r} is not a text')
@@ -132,7 +132,7 @@
 
 def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
     table = _get_table(name, document)
-    _refuse_unknown(name, table, tuple(field for field in defaults._fields if field not in kept))
+    _check_known_keys(name, table, tuple(field for field in defaults._fields if field not in kept))
     for key, setting in table.items():
         if isinstance(setting, bool) or not isinstance(setting, int | float) or setting < 0:
             raise SettingsError(f'{name}.{key}', f'{setting!r} is not a number of at least 0')
@@ -146,7 +146,7 @@
     return table
 
 
-def _refuse_unknown(where: str, table: Mapping[str, Any], known: tuple[str, ...]) -> None:
+def _check_known_keys(where: str, table: Mapping[str, Any], known: tuple[str, ...]) -> None:
     for key in table:
         if key not in known:
             raise SettingsError(f'{where}.{key}'.lstrip('.'), f'is unknown; known: {", ".join(known)}')
