--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -130,9 +130,9 @@
         raise SettingsError(f'scheduler.{_WITHOUT}', f'{error}; known: {known}') from error
 
 
-def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, kept: frozenset[str]) -> dict[str, Any]:
+def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, excluded: frozenset[str]) -> dict[str, Any]:
     table = _get_table(name, document)
-    _check_known_keys(name, table, tuple(field for field in defaults._fields if field not in kept))
+    _check_known_keys(name, table, tuple(field for field in defaults._fields if field not in excluded))
     for key, setting in table.items():
         if isinstance(setting, bool) or not isinstance(setting, int | float) or setting < 0:
             raise SettingsError(f'{name}.{key}', f'{setting!r} is not a number of at least 0')
