--- a/packages/node/dahliaarch_node/tests/test_status.py
+++ b/packages/node/dahliaarch_node/tests/test_status.py
@@ -12,7 +12,7 @@
 JOB = 'a' * 16
 
 
-def described(scheduler):
+def pool_status(scheduler):
     ownership = SimpleNamespace(owner=None)
     return describe(
         ownership,
@@ -26,7 +26,7 @@
     scheduler = Scheduler(SchedulerSettings(), 7)
     step = StepSpec(2, Resources(4000, 16_000, 1), 1.0)
     scheduler.add_job(JobSpec(JOB, 'acc', 'ordinary', 'payload', (step,)), QUEUE, Moment(1000.0, 0.0))
-    assert described(scheduler)['waiting_steps'] == []
+    assert pool_status(scheduler)['waiting_steps'] == []
     for tick in range(10):
         scheduler.decide(Moment(1000.0 + 0.25 * tick, 0.25 * tick))
-    assert described(scheduler)['waiting_steps'] == [{'reason': 'no capacity', 'steps': 1}]
+    assert pool_status(scheduler)['waiting_steps'] == [{'reason': 'no capacity', 'steps': 1}]
