--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -230,7 +230,7 @@
 
     async def _keep(self, keep: _Keep, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write, and let the owner write what the store does not take from this instance."""
-        if self._ownership.owner is None or self._ownership.is_own:
+        if self._ownership.owner is None or self._ownership.is_owner:
             return await keep(HOLD_S)
         own = await keep(_OWN_TRY_S)
         if own.fate is Fate.KEPT:
@@ -243,7 +243,7 @@
     async def _keep_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Let the owner write what the store would not take from this instance."""
         owner = self._ownership.owner
-        if owner is None or self._ownership.is_own:
+        if owner is None or self._ownership.is_owner:
             return WriteOutcome(Fate.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -159,7 +159,7 @@
         """Run the pool's owner for as long as this instance owns the pool."""
         while True:
             changed = self._ownership.changed
-            if not self._ownership.is_own:
+            if not self._ownership.is_owner:
                 await changed.wait()
                 continue
             await self._run_owner(self._ownership.owner.epoch if self._ownership.owner else 0)
@@ -194,7 +194,7 @@
         while True:
             changed = self._ownership.changed
             known = self._ownership.owner
-            if known is None or not self._ownership.is_own or known.epoch != epoch:
+            if known is None or not self._ownership.is_owner or known.epoch != epoch:
                 owner.depose()
                 return
             await changed.wait()
@@ -211,7 +211,7 @@
         while True:
             changed = self._ownership.changed
             owner = self._ownership.owner
-            if owner is not None and not self._ownership.is_own:
+            if owner is not None and not self._ownership.is_owner:
                 self._membership.send_hello(owner.member)
             await changed.wait()
 
@@ -252,7 +252,7 @@
     async def _stop(self) -> None:
         """Hand the pool over, let the balancer turn away, finish what was read."""
         started_s = time.monotonic()
-        log_event('stopping', is_owner=self._ownership.is_own)
+        log_event('stopping', is_owner=self._ownership.is_owner)
         self._is_stopping = True
         with anyio.move_on_after(self._settings.bounds.grace_s / 3):
             await self._ownership.release()
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -223,6 +223,6 @@
     )
     ownership.observe(Owner(member, EPOCH))
     ownership.observe_newer_epoch(EPOCH)
-    assert ownership.is_own
+    assert ownership.is_owner
     ownership.observe_newer_epoch(EPOCH + 1)
-    assert not ownership.is_own
+    assert not ownership.is_owner
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -100,7 +100,7 @@
         self._had_owner = False
 
     @property
-    def is_own(self) -> bool:
+    def is_owner(self) -> bool:
         """Whether this process owns the pool, as far as it knows."""
         return self.owner is not None and self.owner.member == self._member
 
@@ -116,7 +116,7 @@
 
     def step_down(self) -> None:
         """Give up a pool that another owner has taken; who it is comes later."""
-        if self.is_own:
+        if self.is_owner:
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
             self._clear_owner()
 
@@ -125,7 +125,7 @@
 
         Whoever tells so may have forgotten it by the next question.
         """
-        if self.is_own and self.owner is not None and self.owner.epoch < newer_epoch:
+        if self.is_owner and self.owner is not None and self.owner.epoch < newer_epoch:
             log_event('owner_outdated', epoch=self.owner.epoch, newer=newer_epoch)
             self.step_down()
 
@@ -135,13 +135,13 @@
             try:
                 await self._run_once()
             except STORE_FAILURES as error:
-                log_event('owner_key_unreachable', why=str(error), is_own=self.is_own)
+                log_event('owner_key_unreachable', why=str(error), is_own=self.is_owner)
                 await anyio.sleep(self._timing.retry_pause_s())
 
     async def release(self) -> None:
         """Give the pool to the others at once, for a planned stop."""
         self.is_leaving = True
-        if not self.is_own or not self._lease:
+        if not self.is_owner or not self._lease:
             return
         try:
             await self._store.end_lease(self._lease, timeout_s=self._timing.call_s)
@@ -150,7 +150,7 @@
         self.step_down()
 
     async def _run_once(self) -> None:
-        if self.is_own and self._lease:
+        if self.is_owner and self._lease:
             await self._keep_lease()
             return
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
@@ -171,7 +171,7 @@
 
     async def _keep_lease(self) -> None:
         await anyio.sleep(self._settings.keep_every_s)
-        if self.is_leaving or not self.is_own:
+        if self.is_leaving or not self.is_owner:
             return
         if await self._renew_lease():
             return
@@ -204,7 +204,7 @@
         if self.is_leaving:
             await anyio.sleep(self._timing.retry_s)
             return
-        if self._had_owner and not self.is_own:
+        if self._had_owner and not self.is_owner:
             await anyio.sleep(self._claim_delay_s)
         await self._claim(0)
 
@@ -241,7 +241,7 @@
     async def _watch_owner_key(self, item: Item) -> None:
         """Wait until the owner's key changes or goes."""
         revision = item.read_at
-        while not self.is_own:
+        while not self.is_owner:
             page = await watch_once(self._store, self._timing, OWNER_KEY, revision)
             if page is None:
                 await anyio.sleep(self._timing.retry_pause_s())
