--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -148,8 +148,8 @@
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
         if request.path == '/status':
-            found = describe(self._ownership, self._follower, self._store, self._replies.owner)
-            return Response(200, msgspec.json.encode(found))
+            status = describe(self._ownership, self._follower, self._store, self._replies.owner)
+            return Response(200, msgspec.json.encode(status))
         if request.path != '/ready':
             return Response(404)
         is_ready = self._follower.current is not None and not self._is_stopping
