--- a/packages/node/dahliaarch_node/__init__.py
+++ b/packages/node/dahliaarch_node/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: one role on every instance, one of which owns the pool."""
+"""The daemon. All instances run the same code; one of them at a time owns the pool."""
