--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -1,4 +1,4 @@
-"""One instance: its servers, its messages and, at times, the pool."""
+"""One instance of the daemon: its HTTP servers, its links to other instances and, while elected, the pool owner."""
 
 import secrets
 import signal
@@ -36,38 +36,38 @@
 from .status import describe
 from .timing import StoreTiming
 
-# An instance with at least this much of a core is an able owner.
+# Minimum CPU, in cores, with which an instance is a preferred owner and claims the pool sooner.
 _MIN_PREFERRED_OWNER_CORES = 0.9
-# Descriptors that are not for callers' connections.
+# File descriptors reserved for uses other than client connections.
 _RESERVED_FDS = 400
-# How long a stopping instance still takes requests, in seconds: the balancer
-# drops it after two checks, one a second, that it misses.
+# How long an instance that shuts down still accepts connections, in seconds. The load balancer
+# removes it after two failed readiness checks, which are made once a second.
 _SHUTDOWN_ACCEPT_S = 2.6
-# Part of the grace period kept for the end of the process, in seconds.
+# Part of the grace period reserved for process exit, in seconds.
 _EXIT_MARGIN_S = 0.8
-# How often the settings file is looked at, in seconds.
+# Interval at which the settings file is polled, in seconds.
 _SETTINGS_POLL_INTERVAL_S = 1.0
 
 
 class Instance:
-    """Everything that one process runs.
+    """All components of one daemon process.
 
     Parameters
     ----------
     settings : InstanceSettings
-        What the settings file says.
+        Settings of the platform, as read from its file.
     path : Path
-        That file, which may change.
-    own : OwnSettings
-        What the project's own file says.
+        Path of that file, which is reloaded when it changes.
+    own_settings : OwnSettings
+        Settings chosen by the project's operators.
     log_writer : LogWriter
-        Writes the log lines.
+        Writes log lines in the background.
     """
 
     def __init__(
         self, settings: InstanceSettings, path: Path, own_settings: OwnSettings, log_writer: LogWriter
     ) -> None:
-        """Build the parts; nothing runs yet."""
+        """Build the components; `run` starts them."""
         self._own_settings = own_settings
         self._settings = settings
         self._path = path
@@ -113,7 +113,7 @@
         self._is_stopping = False
 
     async def run(self) -> None:
-        """Serve until the process is asked to stop."""
+        """Serve until SIGTERM, then shut down gracefully."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._log_writer.run)
             tasks.start_soon(self._mesh.run, self._settings.ip, self._settings.peer_ports[0])
@@ -132,7 +132,7 @@
         self._log_writer.flush()
 
     async def _listen(self) -> None:
-        """Serve callers, readiness checks and, if there is a port for them alone, metrics."""
+        """Listen for client requests, readiness checks and, if a port is configured, metrics."""
         await self._front_server.listen(self._settings.front)
         await self._internal_server.listen(self._settings.ready)
         port = self._own_settings.metrics.port
@@ -144,7 +144,7 @@
             log_event('metrics_port_taken', port=port, why=str(error))
 
     async def _answer_internal(self, request: Request) -> Response:
-        """Answer readiness checks, show the metrics and the state."""
+        """Answer requests for readiness, metrics and status."""
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
         if request.path == '/status':
@@ -156,7 +156,7 @@
         return Response(200 if is_ready else 503)
 
     async def _run_owner_when_elected(self) -> None:
-        """Run the pool's owner for as long as this instance owns the pool."""
+        """Run the pool owner whenever this instance owns the pool."""
         while True:
             changed = self._ownership.changed
             if not self._ownership.is_owner:
@@ -165,6 +165,7 @@
             await self._run_owner(self._ownership.owner.epoch if self._ownership.owner else 0)
 
     async def _run_owner(self, epoch: int) -> None:
+        """Run the pool owner for one epoch, until it is deposed."""
         owner = PoolOwner(
             OwnerSettings(epoch, self._settings.bounds, self._timing, self._own_settings),
             self._store,
@@ -190,7 +191,7 @@
             self._ownership.step_down()
 
     async def _depose_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
-        """Stop an owner whose epoch is over."""
+        """Depose the pool owner once its epoch has ended."""
         while True:
             changed = self._ownership.changed
             known = self._ownership.owner
@@ -200,6 +201,7 @@
             await changed.wait()
 
     async def _forward_configuration(self, owner: PoolOwner) -> None:
+        """Pass each new configuration to the pool owner."""
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
@@ -207,7 +209,7 @@
             await changed.wait()
 
     async def _send_hello_to_owners(self) -> None:
-        """Tell each new owner that this instance is there."""
+        """Announce this instance to each new owner."""
         while True:
             changed = self._ownership.changed
             owner = self._ownership.owner
@@ -216,6 +218,7 @@
             await changed.wait()
 
     async def _apply_http_limits(self) -> None:
+        """Apply the request size limits of each new configuration."""
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
@@ -225,7 +228,7 @@
             await changed.wait()
 
     async def _watch_settings(self) -> None:
-        """Notice a settings file that changes without a signal."""
+        """Reload the settings file when it changes, also without SIGHUP."""
         while True:
             await anyio.sleep(_SETTINGS_POLL_INTERVAL_S)
             self._reload_settings('file')
@@ -250,7 +253,7 @@
         tasks.cancel_scope.cancel()
 
     async def _stop(self) -> None:
-        """Hand the pool over, let the balancer turn away, finish what was read."""
+        """Release the pool, wait until the load balancer has removed this instance, and finish open requests."""
         started_s = time.monotonic()
         log_event('stopping', is_owner=self._ownership.is_owner)
         self._is_stopping = True
