--- a/packages/node/dahliaarch_node/main.py
+++ b/packages/node/dahliaarch_node/main.py
@@ -5,8 +5,8 @@
 import sys
 from pathlib import Path
 
-# A signal that says that the settings changed must not end a process that has
-# not read them yet; the imports below take most of the time until it does.
+# SIGHUP asks for a reload of the settings. By default it would terminate a process that has not
+# installed its handler yet, and the imports below take most of the startup time.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import anyio
@@ -18,12 +18,12 @@
 from .logs import configure_logs
 from .own_settings import read_own_settings
 
-# Where the platform places the settings file by default.
+# Default path of the platform's settings file.
 _DEFAULT_PATH = '/etc/dahliaarch/boot.conf'
 
 
 def main() -> None:
-    """Run one instance until it is asked to stop."""
+    """Run one instance until it is told to stop."""
     path = Path(os.environ.get(PATH_VARIABLE, _DEFAULT_PATH))
     try:
         settings = read_settings(path)
