--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -1,4 +1,4 @@
-"""The instances that are there: each has an entry in the store and gets the owner's heartbeats."""
+"""Group membership: every instance registers in the store and receives heartbeats from the owner."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,25 +17,26 @@
 from .timing import StoreTiming
 from .watching import read_all
 
-# How often the owner sends heartbeats, in seconds. An instance that missed the update of a
-# configuration learns of it at most this much later.
+# Interval between two heartbeats of the owner, in seconds. An instance that missed an update of
+# the configuration learns of it within this time.
 _HEARTBEAT_INTERVAL_S = 0.7
-# Longest wait for the answer to a heartbeat, in seconds.
+# Timeout for the reply to a heartbeat, in seconds.
 _HEARTBEAT_TIMEOUT_S = 0.6
-# An instance that was silent for this long is taken off the list, in seconds.
+# Time without a reply after which an instance is removed, in seconds.
 _REMOVE_AFTER_S = 30.0
 
 
 class _Peer(NamedTuple):
     member: Member
+    # Version of the configuration that it follows; -1 until it has replied to a heartbeat.
     version: int
     last_contact_s: float
-    # Heartbeats in a row that got no answer.
+    # Number of consecutive heartbeats without a reply.
     missed: int = 0
 
 
 class _HeartbeatRound:
-    """One heartbeat to all: confirms the owner's authority once most of the instances have agreed."""
+    """One heartbeat sent to every instance; confirms the owner's authority once a majority has agreed."""
 
     def __init__(self, asked_s: float, instances: int, authority: Authority) -> None:
         self._asked_s = asked_s
@@ -43,33 +44,33 @@
         self._authority = authority
 
     def add_agreement(self) -> None:
-        """Take in that one more instance knows of no newer owner."""
+        """Count one more instance that knows of no newer owner."""
         self._needed_agreements -= 1
         if self._needed_agreements <= 0:
             self._authority.confirm(self._asked_s)
 
 
 class Membership:
-    """Registers this instance and, on the owner, keeps in touch with all.
+    """Registers this instance and, on the owner, sends heartbeats to all instances.
 
     Parameters
     ----------
     member : Member
         This instance.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the current configuration.
     peer_feed : PeerFeed
-        Fetches newer versions from others.
+        Fetches newer versions of the configuration from peers.
     mesh : Mesh
-        Messages to the others.
+        Sends messages to peers.
     authority : Authority
-        Confirmed where most instances know of no newer owner.
-    outdated : callable
-        Called with the epoch of a newer owner that an instance knows of.
+        Confirmed when a majority of the instances knows of no newer owner.
+    on_newer_epoch : callable
+        Called with the epoch of a newer owner that another instance has reported.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
         authority: Authority,
         on_newer_epoch: Callable[[int], None],
     ) -> None:
-        """Start knowing nobody."""
+        """Initialize without known peers."""
         self._authority = authority
         self._on_newer_epoch = on_newer_epoch
         self._member = member
@@ -95,7 +96,7 @@
         self._peer_by_instance: dict[str, _Peer] = {}
 
     async def register(self) -> None:
-        """Write this instance's entry, until it is written."""
+        """Write this instance's entry to the store, retrying until it succeeds."""
         write = Write(member_key(self._member.instance), encode(self._member))
         while True:
             try:
@@ -107,11 +108,11 @@
             return
 
     def send_hello(self, owner: Member) -> None:
-        """Tell an owner that this instance is there."""
+        """Announce this instance to an owner."""
         self._mesh.tell((owner.host, owner.port), Hello(self._member))
 
     def add(self, member: Member) -> None:
-        """Take in an instance that is there."""
+        """Add or replace a peer; this instance itself is ignored."""
         known = self._peer_by_instance.get(member.instance)
         if member.instance == self._member.instance:
             return
@@ -119,15 +120,15 @@
             self._peer_by_instance[member.instance] = _Peer(member, -1, steady_s())
 
     def peers(self) -> list[Member]:
-        """Return the instances that answered of late, this one left out."""
+        """Return the known peers that have replied to a heartbeat; this instance is not among them."""
         return [peer.member for peer in self._peer_by_instance.values() if peer.version >= 0]
 
     def record_version(self, member: Member, version: int) -> None:
-        """Take in which version of the configuration another instance follows."""
+        """Record the version of the configuration that a peer follows, so that newer ones are fetched."""
         self._peer_feed.announce(member, version)
 
     async def send_heartbeats(self, epoch: int) -> None:
-        """Tell every instance who owns the pool, again and again."""
+        """Send periodic heartbeats to every instance, until cancelled."""
         await self._load_members()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._announce_changes, epoch)
@@ -136,7 +137,7 @@
                 await self._remove_silent_peers()
 
     async def _announce_changes(self, epoch: int) -> None:
-        """Tell every instance at once when a version comes into force here."""
+        """Announce each new version of the configuration at once, without waiting for the next heartbeat."""
         while True:
             await self._follower.changed.wait()
             heartbeat = Heartbeat(self._member, epoch, self._follower.version)
@@ -181,7 +182,7 @@
         self._replace_peer(peer, peer._replace(missed=peer.missed + 1))
 
     def _replace_peer(self, before: _Peer, after: _Peer) -> None:
-        """Keep what is known of a peer, unless it has been forgotten or replaced meanwhile."""
+        """Replace the state of a peer, unless the peer was removed or replaced in the meantime."""
         if self._peer_by_instance.get(before.member.instance) is before:
             self._peer_by_instance[before.member.instance] = after
 
