--- a/packages/node/dahliaarch_node/own_settings.py
+++ b/packages/node/dahliaarch_node/own_settings.py
@@ -1,7 +1,7 @@
-"""The project's own settings: a TOML file, checked whole.
+"""Settings chosen by the project's operators, read from a TOML file and validated as a whole.
 
-What the platform decides (addresses, bounds, rates) stands in its own file;
-this one has what the project's operators decide: the policy and the limits.
+The platform's settings (addresses, bounds, rates) are in a separate file. This one holds the
+policy and the limits.
 """
 
 import os
@@ -18,38 +18,38 @@
 
 PATH_VARIABLE = 'DAHLIAARCH_SETTINGS'
 
-# Limits of the scheduler that the platform's file decides.
+# Scheduler settings that are taken from the platform's file and can't be set here.
 _PLATFORM_FIELDS = frozenset(('far_factor', 'stop_timeout_s', 'early_s'))
 _WITHOUT = 'without'
 _MAX_FILE_BYTES = 65_536
 
 
 class MetricsSettings(NamedTuple):
-    """Where metrics are served.
+    """Settings of the metrics endpoint.
 
     Parameters
     ----------
     port : int
-        A port that is the same on every instance, so that whoever collects
-        metrics needs no other address; 0 for the readiness address alone.
+        Additional port for metrics, the same on every instance so that a collector needs no
+        per-instance address. With 0, metrics are served at the readiness address only.
     """
 
     port: int = 0
 
 
 class OwnSettings(NamedTuple):
-    """Settings of the project itself.
+    """Settings chosen by the project's operators.
 
     Parameters
     ----------
     policy : PolicySettings
-        Programs of the operators.
+        Scheduling policy: a built-in one or the operators' programs.
     scheduler : SchedulerSettings
-        Limits and weights.
+        Limits and weights of the scheduler.
     ownership : OwnershipSettings
-        Times of the owner's lease.
+        Durations for the owner's lease.
     metrics : MetricsSettings
-        Where metrics are served.
+        Settings of the metrics endpoint.
     """
 
     policy: PolicySettings = SHIPPED['first-come']
@@ -59,14 +59,16 @@
 
 
 def read_own_settings() -> OwnSettings:
-    """Read the file that the environment names, or return the defaults.
+    """Read the file named by the environment variable `PATH_VARIABLE`, or return the defaults if it is unset.
 
     Raises
     ------
     SettingsError
-        When a key is unknown or its value is wrong; it names the key.
+        If a key is unknown or its value is invalid; the error names the key.
+    PolicyError
+        If a program of the policy does not compile.
     OSError
-        When the file can't be read.
+        If the file can't be read.
     """
     path = os.environ.get(PATH_VARIABLE, '')
     if not path:
@@ -75,12 +77,14 @@
 
 
 def parse_own_settings(text: str) -> OwnSettings:
-    """Decode and check settings.
+    """Parse and validate settings in TOML.
 
     Raises
     ------
     SettingsError
-        When a key is unknown or its value is wrong; it names the key.
+        If a key is unknown or its value is invalid; the error names the key.
+    PolicyError
+        If a program of the policy does not compile.
     """
     if len(text) > _MAX_FILE_BYTES:
         raise SettingsError('file', f'larger than {_MAX_FILE_BYTES} bytes')
@@ -106,7 +110,7 @@
     _check_known_keys('policy', table, PolicySettings._fields)
     for key, setting in table.items():
         if not isinstance(setting, str):
-            raise SettingsError(f'policy.{key}', f'{setting!r} is not a text')
+            raise SettingsError(f'policy.{key}', f'{setting!r} is not a string')
     name = table.get('name', 'own')
     policy = PolicySettings(**{**SHIPPED.get(name, PolicySettings(name))._asdict(), **table})
     compile_policy(policy)
@@ -127,7 +131,7 @@
     try:
         return frozenset(Mechanism(name) for name in names)
     except ValueError as error:
-        raise SettingsError(f'scheduler.{_WITHOUT}', f'{error}; known: {known}') from error
+        raise SettingsError(f'scheduler.{_WITHOUT}', f'{error}; known values: {known}') from error
 
 
 def _parse_numbers(name: str, document: Mapping[str, Any], defaults: Any, excluded: frozenset[str]) -> dict[str, Any]:
@@ -135,7 +139,7 @@
     _check_known_keys(name, table, tuple(field for field in defaults._fields if field not in excluded))
     for key, setting in table.items():
         if isinstance(setting, bool) or not isinstance(setting, int | float) or setting < 0:
-            raise SettingsError(f'{name}.{key}', f'{setting!r} is not a number of at least 0')
+            raise SettingsError(f'{name}.{key}', f'{setting!r} is not a non-negative number')
     return {key: type(getattr(defaults, key))(setting) for key, setting in table.items()}
 
 
@@ -149,4 +153,4 @@
 def _check_known_keys(where: str, table: Mapping[str, Any], known: tuple[str, ...]) -> None:
     for key in table:
         if key not in known:
-            raise SettingsError(f'{where}.{key}'.lstrip('.'), f'is unknown; known: {", ".join(known)}')
+            raise SettingsError(f'{where}.{key}'.lstrip('.'), f'unknown key; known keys: {", ".join(known)}')
