--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -1,8 +1,8 @@
-"""Which instance owns the pool.
+"""Leader election: which instance owns the pool.
 
-The owner's key lies under a lease. Its revision is the owner's epoch: it grows
-with every owner, is the condition of every write that the owner makes and the
-fence that workers compare.
+The owner's key in the store is bound to a lease. The key's revision is the owner's epoch. It
+increases with every owner, is a condition of every write of the owner and serves as the fencing
+token that workers compare.
 """
 
 from typing import NamedTuple
@@ -29,19 +29,19 @@
 
 
 class OwnershipSettings(NamedTuple):
-    """Times in seconds.
+    """Durations for the owner's lease, in seconds.
 
     Parameters
     ----------
     lease_s : float
-        Duration of the owner's lease: how long a dead owner goes unnoticed.
+        Duration of the lease, and so the time until the failure of an owner is detected.
     keep_every_s : float
-        How often it is renewed; three renewals may be lost.
+        Interval between renewals; with the defaults, three may be lost before the lease ends.
     claim_delay_s : float
-        How long others wait before they claim a key that has gone, so that an
-        owner whose lease lapsed during an outage claims it again first.
+        How long other instances wait before they claim a key that was removed, so that an owner
+        whose lease expired during an outage of the store can claim it again first.
     slow_claim_delay_s : float
-        The same on an instance with few resources.
+        The same delay on an instance with few resources.
     """
 
     lease_s: float = 2.0
@@ -51,29 +51,29 @@
 
 
 class Owner(NamedTuple):
-    """Who owns the pool, and since which epoch."""
+    """The instance that owns the pool, and its epoch."""
 
     member: Member
     epoch: int
 
 
 class Ownership:
-    """Claims the pool when nobody owns it and tells who does.
+    """Claims the pool when it has no owner, renews the lease while owning it, and tracks the current owner.
 
     Parameters
     ----------
     member : Member
         This instance.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     settings : OwnershipSettings
-        Times of the lease.
+        Durations for the lease.
     authority : Authority
-        Confirmed by each grant and renewal of the lease.
-    is_able : bool
-        Whether this instance has the resources to own the pool.
+        Confirmed by each successful claim and renewal of the lease.
+    is_preferred : bool
+        Whether this instance has enough resources to claim the pool after the shorter delay.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         *,
         is_preferred: bool,
     ) -> None:
-        """Start without knowing an owner."""
+        """Initialize without a known owner."""
         self.owner: Owner | None = None
         self.changed = anyio.Event()
         self.is_leaving = False
@@ -101,11 +101,11 @@
 
     @property
     def is_owner(self) -> bool:
-        """Whether this process owns the pool, as far as it knows."""
+        """Whether this process is the last known owner of the pool."""
         return self.owner is not None and self.owner.member == self._member
 
     def observe(self, owner: Owner) -> None:
-        """Take in who owns the pool; older epochs change nothing."""
+        """Record the owner of the pool; an epoch that is not newer is ignored."""
         if self.owner is not None and owner.epoch <= self.owner.epoch:
             return
         log_event('owner_known', owner=owner.member.instance, epoch=owner.epoch)
@@ -115,22 +115,23 @@
         changed.set()
 
     def step_down(self) -> None:
-        """Give up a pool that another owner has taken; who it is comes later."""
+        """Give up a pool that was released or that another owner has taken; the new owner is learned later."""
         if self.is_owner:
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
             self._clear_owner()
 
     def observe_newer_epoch(self, newer_epoch: int) -> None:
-        """Take in that somebody knows of a newer owner, who is not known here yet.
+        """Step down if another instance has reported a newer owner, even if its identity is not known yet.
 
-        Whoever tells so may have forgotten it by the next question.
+        The report is acted on at once because that instance may restart and no longer know the
+        newer owner when it is asked again.
         """
         if self.is_owner and self.owner is not None and self.owner.epoch < newer_epoch:
             log_event('owner_outdated', epoch=self.owner.epoch, newer=newer_epoch)
             self.step_down()
 
     async def run(self) -> None:
-        """Claim, keep or watch until cancelled."""
+        """Claim the pool, renew the lease or watch the owner's key, until cancelled."""
         while True:
             try:
                 await self._run_once()
@@ -139,7 +140,7 @@
                 await anyio.sleep(self._timing.retry_pause_s())
 
     async def release(self) -> None:
-        """Give the pool to the others at once, for a planned stop."""
+        """Release the pool for a planned shutdown, so that another instance can claim it at once."""
         self.is_leaving = True
         if not self.is_owner or not self._lease:
             return
@@ -159,12 +160,12 @@
             return
         found = decode(item.value, Member, 'member')
         if found == self._member:
-            # Our own claim, acknowledged late: its lease is not known any more.
+            # A claim of this process that was acknowledged late: its lease is no longer known, so claim again.
             await self._claim(item.revision)
             return
         self.observe(Owner(found, item.revision))
         if found.instance == self._member.instance:
-            # An earlier process of this instance: it is gone for certain.
+            # The owner is a previous process of this instance, which has certainly ended.
             await self._claim(item.revision)
             return
         await self._watch_owner_key(item)
@@ -177,8 +178,8 @@
             return
         log_event('owner_lease_over', lease=self._lease)
         self._lease = 0
-        # The key is gone, and with it the right to write; claim it anew. Until
-        # the claim succeeds the workers still take this owner's orders.
+        # The key was removed with its lease, so conditional writes fail; claim the key again.
+        # Until the claim succeeds, workers still accept the orders of this owner.
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is None:
             await self._claim(0)
@@ -186,7 +187,7 @@
             self.step_down()
 
     async def _renew_lease(self) -> bool:
-        """Renew the lease, at once again when the first call gets no answer."""
+        """Renew the lease; retry once, without a pause, if the call gets no answer."""
         try:
             return await self._renew_once()
         except StoreUnansweredError as error:
@@ -209,7 +210,7 @@
         await self._claim(0)
 
     async def _claim(self, revision: int) -> None:
-        """Take the key if it still is at a revision (0: absent)."""
+        """Write the owner's key if it is still at the given revision (0: absent)."""
         if self.is_leaving:
             return
         asked_s = steady_s()
@@ -228,7 +229,7 @@
             self._become_owner(lease, outcome.revision, asked_s)
 
     async def _verify_claim(self, lease: int, asked_s: float) -> None:
-        """Find out whether a claim without an answer has been carried out."""
+        """Read the owner's key to find out whether a claim without an answer succeeded."""
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
             self._become_owner(lease, item.revision, asked_s)
@@ -239,7 +240,7 @@
         self.observe(Owner(self._member, epoch))
 
     async def _watch_owner_key(self, item: Item) -> None:
-        """Wait until the owner's key changes or goes."""
+        """Wait until the owner's key changes or is removed, or its history is gone."""
         revision = item.read_at
         while not self.is_owner:
             page = await watch_once(self._store, self._timing, OWNER_KEY, revision)
