--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -1,4 +1,4 @@
-"""Transactions that another instance makes for this one, which the store turns away."""
+"""Relays transactions through other instances when the store refuses this one or can't be reached."""
 
 import random
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
 from .peers import CommitFor, CommitOutcome, CommitReply, Mesh, PeerSilentError
 from .records import Member
 
-# Share of the time of a transaction that the other instance waits for the store: its answer takes some, too.
+# Share of a relayed transaction's timeout that the relay waits for the store; the rest is for the reply to travel back.
 _STORE_TIMEOUT_SHARE = 0.8
 _OUTCOME_BY_STATUS = {
     CommitStatus.DONE: CommitOutcome.DONE,
@@ -32,14 +32,14 @@
 
 
 def available_relays(mesh: Mesh, membership: Membership) -> Sequence[Commit]:
-    """Return the ways to have a transaction made by the other instances, in any order."""
+    """Return functions that commit a transaction through each responsive peer, in random order."""
     peers = membership.peers()
     random.shuffle(peers)
     return [partial(_commit_through, mesh, peer) for peer in peers]
 
 
 async def commit_for_peer(store: StoreClient, message: CommitFor) -> CommitReply:
-    """Make a transaction for another instance."""
+    """Commit a transaction on behalf of another instance."""
     if store.is_suspect:
         return CommitReply(CommitOutcome.REFUSED)
     try:
@@ -68,7 +68,9 @@
     except PeerSilentError as error:
         raise StoreUnansweredError(str(error)) from error
     if not isinstance(reply, CommitReply) or reply.outcome is CommitOutcome.UNKNOWN:
-        raise StoreUnansweredError(f'{peer.instance} does not know')
+        raise StoreUnansweredError(f'relay {peer.instance} does not know whether the transaction was committed')
     if reply.outcome is CommitOutcome.REFUSED:
-        raise StoreRefusedError(f'{peer.instance} is refused too')
+        raise StoreRefusedError(
+            f'relay {peer.instance} did not commit the transaction: the store refused it or was unreachable'
+        )
     return CommitResult(_STATUS_BY_OUTCOME[reply.outcome], reply.revision, reply.current)
