--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -1,4 +1,4 @@
-"""Answers to the other instances' messages."""
+"""Handlers for messages from other instances."""
 
 from functools import singledispatchmethod
 
@@ -34,26 +34,26 @@
 from .records import job_key, JobRecord
 from .relaying import commit_for_peer
 
-# Longest try at a write for another instance, in seconds: what is left of the
-# time that it holds its caller.
+# Timeout for a write on behalf of another instance, in seconds: the remainder of the time for
+# which that instance holds the client's request.
 _WRITE_TIMEOUT_S = 0.45
-# Longest wait for a read of the store, in seconds.
+# Timeout for a read of the store, in seconds.
 _READ_TIMEOUT_S = 0.4
 
 
 class PeerReplies:
-    """Answers messages on behalf of this instance.
+    """Answers messages from other instances.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the current configuration.
     ownership : Ownership
-        Who owns the pool.
+        Tracks which instance owns the pool.
     advice : AdviceClient or None
-        Calls of the outside policy, if there is one.
+        Client of the external policy, if one is configured.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         ownership: Ownership,
         advice: AdviceClient | None,
     ) -> None:
-        """Start without the pool."""
+        """Initialize without a pool owner; `owner` and `membership` are set later."""
         self._advice = advice
         self.owner: PoolOwner | None = None
         self.membership: Membership | None = None
@@ -72,7 +72,7 @@
         self._ownership = ownership
 
     async def answer(self, message: Message) -> Message | None:
-        """Answer a message; nothing when it needs no answer."""
+        """Return the reply to a message, or None if it needs none."""
         return await self._reply(message)
 
     @singledispatchmethod
@@ -152,7 +152,7 @@
         return await commit_for_peer(self._store, message)
 
     def _forward_to_owner(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
-        """Hand updates to the pool's owner, if it is here; else the watch brings them."""
+        """Pass an update to the pool owner if it runs here; otherwise the owner learns of it from its watch."""
         if self.owner is None:
             return
         if is_cancel:
