--- a/packages/node/dahliaarch_node/tests/test_status.py
+++ b/packages/node/dahliaarch_node/tests/test_status.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the pool in one look."""
+"""Tests of the status page."""
 
 from types import SimpleNamespace
 
