--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -6,7 +6,7 @@
 from ..own_settings import OwnSettings, parse_own_settings
 
 
-def test_nothing_means_the_defaults():
+def test_an_empty_file_means_the_defaults():
     assert parse_own_settings('') == OwnSettings()
 
 
