--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -10,7 +10,7 @@
     assert parse_own_settings('') == OwnSettings()
 
 
-def test_what_is_given_is_taken():
+def test_given_settings_replace_the_defaults():
     found = parse_own_settings(
         '[policy]\nname = "fragmentation"\n[scheduler]\nreservations = 3\n[ownership]\nlease_s = 3'
     )
