--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -43,7 +43,7 @@
         ('[', 'file'),
     ],
 )
-def test_each_error_names_its_key(text, key):
+def test_each_error_names_the_invalid_key(text, key):
     with pytest.raises(SettingsError) as raised:
         parse_own_settings(text)
     assert raised.value.where == key
