--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -49,6 +49,6 @@
     assert raised.value.where == key
 
 
-def test_a_program_that_does_not_compile_is_refused():
+def test_a_program_that_does_not_compile_is_rejected():
     with pytest.raises(PolicyError):
         parse_own_settings('[policy]\npriority = "slots +"')
