--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -230,7 +230,7 @@
 
     async def _write(self, write_to_store: _StoreWrite, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Write to the store; ask the owner to write if that fails here."""
-        if self._ownership.owner is None or self._ownership.is_own:
+        if self._ownership.owner is None or self._ownership.is_owner:
             return await write_to_store(STORE_WRITE_TIMEOUT_S)
         own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
         if own.fate is Fate.KEPT:
@@ -243,7 +243,7 @@
     async def _write_through_owner(self, message: AcceptJob | AcceptCancel) -> WriteOutcome:
         """Ask the owner to write what this instance could not write to the store."""
         owner = self._ownership.owner
-        if owner is None or self._ownership.is_own:
+        if owner is None or self._ownership.is_owner:
             return WriteOutcome(Fate.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -1,4 +1,4 @@
-"""The instances that are there: each has an entry in the store and gets the owner's heartbeats."""
+"""Group membership: every instance registers in the store and receives heartbeats from the owner."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,59 +17,60 @@
 from .timing import StoreTiming
 from .watching import read_all
 
-# How often the owner sends heartbeats, in seconds. An instance that missed the update of a
-# configuration learns of it at most this much later.
-_HEARTBEAT_EVERY_S = 0.7
-# Longest wait for the answer to a heartbeat, in seconds.
-_HEARTBEAT_ANSWER_S = 0.6
-# An instance that was silent for this long is taken off the list, in seconds.
-_FORGET_AFTER_S = 30.0
+# Interval between two heartbeats of the owner, in seconds. An instance that missed an update of
+# the configuration learns of it within this time.
+_HEARTBEAT_INTERVAL_S = 0.7
+# Timeout for the reply to a heartbeat, in seconds.
+_HEARTBEAT_TIMEOUT_S = 0.6
+# Time without a reply after which an instance is removed, in seconds.
+_REMOVE_AFTER_S = 30.0
 
 
 class _Peer(NamedTuple):
     member: Member
+    # Version of the configuration that it follows; -1 until it has replied to a heartbeat.
     version: int
     last_contact_s: float
-    # Heartbeats in a row that got no answer.
+    # Number of consecutive heartbeats without a reply.
     missed: int = 0
 
 
-class _Round:
-    """One heartbeat to all: confirms the owner's authority once most of the instances have agreed."""
+class _HeartbeatRound:
+    """One heartbeat sent to every instance; confirms the owner's authority once a majority has agreed."""
 
     def __init__(self, asked_s: float, instances: int, authority: Authority) -> None:
         self._asked_s = asked_s
-        self._needed = instances // 2 + 1
+        self._needed_agreements = instances // 2 + 1
         self._authority = authority
 
-    def agreed(self) -> None:
-        """Take in that one more instance knows of no newer owner."""
-        self._needed -= 1
-        if self._needed <= 0:
+    def add_agreement(self) -> None:
+        """Count one more instance that knows of no newer owner."""
+        self._needed_agreements -= 1
+        if self._needed_agreements <= 0:
             self._authority.confirm(self._asked_s)
 
 
 class Membership:
-    """Registers this instance and, on the owner, keeps in touch with all.
+    """Registers this instance and, on the owner, sends heartbeats to all instances.
 
     Parameters
     ----------
     member : Member
         This instance.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the current configuration.
     peer_feed : PeerFeed
-        Fetches newer versions from others.
+        Fetches newer versions of the configuration from peers.
     mesh : Mesh
-        Messages to the others.
+        Sends messages to peers.
     authority : Authority
-        Confirmed where most instances know of no newer owner.
-    outdated : callable
-        Called with the epoch of a newer owner that an instance knows of.
+        Confirmed when a majority of the instances knows of no newer owner.
+    on_newer_epoch : callable
+        Called with the epoch of a newer owner that another instance has reported.
     """
 
     def __init__(
@@ -81,11 +82,11 @@
         peer_feed: PeerFeed,
         mesh: Mesh,
         authority: Authority,
-        outdated: Callable[[int], None],
+        on_newer_epoch: Callable[[int], None],
     ) -> None:
-        """Start knowing nobody."""
+        """Initialize without known peers."""
         self._authority = authority
-        self._outdated = outdated
+        self._on_newer_epoch = on_newer_epoch
         self._member = member
         self._store = store
         self._timing = timing
@@ -95,7 +96,7 @@
         self._peer_by_instance: dict[str, _Peer] = {}
 
     async def register(self) -> None:
-        """Write this instance's entry, until it is written."""
+        """Write this instance's entry to the store, retrying until it succeeds."""
         write = Write(member_key(self._member.instance), encode(self._member))
         while True:
             try:
@@ -106,12 +107,12 @@
                 continue
             return
 
-    def greet(self, owner: Member) -> None:
-        """Tell an owner that this instance is there."""
+    def send_hello(self, owner: Member) -> None:
+        """Announce this instance to an owner."""
         self._mesh.tell((owner.host, owner.port), Hello(self._member))
 
     def add(self, member: Member) -> None:
-        """Take in an instance that is there."""
+        """Add or replace a peer; this instance itself is ignored."""
         known = self._peer_by_instance.get(member.instance)
         if member.instance == self._member.instance:
             return
@@ -119,24 +120,24 @@
             self._peer_by_instance[member.instance] = _Peer(member, -1, steady_s())
 
     def peers(self) -> list[Member]:
-        """Return the instances that answered of late, this one left out."""
+        """Return the known peers that have replied to a heartbeat; this instance is not among them."""
         return [peer.member for peer in self._peer_by_instance.values() if peer.version >= 0]
 
-    def announced(self, member: Member, version: int) -> None:
-        """Take in which version of the configuration another instance follows."""
+    def record_version(self, member: Member, version: int) -> None:
+        """Record the version of the configuration that a peer follows, so that newer ones are fetched."""
         self._peer_feed.announce(member, version)
 
     async def send_heartbeats(self, epoch: int) -> None:
-        """Tell every instance who owns the pool, again and again."""
-        await self._load()
+        """Send periodic heartbeats to every instance, until cancelled."""
+        await self._load_members()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._announce_changes, epoch)
             while True:
                 await self._heartbeat_all(epoch)
-                await self._forget_silent()
+                await self._remove_silent_peers()
 
     async def _announce_changes(self, epoch: int) -> None:
-        """Tell every instance at once when a version comes into force here."""
+        """Announce each new version of the configuration at once, without waiting for the next heartbeat."""
         while True:
             await self._follower.changed.wait()
             heartbeat = Heartbeat(self._member, epoch, self._follower.version)
@@ -144,49 +145,49 @@
                 self._mesh.tell((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
-        count = _Round(steady_s(), len(self._peer_by_instance) + 1, self._authority)
-        count.agreed()
+        heartbeat_round = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
+        heartbeat_round.add_agreement()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
-                tasks.start_soon(self._heartbeat, peer, epoch, count)
-            tasks.start_soon(anyio.sleep, _HEARTBEAT_EVERY_S)
+                tasks.start_soon(self._send_heartbeat, peer, epoch, heartbeat_round)
+            tasks.start_soon(anyio.sleep, _HEARTBEAT_INTERVAL_S)
 
-    async def _load(self) -> None:
+    async def _load_members(self) -> None:
         page = await read_all(self._store, self._timing, MEMBERS_PREFIX)
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
 
-    async def _heartbeat(self, peer: _Peer, epoch: int, count: _Round) -> None:
+    async def _send_heartbeat(self, peer: _Peer, epoch: int, heartbeat_round: _HeartbeatRound) -> None:
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
-            reply = await self._mesh.ask((member.host, member.port), heartbeat, timeout_s=_HEARTBEAT_ANSWER_S)
+            reply = await self._mesh.ask((member.host, member.port), heartbeat, timeout_s=_HEARTBEAT_TIMEOUT_S)
         except PeerSilentError as error:
-            self._note_missed(peer, error)
+            self._record_missed(peer, error)
             return
         if not isinstance(reply, HeartbeatReply):
             return
-        self.announced(member, reply.version)
+        self.record_version(member, reply.version)
         if reply.epoch > epoch:
-            self._outdated(reply.epoch)
+            self._on_newer_epoch(reply.epoch)
         else:
-            count.agreed()
+            heartbeat_round.add_agreement()
         if peer.missed:
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
-        self._update(peer, _Peer(member, reply.version, steady_s()))
+        self._replace_peer(peer, _Peer(member, reply.version, steady_s()))
 
-    def _note_missed(self, peer: _Peer, error: PeerSilentError) -> None:
+    def _record_missed(self, peer: _Peer, error: PeerSilentError) -> None:
         if not peer.missed:
             log_event('heartbeat_unanswered', member=peer.member.instance, version=peer.version, why=str(error))
-        self._update(peer, peer._replace(missed=peer.missed + 1))
+        self._replace_peer(peer, peer._replace(missed=peer.missed + 1))
 
-    def _update(self, before: _Peer, after: _Peer) -> None:
-        """Keep what is known of a peer, unless it has been forgotten or replaced meanwhile."""
+    def _replace_peer(self, before: _Peer, after: _Peer) -> None:
+        """Replace the state of a peer, unless the peer was removed or replaced in the meantime."""
         if self._peer_by_instance.get(before.member.instance) is before:
             self._peer_by_instance[before.member.instance] = after
 
-    async def _forget_silent(self) -> None:
-        limit_s = steady_s() - _FORGET_AFTER_S
+    async def _remove_silent_peers(self) -> None:
+        limit_s = steady_s() - _REMOVE_AFTER_S
         for instance, peer in tuple(self._peer_by_instance.items()):
             if peer.last_contact_s > limit_s:
                 continue
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -1,8 +1,8 @@
-"""Which instance owns the pool.
+"""Leader election: which instance owns the pool.
 
-The owner's key lies under a lease. Its revision is the owner's epoch: it grows
-with every owner, is the condition of every write that the owner makes and the
-fence that workers compare.
+The owner's key in the store is bound to a lease. The key's revision is the owner's epoch. It
+increases with every owner, is a condition of every write of the owner and serves as the fencing
+token that workers compare.
 """
 
 from typing import NamedTuple
@@ -29,19 +29,19 @@
 
 
 class OwnershipSettings(NamedTuple):
-    """Times in seconds.
+    """Durations for the owner's lease, in seconds.
 
     Parameters
     ----------
     lease_s : float
-        Duration of the owner's lease: how long a dead owner goes unnoticed.
+        Duration of the lease, and so the time until the failure of an owner is detected.
     keep_every_s : float
-        How often it is renewed; three renewals may be lost.
+        Interval between renewals; with the defaults, three may be lost before the lease ends.
     claim_delay_s : float
-        How long others wait before they claim a key that has gone, so that an
-        owner whose lease lapsed during an outage claims it again first.
+        How long other instances wait before they claim a key that was removed, so that an owner
+        whose lease expired during an outage of the store can claim it again first.
     slow_claim_delay_s : float
-        The same on an instance with few resources.
+        The same delay on an instance with few resources.
     """
 
     lease_s: float = 2.0
@@ -51,29 +51,29 @@
 
 
 class Owner(NamedTuple):
-    """Who owns the pool, and since which epoch."""
+    """The instance that owns the pool, and its epoch."""
 
     member: Member
     epoch: int
 
 
 class Ownership:
-    """Claims the pool when nobody owns it and tells who does.
+    """Claims the pool when it has no owner, renews the lease while owning it, and tracks the current owner.
 
     Parameters
     ----------
     member : Member
         This instance.
     store : StoreClient
-        The store.
+        Client of the store.
     timing : StoreTiming
-        Timeouts and pauses.
+        Timeouts and retry pauses of store calls.
     settings : OwnershipSettings
-        Times of the lease.
+        Durations for the lease.
     authority : Authority
-        Confirmed by each grant and renewal of the lease.
-    is_able : bool
-        Whether this instance has the resources to own the pool.
+        Confirmed by each successful claim and renewal of the lease.
+    is_preferred : bool
+        Whether this instance has enough resources to claim the pool after the shorter delay.
     """
 
     def __init__(
@@ -84,9 +84,9 @@
         settings: OwnershipSettings,
         authority: Authority,
         *,
-        is_able: bool,
+        is_preferred: bool,
     ) -> None:
-        """Start without knowing an owner."""
+        """Initialize without a known owner."""
         self.owner: Owner | None = None
         self.changed = anyio.Event()
         self.is_leaving = False
@@ -95,17 +95,17 @@
         self._timing = timing
         self._settings = settings
         self._authority = authority
-        self._delay_s = settings.claim_delay_s if is_able else settings.slow_claim_delay_s
+        self._claim_delay_s = settings.claim_delay_s if is_preferred else settings.slow_claim_delay_s
         self._lease = 0
         self._had_owner = False
 
     @property
-    def is_own(self) -> bool:
-        """Whether this process owns the pool, as far as it knows."""
+    def is_owner(self) -> bool:
+        """Whether this process is the last known owner of the pool."""
         return self.owner is not None and self.owner.member == self._member
 
     def observe(self, owner: Owner) -> None:
-        """Take in who owns the pool; older epochs change nothing."""
+        """Record the owner of the pool; an epoch that is not newer is ignored."""
         if self.owner is not None and owner.epoch <= self.owner.epoch:
             return
         log_event('owner_known', owner=owner.member.instance, epoch=owner.epoch)
@@ -114,79 +114,80 @@
         changed, self.changed = self.changed, anyio.Event()
         changed.set()
 
-    def deposed(self) -> None:
-        """Give up a pool that another owner has taken; who it is comes later."""
-        if self.is_own:
+    def step_down(self) -> None:
+        """Give up a pool that was released or that another owner has taken; the new owner is learned later."""
+        if self.is_owner:
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
-            self._clear()
+            self._clear_owner()
 
-    def outdated(self, newer_epoch: int) -> None:
-        """Take in that somebody knows of a newer owner, who is not known here yet.
+    def observe_newer_epoch(self, newer_epoch: int) -> None:
+        """Step down if another instance has reported a newer owner, even if its identity is not known yet.
 
-        Whoever tells so may have forgotten it by the next question.
+        The report is acted on at once because that instance may restart and no longer know the
+        newer owner when it is asked again.
         """
-        if self.is_own and self.owner is not None and self.owner.epoch < newer_epoch:
+        if self.is_owner and self.owner is not None and self.owner.epoch < newer_epoch:
             log_event('owner_outdated', epoch=self.owner.epoch, newer=newer_epoch)
-            self.deposed()
+            self.step_down()
 
     async def run(self) -> None:
-        """Claim, keep or watch until cancelled."""
+        """Claim the pool, renew the lease or watch the owner's key, until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._run_once()
             except STORE_FAILURES as error:
-                log_event('owner_key_unreachable', why=str(error), is_own=self.is_own)
+                log_event('owner_key_unreachable', why=str(error), is_own=self.is_owner)
                 await anyio.sleep(self._timing.retry_pause_s())
 
     async def release(self) -> None:
-        """Give the pool to the others at once, for a planned stop."""
+        """Release the pool for a planned shutdown, so that another instance can claim it at once."""
         self.is_leaving = True
-        if not self.is_own or not self._lease:
+        if not self.is_owner or not self._lease:
             return
         try:
             await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
-        self.deposed()
+        self.step_down()
 
-    async def _step(self) -> None:
-        if self.is_own and self._lease:
-            await self._keep()
+    async def _run_once(self) -> None:
+        if self.is_owner and self._lease:
+            await self._keep_lease()
             return
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is None:
-            await self._claim_free()
+            await self._claim_absent_key()
             return
         found = decode(item.value, Member, 'member')
         if found == self._member:
-            # Our own claim, acknowledged late: its lease is not known any more.
+            # A claim of this process that was acknowledged late: its lease is no longer known, so claim again.
             await self._claim(item.revision)
             return
         self.observe(Owner(found, item.revision))
         if found.instance == self._member.instance:
-            # An earlier process of this instance: it is gone for certain.
+            # The owner is a previous process of this instance, which has certainly ended.
             await self._claim(item.revision)
             return
-        await self._watch(item)
+        await self._watch_owner_key(item)
 
-    async def _keep(self) -> None:
+    async def _keep_lease(self) -> None:
         await anyio.sleep(self._settings.keep_every_s)
-        if self.is_leaving or not self.is_own:
+        if self.is_leaving or not self.is_owner:
             return
-        if await self._renew():
+        if await self._renew_lease():
             return
         log_event('owner_lease_over', lease=self._lease)
         self._lease = 0
-        # The key is gone, and with it the right to write; claim it anew. Until
-        # the claim succeeds the workers still take this owner's orders.
+        # The key was removed with its lease, so conditional writes fail; claim the key again.
+        # Until the claim succeeds, workers still accept the orders of this owner.
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is None:
             await self._claim(0)
         elif decode(item.value, Member, 'member') != self._member:
-            self.deposed()
+            self.step_down()
 
-    async def _renew(self) -> bool:
-        """Renew the lease, at once again when the first call gets no answer."""
+    async def _renew_lease(self) -> bool:
+        """Renew the lease; retry once, without a pause, if the call gets no answer."""
         try:
             return await self._renew_once()
         except StoreUnansweredError as error:
@@ -200,16 +201,16 @@
             self._authority.confirm(asked_s)
         return is_kept
 
-    async def _claim_free(self) -> None:
+    async def _claim_absent_key(self) -> None:
         if self.is_leaving:
             await anyio.sleep(self._timing.retry_s)
             return
-        if self._had_owner and not self.is_own:
-            await anyio.sleep(self._delay_s)
+        if self._had_owner and not self.is_owner:
+            await anyio.sleep(self._claim_delay_s)
         await self._claim(0)
 
     async def _claim(self, revision: int) -> None:
-        """Take the key if it still is at a revision (0: absent)."""
+        """Write the owner's key if it is still at the given revision (0: absent)."""
         if self.is_leaving:
             return
         asked_s = steady_s()
@@ -222,26 +223,26 @@
                 timeout_s=self._timing.call_s,
             )
         except StoreUnansweredError:
-            await self._read_back(lease, asked_s)
+            await self._verify_claim(lease, asked_s)
             return
         if outcome.status is CommitStatus.DONE:
-            self._won(lease, outcome.revision, asked_s)
+            self._become_owner(lease, outcome.revision, asked_s)
 
-    async def _read_back(self, lease: int, asked_s: float) -> None:
-        """Find out whether a claim without an answer has been carried out."""
+    async def _verify_claim(self, lease: int, asked_s: float) -> None:
+        """Read the owner's key to find out whether a claim without an answer succeeded."""
         item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
-            self._won(lease, item.revision, asked_s)
+            self._become_owner(lease, item.revision, asked_s)
 
-    def _won(self, lease: int, epoch: int, asked_s: float) -> None:
+    def _become_owner(self, lease: int, epoch: int, asked_s: float) -> None:
         self._authority.confirm(asked_s)
         self._lease = lease
         self.observe(Owner(self._member, epoch))
 
-    async def _watch(self, item: Item) -> None:
-        """Wait until the owner's key changes or goes."""
+    async def _watch_owner_key(self, item: Item) -> None:
+        """Wait until the owner's key changes or is removed, or its history is gone."""
         revision = item.read_at
-        while not self.is_own:
+        while not self.is_owner:
             page = await watch_once(self._store, self._timing, OWNER_KEY, revision)
             if page is None:
                 await anyio.sleep(self._timing.retry_pause_s())
@@ -250,7 +251,7 @@
                 return
             revision = max(revision, page.revision)
 
-    def _clear(self) -> None:
+    def _clear_owner(self) -> None:
         self.owner = None
         self._lease = 0
         changed, self.changed = self.changed, anyio.Event()
--- a/packages/node/dahliaarch_node/tests/test_own_settings.py
+++ b/packages/node/dahliaarch_node/tests/test_own_settings.py
@@ -6,11 +6,11 @@
 from ..own_settings import OwnSettings, parse_own_settings
 
 
-def test_nothing_means_the_defaults():
+def test_an_empty_file_means_the_defaults():
     assert parse_own_settings('') == OwnSettings()
 
 
-def test_what_is_given_is_taken():
+def test_given_settings_replace_the_defaults():
     found = parse_own_settings(
         '[policy]\nname = "fragmentation"\n[scheduler]\nreservations = 3\n[ownership]\nlease_s = 3'
     )
@@ -43,12 +43,12 @@
         ('[', 'file'),
     ],
 )
-def test_each_error_names_its_key(text, key):
+def test_each_error_names_the_invalid_key(text, key):
     with pytest.raises(SettingsError) as raised:
         parse_own_settings(text)
     assert raised.value.location == key
 
 
-def test_a_program_that_does_not_compile_is_refused():
+def test_a_program_that_does_not_compile_is_rejected():
     with pytest.raises(PolicyError):
         parse_own_settings('[policy]\npriority = "slots +"')
