--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -21,16 +21,16 @@
     for column in columns:
         table.add_column(column.replace('_', ' '), overflow='fold')
     for row in rows:
-        table.add_row(*(_text(row[column]) for column in columns))
+        table.add_row(*(_format_cell(row[column]) for column in columns))
     _console.print(table)
 
 
 def print_columns(name: str, rows: Sequence[Mapping[str, object]], head: str) -> None:
     """Print one column each, under what names it, for rows of many measures."""
-    table = Table('', *(_text(row[head]) for row in rows), title=name)
+    table = Table('', *(_format_cell(row[head]) for row in rows), title=name)
     for measure in rows[0]:
         if measure != head:
-            table.add_row(measure, *(_text(row[measure]) for row in rows))
+            table.add_row(measure, *(_format_cell(row[measure]) for row in rows))
     _console.print(table)
 
 
@@ -38,11 +38,11 @@
     """Print what no scheduler could exceed, what was reached, and what each cause cost."""
     table = Table('cause', 'worth lost', 'thrown away', title=f'bound {gap.bound:.3f}, reached {gap.net:.3f}')
     for loss in gap.losses:
-        table.add_row(loss.cause, _text(loss.worth), _text(loss.waste))
+        table.add_row(loss.cause, _format_cell(loss.worth), _format_cell(loss.waste))
     table.add_section()
     worth, waste = (sum(losses) for losses in zip(*((loss.worth, loss.waste) for loss in gap.losses), strict=True))
-    table.add_row('all', _text(worth), _text(waste))
-    table.add_row('beyond any scheduler', _text(gap.beyond_reach), '')
+    table.add_row('all', _format_cell(worth), _format_cell(waste))
+    table.add_row('beyond any scheduler', _format_cell(gap.beyond_reach), '')
     _console.print(table)
 
 
@@ -58,7 +58,7 @@
     _console.print(table)
 
 
-def _text(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     if isinstance(cell, (tuple, list)):
         return ' '.join(str(part) for part in cell)
     return f'{cell:.3f}' if isinstance(cell, float) else str(cell)
