--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -25,11 +25,11 @@
     _console.print(table)
 
 
-def print_columns(name: str, rows: Sequence[Mapping[str, object]], head: str) -> None:
+def print_columns(name: str, rows: Sequence[Mapping[str, object]], heading: str) -> None:
     """Print one column each, under what names it, for rows of many measures."""
-    table = Table('', *(_format_cell(row[head]) for row in rows), title=name)
+    table = Table('', *(_format_cell(row[heading]) for row in rows), title=name)
     for measure in rows[0]:
-        if measure != head:
+        if measure != heading:
             table.add_row(measure, *(_format_cell(row[measure]) for row in rows))
     _console.print(table)
 
