--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -49,12 +49,12 @@
 def print_effects(effects: Sequence[Effect]) -> None:
     """Print what each mechanism is worth, and the margin, by deployment."""
     deployments = list(dict.fromkeys(effect.deployment for effect in effects))
-    text_by_place = {
+    cell_by_key = {
         (effect.mechanism, effect.deployment): f'{effect.gain:+.3f}±{effect.margin:.3f}' for effect in effects
     }
     table = Table('worth of', *deployments, title=f'{effects[0].days} days each', box=box.SIMPLE)
     for mechanism in dict.fromkeys(effect.mechanism for effect in effects):
-        table.add_row(mechanism, *(text_by_place[mechanism, deployment] for deployment in deployments))
+        table.add_row(mechanism, *(cell_by_key[mechanism, deployment] for deployment in deployments))
     _console.print(table)
 
 
