--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -17,7 +17,7 @@
 from .accounting import account, inherited_waits, read_histories, report_stops, takeovers
 from .client import CallFailure, Client
 from .explaining import explain_job, LogLine, read_lines
-from .printing import print_columns, print_effects, print_gap, print_table
+from .printing import print_effects, print_gap, print_table, print_transposed
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
 
@@ -129,7 +129,7 @@
     """Compare the decisions with those of best fit and backfill, under a fake clock."""
     seeds = range(seed, seed + days)
     rows = compare_schedulers(deployment, seeds, load, workers=cores)
-    print_columns(f'{deployment}, {days} days, load {load}', [row._asdict() for row in rows], 'scheduler')
+    print_transposed(f'{deployment}, {days} days, load {load}', [row._asdict() for row in rows], 'scheduler')
     if with_bound:
         print_gap(gap_on(deployment, seeds, load, cores))
 
--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -25,7 +25,7 @@
     _console.print(table)
 
 
-def print_columns(name: str, rows: Sequence[Mapping[str, object]], heading: str) -> None:
+def print_transposed(name: str, rows: Sequence[Mapping[str, object]], heading: str) -> None:
     """Print one column each, under what names it, for rows of many measures."""
     table = Table('', *(_format_cell(row[heading]) for row in rows), title=name)
     for measure in rows[0]:
