--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -58,7 +58,7 @@
 }
 
 
-_ENDS = frozenset(('run_ended', 'run_lost'))
+_RUN_END_EVENTS = frozenset(('run_ended', 'run_lost'))
 
 
 def read_lines(path: Path) -> Iterator[LogLine]:
@@ -114,7 +114,7 @@
     if 'job_known' in events and 'run_ordered' not in events:
         yield f'nothing of it was started in this time: {_last_reason(lines)}'
     ordered = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event == 'run_ordered'}
-    ended = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event in _ENDS}
+    ended = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event in _RUN_END_EVENTS}
     for task, run in sorted(ordered - ended):
         yield f'not known: how run {run} of task {list(task)} ended'
 
