--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -61,7 +61,7 @@
 _RUN_END_EVENTS = frozenset(('run_ended', 'run_lost'))
 
 
-def read_lines(path: Path) -> Iterator[LogLine]:
+def read_log_lines(path: Path) -> Iterator[LogLine]:
     """Yield the log lines of a file; other lines are passed over."""
     with path.open(encoding='utf-8') as lines:
         for text in lines:
--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -16,7 +16,7 @@
 
 from .accounting import account, inherited_waits, read_histories, report_stops, takeovers
 from .client import CallFailure, Client
-from .explaining import explain_job, LogLine, read_lines
+from .explaining import explain_job, LogLine, read_log_lines
 from .printing import print_effects, print_gap, print_table, print_transposed
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
@@ -72,7 +72,7 @@
     """Tell from logs what became of a job, step by step, and what they do not tell."""
     lines: list[LogLine] = []
     for path in logs:
-        lines.extend(read_lines(path))
+        lines.extend(read_log_lines(path))
     for sentence in explain_job(job_id, lines, as_json=as_json):
         typer.echo(sentence)
     report = '' if as_json else report_stops(read_histories(lines).get(job_id))
@@ -88,7 +88,7 @@
     """Tell from logs where time and core-seconds went, why jobs were late and which decisions cost most."""
     lines: list[LogLine] = []
     for path in logs:
-        lines.extend(read_lines(path))
+        lines.extend(read_log_lines(path))
     histories = read_histories(lines)
     found = {
         **account(histories)._asdict(),
--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -1,6 +1,6 @@
 import json
 
-from ..explaining import explain_job, read_lines
+from ..explaining import explain_job, read_log_lines
 
 A = 'a' * 16
 
@@ -8,7 +8,7 @@
 def lines(tmp_path, *rows):
     path = tmp_path / 'log'
     path.write_text('not a line\n' + ''.join(f'12.3 i0 {json.dumps(row)}\n' for row in rows))
-    return list(read_lines(path))
+    return list(read_log_lines(path))
 
 
 def test_a_job_is_told_in_order_of_time(tmp_path):
