--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -82,7 +82,7 @@
         return
     for line in about:
         yield f'{line.at_s:.3f} {line.instance}: {_sentence(line)}'
-    yield from _gaps(about)
+    yield from _missing_information(about)
 
 
 def _sentence(line: LogLine) -> str:
@@ -101,7 +101,7 @@
     return any(job_id in str(line.fields.get(name, '')) for name in ('target', 'key', 'why'))
 
 
-def _gaps(lines: list[LogLine]) -> Iterator[str]:
+def _missing_information(lines: list[LogLine]) -> Iterator[str]:
     """Yield what the lines do not say."""
     events = {line.event for line in lines}
     if not lines:
