--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -75,7 +75,7 @@
 
 def explain_job(job_id: str, lines: Iterable[LogLine], *, as_json: bool = False) -> Iterator[str]:
     """Yield what the lines say of a job, in order of time, and what they don't."""
-    about = sorted((line for line in lines if _is_about(line, job_id)), key=lambda line: line.at_s)
+    about = sorted((line for line in lines if _concerns_job(line, job_id)), key=lambda line: line.at_s)
     if as_json:
         for line in about:
             yield json.dumps(line.fields)
@@ -92,7 +92,7 @@
     return pattern.format_map(line.fields)
 
 
-def _is_about(line: LogLine, job_id: str) -> bool:
+def _concerns_job(line: LogLine, job_id: str) -> bool:
     task = line.fields.get('task')
     if isinstance(task, list) and task and task[0] == job_id:
         return True
