--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -75,14 +75,14 @@
 
 def explain_job(job_id: str, lines: Iterable[LogLine], *, as_json: bool = False) -> Iterator[str]:
     """Yield what the lines say of a job, in order of time, and what they don't."""
-    about = sorted((line for line in lines if _concerns_job(line, job_id)), key=lambda line: line.at_s)
+    relevant = sorted((line for line in lines if _concerns_job(line, job_id)), key=lambda line: line.at_s)
     if as_json:
-        for line in about:
+        for line in relevant:
             yield json.dumps(line.fields)
         return
-    for line in about:
+    for line in relevant:
         yield f'{line.at_s:.3f} {line.instance}: {_sentence(line)}'
-    yield from _missing_information(about)
+    yield from _missing_information(relevant)
 
 
 def _sentence(line: LogLine) -> str:
