--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -81,11 +81,11 @@
             yield json.dumps(line.fields)
         return
     for line in relevant:
-        yield f'{line.at_s:.3f} {line.instance}: {_sentence(line)}'
+        yield f'{line.at_s:.3f} {line.instance}: {_describe(line)}'
     yield from _missing_information(relevant)
 
 
-def _sentence(line: LogLine) -> str:
+def _describe(line: LogLine) -> str:
     pattern = _SENTENCE_BY_EVENT.get(line.event)
     if pattern is None:
         return f'{line.event} {json.dumps(line.fields)}'
