--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -86,10 +86,10 @@
 
 
 def _describe(line: LogLine) -> str:
-    pattern = _SENTENCE_BY_EVENT.get(line.event)
-    if pattern is None:
+    template = _SENTENCE_BY_EVENT.get(line.event)
+    if template is None:
         return f'{line.event} {json.dumps(line.fields)}'
-    return pattern.format_map(line.fields)
+    return template.format_map(line.fields)
 
 
 def _concerns_job(line: LogLine, job_id: str) -> bool:
