--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -27,7 +27,7 @@
     fields: dict[str, Any]
 
 
-_SENTENCE_BY_EVENT = {
+_TEMPLATE_BY_EVENT = {
     'request_answered': "a caller's {operation} was answered {status} after {took_s} s (configuration {configuration})",
     'job_rejected': 'the job was refused as malformed: {why}',
     'job_known': 'the owner learnt of the job on queue {queue} (store revision {revision})',
@@ -86,7 +86,7 @@
 
 
 def _describe(line: LogLine) -> str:
-    template = _SENTENCE_BY_EVENT.get(line.event)
+    template = _TEMPLATE_BY_EVENT.get(line.event)
     if template is None:
         return f'{line.event} {json.dumps(line.fields)}'
     return template.format_map(line.fields)
