--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -112,14 +112,14 @@
     if 'job_known' not in events:
         yield 'not known: whether an owner learnt of the job; it was refused, or the log of the owner is missing'
     if 'job_known' in events and 'run_ordered' not in events:
-        yield f'nothing of it was started in this time: {_last_reason(lines)}'
+        yield f'nothing of it was started in this time: {_last_wait_reason(lines)}'
     ordered = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event == 'run_ordered'}
     ended = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event in _RUN_END_EVENTS}
     for task, run in sorted(ordered - ended):
         yield f'not known: how run {run} of task {list(task)} ended'
 
 
-def _last_reason(lines: list[LogLine]) -> str:
+def _last_wait_reason(lines: list[LogLine]) -> str:
     """Return what last kept a step of a job from being started, as far as the lines tell."""
     waiting = [line for line in lines if line.event == 'step_waiting']
     if not waiting:
