--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -32,19 +32,19 @@
 @app.command()
 def submit(queue: Queue, job_id: JobId, job: Path, url: Url, key: Key = '') -> None:
     """Hand a job in: JOB is a file with the body of the request."""
-    _finish(Client(url, key).submit(queue, job_id, job.read_bytes()), 'accepted')
+    _print_result(Client(url, key).submit(queue, job_id, job.read_bytes()), 'accepted')
 
 
 @app.command()
 def state(queue: Queue, job_id: JobId, url: Url, key: Key = '') -> None:
     """Show the state of a job."""
-    _finish(Client(url, key).state(queue, job_id))
+    _print_result(Client(url, key).state(queue, job_id))
 
 
 @app.command()
 def cancel(queue: Queue, job_id: JobId, url: Url, key: Key = '') -> None:
     """Cancel a job."""
-    _finish(Client(url, key).cancel(queue, job_id), 'cancelled')
+    _print_result(Client(url, key).cancel(queue, job_id), 'cancelled')
 
 
 @app.command()
@@ -175,7 +175,7 @@
     raise typer.Exit(1 if broken else 0)
 
 
-def _finish(answer: Result[str, CallFailure], done: str = '') -> None:
+def _print_result(answer: Result[str, CallFailure], done: str = '') -> None:
     if not is_ok(answer):
         _fail(answer.unwrap_err())
     typer.echo(done or answer.unwrap())
