--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -55,7 +55,7 @@
     """Show in one look who owns the pool, what waits, who borrows and which workers are bad."""
     answer = Client(url, '').status()
     if not is_ok(answer):
-        _fail(answer.unwrap_err())
+        _exit_with_error(answer.unwrap_err())
     if as_json:
         typer.echo(json.dumps(answer.unwrap(), indent=2))
         return
@@ -177,10 +177,10 @@
 
 def _print_result(answer: Result[str, CallFailure], done: str = '') -> None:
     if not is_ok(answer):
-        _fail(answer.unwrap_err())
+        _exit_with_error(answer.unwrap_err())
     typer.echo(done or answer.unwrap())
 
 
-def _fail(failure: CallFailure) -> NoReturn:
+def _exit_with_error(failure: CallFailure) -> NoReturn:
     typer.echo(f'{failure.kind}: {failure.detail}', err=True)
     raise typer.Exit(1)
