--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -165,14 +165,14 @@
 
     A soak that finds a violation keeps its logs and a report, in results/soak unless a folder is named.
     """
-    broken = 0
+    violating_seeds = 0
     for seed in range(first, first + seeds):
         settings = control_arm(seed, without) if without else draw_settings(seed, instances, workers)
         found = run_soak(settings, logs / str(seed) if logs else None)
         typer.echo(json.dumps(found._asdict()))
-        broken += bool(found.violations)
-    typer.echo(f'{seeds} seeds, {broken} with a violation')
-    raise typer.Exit(1 if broken else 0)
+        violating_seeds += bool(found.violations)
+    typer.echo(f'{seeds} seeds, {violating_seeds} with a violation')
+    raise typer.Exit(1 if violating_seeds else 0)
 
 
 def _print_result(answer: Result[str, CallFailure], done: str = '') -> None:
