--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -108,16 +108,16 @@
         return sum(longest_by_step.values()) + sum(failed.values())
 
     @property
-    def took_s(self) -> float | None:
+    def latency_s(self) -> float | None:
         """Time from the first question to the end as shown; nothing when it has none."""
         return None if self.shown_s is None else self.shown_s - self.asked_s
 
     @property
     def is_in_time(self) -> bool:
         """Whether it was shown as succeeded within its objective."""
-        if self.took_s is None or self.phase != 'succeeded':
+        if self.latency_s is None or self.phase != 'succeeded':
             return False
-        return self.took_s <= self.stretch * self.work_s + self.target_s
+        return self.latency_s <= self.stretch * self.work_s + self.target_s
 
 
 def read_histories(lines: Iterable[LogLine]) -> dict[str, JobHistory]:
