--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -39,7 +39,7 @@
         self.stopped_why = ''
 
     @property
-    def took_s(self) -> float:
+    def duration_s(self) -> float:
         """Time from its order to its end; 0 while it runs."""
         return 0.0 if self.ended_s is None else self.ended_s - self.ordered_s
 
@@ -90,7 +90,7 @@
     def core_s_of(self, run: RunHistory) -> float:
         """Return the weighted core-seconds of a run."""
         step = run.task[2]
-        return run.took_s * (self.cores_by_step[step] if step < len(self.cores_by_step) else 1.0)
+        return run.duration_s * (self.cores_by_step[step] if step < len(self.cores_by_step) else 1.0)
 
     def saves(self, run: RunHistory) -> bool:
         """Tell whether the work of a run that was stopped goes on in the next."""
@@ -103,8 +103,8 @@
         for run in self.runs:
             step = run.task[2]
             if run.how == 'done':
-                longest_by_step[step] = max(longest_by_step.get(step, 0.0), run.took_s)
-        failed = {run.number: run.took_s for run in self.runs if run.how == 'failed'}
+                longest_by_step[step] = max(longest_by_step.get(step, 0.0), run.duration_s)
+        failed = {run.number: run.duration_s for run in self.runs if run.how == 'failed'}
         return sum(longest_by_step.values()) + sum(failed.values())
 
     @property
