--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -35,7 +35,7 @@
         self.worker = worker
         self.stopped_s = 0.0
         self.ended_s: float | None = None
-        self.how = ''
+        self.end_kind = ''
         self.stopped_why = ''
 
     @property
@@ -46,7 +46,7 @@
     @property
     def cause(self) -> str:
         """Why it ended, if not by success: the reason of its stop, or how it ended."""
-        return self.stopped_why.split(' for ')[0] or self.how
+        return self.stopped_why.split(' for ')[0] or self.end_kind
 
 
 class JobHistory:
@@ -85,7 +85,7 @@
     @property
     def core_s(self) -> float:
         """Weighted core-seconds of the runs that succeeded."""
-        return sum(self.core_s_of(run) for run in self.runs if run.how == 'done')
+        return sum(self.core_s_of(run) for run in self.runs if run.end_kind == 'done')
 
     def core_s_of(self, run: RunHistory) -> float:
         """Return the weighted core-seconds of a run."""
@@ -102,9 +102,9 @@
         longest_by_step: dict[int, float] = {}
         for run in self.runs:
             step = run.task[2]
-            if run.how == 'done':
+            if run.end_kind == 'done':
                 longest_by_step[step] = max(longest_by_step.get(step, 0.0), run.duration_s)
-        failed = {run.number: run.duration_s for run in self.runs if run.how == 'failed'}
+        failed = {run.number: run.duration_s for run in self.runs if run.end_kind == 'failed'}
         return sum(longest_by_step.values()) + sum(failed.values())
 
     @property
@@ -178,7 +178,7 @@
         if run is not None and run.ended_s is None:
             run.ended_s = line.at_s
             # A run that was lost with its worker has no end of its own.
-            run.how = line.fields.get('how', 'lost')
+            run.end_kind = line.fields.get('how', 'lost')
 
     def cancelled(self, line: LogLine) -> None:
         self.job(line.fields['job']).cancelled_s = line.at_s
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -170,15 +170,15 @@
         return 'late to the owner'
     if not job.runs:
         return 'never started'
-    causes = {run.cause for run in job.runs if run.stopped_why or run.how in {'lapsed', 'lost'}}
+    causes = {run.cause for run in job.runs if run.stopped_why or run.end_kind in {'lapsed', 'lost'}}
     if causes:
         return f'stopped: {min(causes)}'
-    last_s = max((run.ended_s for run in job.runs if run.how == 'done' and run.ended_s), default=None)
+    last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
     if last_s is not None and job.shown_s is not None and job.shown_s - last_s > _LATE_TO_SHOW_S:
         return 'end kept late'
     if job.runs[0].ordered_s - job.known_s > _WAITED_S:
         return 'waited for room'
-    if any(run.how == 'failed' for run in job.runs):
+    if any(run.end_kind == 'failed' for run in job.runs):
         return 'runs failed'
     return 'ran too long' if last_s is not None else 'not ended'
 
@@ -196,7 +196,7 @@
 
 
 def _outcome(job: JobHistory, run: RunHistory) -> str:
-    if run.how == 'done':
+    if run.end_kind == 'done':
         return 'done'
     if run.ended_s is None:
         return 'not ended'
@@ -204,7 +204,7 @@
 
 
 def _is_thrown_away(job: JobHistory, run: RunHistory) -> bool:
-    return run.ended_s is not None and run.how != 'done' and not job.saves(run)
+    return run.ended_s is not None and run.end_kind != 'done' and not job.saves(run)
 
 
 def _by_window(jobs: list[JobHistory], size_by_id: Mapping[str, float]) -> list[WindowRow]:
