--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -36,7 +36,7 @@
         self.stopped_s = 0.0
         self.ended_s: float | None = None
         self.end_kind = ''
-        self.stopped_why = ''
+        self.stop_reason = ''
 
     @property
     def duration_s(self) -> float:
@@ -46,7 +46,7 @@
     @property
     def cause(self) -> str:
         """Why it ended, if not by success: the reason of its stop, or how it ended."""
-        return self.stopped_why.split(' for ')[0] or self.end_kind
+        return self.stop_reason.split(' for ')[0] or self.end_kind
 
 
 class JobHistory:
@@ -94,7 +94,7 @@
 
     def saves(self, run: RunHistory) -> bool:
         """Tell whether the work of a run that was stopped goes on in the next."""
-        return bool(run.stopped_why) and self.cancelled_s is None and self.saves_by_step[run.task[2]]
+        return bool(run.stop_reason) and self.cancelled_s is None and self.saves_by_step[run.task[2]]
 
     @property
     def work_s(self) -> float:
@@ -169,8 +169,8 @@
 
     def stopped(self, line: LogLine) -> None:
         run = self._run_by_key.get(_key(line.fields))
-        if run is not None and not run.stopped_why:
-            run.stopped_why = line.fields['why']
+        if run is not None and not run.stop_reason:
+            run.stop_reason = line.fields['why']
             run.stopped_s = line.at_s
 
     def ended(self, line: LogLine) -> None:
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -66,7 +66,7 @@
     @property
     def made_for(self) -> str:
         """Job that room was made for."""
-        return self.run.stopped_why.removeprefix(_FOR)
+        return self.run.stop_reason.removeprefix(_FOR)
 
 
 def stops_by_job(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
@@ -112,7 +112,7 @@
     stops_by_job: dict[str, list[_Stop]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stopped_why.startswith(_FOR):
+            if run.stop_reason.startswith(_FOR):
                 thrown_away_s = 0.0 if job.saves(run) else job.core_s_of(run)
                 stops_by_job[job.job_id].append(_Stop(job, run, thrown_away_s))
     return stops_by_job
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -170,7 +170,7 @@
         return 'late to the owner'
     if not job.runs:
         return 'never started'
-    causes = {run.cause for run in job.runs if run.stopped_why or run.end_kind in {'lapsed', 'lost'}}
+    causes = {run.cause for run in job.runs if run.stop_reason or run.end_kind in {'lapsed', 'lost'}}
     if causes:
         return f'stopped: {min(causes)}'
     last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
@@ -242,8 +242,8 @@
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stopped_why and _is_thrown_away(job, run):
-                reason = run.stopped_why if ' for ' in run.stopped_why else f'{run.stopped_why}: {job.job_id}'
+            if run.stop_reason and _is_thrown_away(job, run):
+                reason = run.stop_reason if ' for ' in run.stop_reason else f'{run.stop_reason}: {job.job_id}'
                 runs_by_reason[reason].append((job, run))
     found = [
         CostlyDecision(
