--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -33,7 +33,7 @@
         self.number = number
         self.ordered_s = ordered_s
         self.worker = worker
-        self.stopped_s = 0.0
+        self.stop_ordered_s = 0.0
         self.ended_s: float | None = None
         self.end_kind = ''
         self.stop_reason = ''
@@ -171,7 +171,7 @@
         run = self._run_by_key.get(_key(line.fields))
         if run is not None and not run.stop_reason:
             run.stop_reason = line.fields['why']
-            run.stopped_s = line.at_s
+            run.stop_ordered_s = line.at_s
 
     def ended(self, line: LogLine) -> None:
         run = self._run_by_key.get(_key(line.fields))
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -120,12 +120,12 @@
 
 def _use(stop: _Stop, made_for: JobHistory | None) -> str:
     """Return whether work began on room that was made for it."""
-    stopped_s = stop.run.stopped_s
-    later = [] if made_for is None else [run for run in made_for.runs if run.ordered_s >= stopped_s]
+    stop_ordered_s = stop.run.stop_ordered_s
+    later = [] if made_for is None else [run for run in made_for.runs if run.ordered_s >= stop_ordered_s]
     if not later:
         return 'it never began'
-    waits_s = [run.ordered_s - stopped_s for run in later if run.worker == stop.run.worker]
+    waits_s = [run.ordered_s - stop_ordered_s for run in later if run.worker == stop.run.worker]
     if waits_s and min(waits_s) < _LATE_S:
         return 'it began there' if min(waits_s) < _IN_TIME_S else 'it began there late'
-    soonest_s = min(run.ordered_s - stopped_s for run in later)
+    soonest_s = min(run.ordered_s - stop_ordered_s for run in later)
     return 'it began elsewhere' if soonest_s < _IN_TIME_S else 'it began much later'
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -247,7 +247,7 @@
                 runs_by_reason[reason].append((job, run))
     found = [
         CostlyDecision(
-            min(run.stopped_s for _, run in pairs) - first_s,
+            min(run.stop_ordered_s for _, run in pairs) - first_s,
             why,
             len(pairs),
             sum(job.core_s_of(run) for job, run in pairs),
