--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -65,7 +65,7 @@
         self.stretch = 0.0
         self.target_s = 0.0
         self.cores_by_step: list[float] = []
-        self.saves_by_step: list[bool] = []
+        self.has_checkpoints_by_step: list[bool] = []
         self.asked_s = float('inf')
         self.is_refused = False
         self.known_s: float | None = None
@@ -94,7 +94,7 @@
 
     def saves(self, run: RunHistory) -> bool:
         """Tell whether the work of a run that was stopped goes on in the next."""
-        return bool(run.stop_reason) and self.cancelled_s is None and self.saves_by_step[run.task[2]]
+        return bool(run.stop_reason) and self.cancelled_s is None and self.has_checkpoints_by_step[run.task[2]]
 
     @property
     def work_s(self) -> float:
@@ -159,7 +159,7 @@
         job.stretch = float(line.fields.get('stretch', 0.0))
         job.target_s = float(line.fields.get('target_s', 0.0))
         job.cores_by_step = list(line.fields.get('cores', ()))
-        job.saves_by_step = ['checkpoints' in text for text in line.fields['steps']]
+        job.has_checkpoints_by_step = ['checkpoints' in text for text in line.fields['steps']]
 
     def ordered(self, line: LogLine) -> None:
         key = _key(line.fields)
