--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -92,7 +92,7 @@
         step = run.task[2]
         return run.duration_s * (self.cores_by_step[step] if step < len(self.cores_by_step) else 1.0)
 
-    def saves(self, run: RunHistory) -> bool:
+    def resumes_from_checkpoint(self, run: RunHistory) -> bool:
         """Tell whether the work of a run that was stopped goes on in the next."""
         return bool(run.stop_reason) and self.cancelled_s is None and self.has_checkpoints_by_step[run.task[2]]
 
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -113,7 +113,7 @@
     for job in jobs:
         for run in job.runs:
             if run.stop_reason.startswith(_FOR):
-                thrown_away_s = 0.0 if job.saves(run) else job.core_s_of(run)
+                thrown_away_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
                 stops_by_job[job.job_id].append(_Stop(job, run, thrown_away_s))
     return stops_by_job
 
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -200,11 +200,11 @@
         return 'done'
     if run.ended_s is None:
         return 'not ended'
-    return run.cause + (_SAVED if job.saves(run) else '')
+    return run.cause + (_SAVED if job.resumes_from_checkpoint(run) else '')
 
 
 def _is_thrown_away(job: JobHistory, run: RunHistory) -> bool:
-    return run.ended_s is not None and run.end_kind != 'done' and not job.saves(run)
+    return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
 def _by_window(jobs: list[JobHistory], size_by_id: Mapping[str, float]) -> list[WindowRow]:
