--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -78,7 +78,7 @@
         self.runs: list[RunHistory] = []
 
     @property
-    def is_owed(self) -> bool:
+    def is_evaluated(self) -> bool:
         """Whether its owner waits for one end of it, and it was taken."""
         return self.known_s is not None and self.cancelled_s is None and self.occurrences == 1
 
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -129,7 +129,7 @@
 def _by_queue(jobs: Iterable[JobHistory], size_by_id: Mapping[str, float]) -> list[QueueRow]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
-        owed = [job for job in members if job.is_owed]
+        owed = [job for job in members if job.is_evaluated]
         in_time = [job for job in owed if job.is_in_time]
         late = [job for job in owed if job.phase == 'succeeded' and not job.is_in_time]
         cancelled = sum(job.cancelled_s is not None for job in members)
@@ -158,7 +158,7 @@
 
 
 def _by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
-    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_owed or job.known_s is None))
+    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.known_s is None))
     return [Loss(cause, count, 0.0) for cause, count in counts.most_common()]
 
 
@@ -212,7 +212,7 @@
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     lost_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
-        if job.is_owed or job.known_s is None:
+        if job.is_evaluated or job.known_s is None:
             jobs_by_window[_window(job.asked_s - first_s)].append(job)
         for run in job.runs:
             if run.ended_s is not None and _is_thrown_away(job, run):
