--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -66,7 +66,7 @@
         self.target_s = 0.0
         self.cores_by_step: list[float] = []
         self.has_checkpoints_by_step: list[bool] = []
-        self.asked_s = float('inf')
+        self.submitted_s = float('inf')
         self.is_refused = False
         self.known_s: float | None = None
         # The first owner that learnt of it.
@@ -110,7 +110,7 @@
     @property
     def latency_s(self) -> float | None:
         """Time from the first question to the end as shown; nothing when it has none."""
-        return None if self.shown_s is None else self.shown_s - self.asked_s
+        return None if self.shown_s is None else self.shown_s - self.submitted_s
 
     @property
     def is_in_time(self) -> bool:
@@ -144,7 +144,7 @@
         if line.fields.get('operation') != 'submit':
             return
         job = self.job(str(line.fields['target']).rpartition('/')[2])
-        job.asked_s = min(job.asked_s, line.at_s - float(line.fields['took_s']))
+        job.submitted_s = min(job.submitted_s, line.at_s - float(line.fields['took_s']))
         job.is_refused = int(line.fields['status']) >= HTTPStatus.BAD_REQUEST
 
     def known(self, line: LogLine) -> None:
@@ -153,7 +153,7 @@
             return
         job.known_s = line.at_s
         job.known_by = line.instance
-        job.asked_s = min(job.asked_s, float(line.fields['accepted_s']))
+        job.submitted_s = min(job.submitted_s, float(line.fields['accepted_s']))
         job.queue = line.fields['queue']
         job.occurrences = int(line.fields['occurrences'])
         job.stretch = float(line.fields.get('stretch', 0.0))
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -166,7 +166,7 @@
     """Return what kept a job from being in time: the first that holds."""
     if job.known_s is None:
         return 'refused'
-    if job.known_s - job.asked_s > _LATE_TO_OWNER_S:
+    if job.known_s - job.submitted_s > _LATE_TO_OWNER_S:
         return 'late to the owner'
     if not job.runs:
         return 'never started'
@@ -213,7 +213,7 @@
     lost_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
         if job.is_evaluated or job.known_s is None:
-            jobs_by_window[_window(job.asked_s - first_s)].append(job)
+            jobs_by_window[_window(job.submitted_s - first_s)].append(job)
         for run in job.runs:
             if run.ended_s is not None and _is_thrown_away(job, run):
                 lost_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
@@ -229,7 +229,7 @@
 
 def _first_s(jobs: list[JobHistory]) -> float:
     """Return when the first job was asked for, seconds since 1970."""
-    return min((job.asked_s for job in jobs), default=0.0)
+    return min((job.submitted_s for job in jobs), default=0.0)
 
 
 def _window(after_s: float) -> int:
--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -69,8 +69,8 @@
 ) -> TakeOver:
     epoch = int(ready.fields['epoch'])
     waited = [job for job in jobs if _waited_for(job, ready, epoch)]
-    waits_s = [job.runs[0].ordered_s - job.asked_s for job in waited]
-    urgent_s = [job.runs[0].ordered_s - job.asked_s for job in waited if job.runs[0].rank <= RANK_URGENT]
+    waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
+    urgent_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
     own = orders_by_epoch.get(epoch)
     before_s = max((orders.last_s for each, orders in orders_by_epoch.items() if each < epoch), default=0.0)
     return TakeOver(
@@ -87,7 +87,7 @@
 
 def _waited_for(job: JobHistory, ready: LogLine, epoch: int) -> bool:
     """Tell whether a job could not begin before an owner was ready, and began under it."""
-    if not job.runs or job.known_by != ready.instance or job.asked_s >= ready.at_s:
+    if not job.runs or job.known_by != ready.instance or job.submitted_s >= ready.at_s:
         return False
     return _epoch(job.runs[0].number) == epoch
 
