--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -68,7 +68,7 @@
         self.has_checkpoints_by_step: list[bool] = []
         self.submitted_s = float('inf')
         self.is_refused = False
-        self.known_s: float | None = None
+        self.received_s: float | None = None
         # The first owner that learnt of it.
         self.known_by = ''
         self.cancelled_s: float | None = None
@@ -80,7 +80,7 @@
     @property
     def is_evaluated(self) -> bool:
         """Whether its owner waits for one end of it, and it was taken."""
-        return self.known_s is not None and self.cancelled_s is None and self.occurrences == 1
+        return self.received_s is not None and self.cancelled_s is None and self.occurrences == 1
 
     @property
     def core_s(self) -> float:
@@ -149,9 +149,9 @@
 
     def known(self, line: LogLine) -> None:
         job = self.job(line.fields['job'])
-        if job.known_s is not None:
+        if job.received_s is not None:
             return
-        job.known_s = line.at_s
+        job.received_s = line.at_s
         job.known_by = line.instance
         job.submitted_s = min(job.submitted_s, float(line.fields['accepted_s']))
         job.queue = line.fields['queue']
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -113,7 +113,7 @@
 
 def account(history_by_id: Mapping[str, JobHistory]) -> Account:
     """Return where time and core-seconds went."""
-    jobs = [job for job in history_by_id.values() if job.known_s is not None or job.is_refused]
+    jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
     size_by_id = _sizes(jobs)
     return Account(
         _by_queue(jobs, size_by_id),
@@ -158,15 +158,15 @@
 
 
 def _by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
-    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.known_s is None))
+    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.received_s is None))
     return [Loss(cause, count, 0.0) for cause, count in counts.most_common()]
 
 
 def _delay(job: JobHistory) -> str:
     """Return what kept a job from being in time: the first that holds."""
-    if job.known_s is None:
+    if job.received_s is None:
         return 'refused'
-    if job.known_s - job.submitted_s > _LATE_TO_OWNER_S:
+    if job.received_s - job.submitted_s > _LATE_TO_OWNER_S:
         return 'late to the owner'
     if not job.runs:
         return 'never started'
@@ -176,7 +176,7 @@
     last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
     if last_s is not None and job.shown_s is not None and job.shown_s - last_s > _LATE_TO_SHOW_S:
         return 'end kept late'
-    if job.runs[0].ordered_s - job.known_s > _WAITED_S:
+    if job.runs[0].ordered_s - job.received_s > _WAITED_S:
         return 'waited for room'
     if any(run.end_kind == 'failed' for run in job.runs):
         return 'runs failed'
@@ -212,7 +212,7 @@
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     lost_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
-        if job.is_evaluated or job.known_s is None:
+        if job.is_evaluated or job.received_s is None:
             jobs_by_window[_window(job.submitted_s - first_s)].append(job)
         for run in job.runs:
             if run.ended_s is not None and _is_thrown_away(job, run):
