--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -70,7 +70,7 @@
         self.is_refused = False
         self.received_s: float | None = None
         # The first owner that learnt of it.
-        self.known_by = ''
+        self.received_by = ''
         self.cancelled_s: float | None = None
         self.shown_s: float | None = None
         self.phase = ''
@@ -152,7 +152,7 @@
         if job.received_s is not None:
             return
         job.received_s = line.at_s
-        job.known_by = line.instance
+        job.received_by = line.instance
         job.submitted_s = min(job.submitted_s, float(line.fields['accepted_s']))
         job.queue = line.fields['queue']
         job.occurrences = int(line.fields['occurrences'])
--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -87,7 +87,7 @@
 
 def _waited_for(job: JobHistory, ready: LogLine, epoch: int) -> bool:
     """Tell whether a job could not begin before an owner was ready, and began under it."""
-    if not job.runs or job.known_by != ready.instance or job.submitted_s >= ready.at_s:
+    if not job.runs or job.received_by != ready.instance or job.submitted_s >= ready.at_s:
         return False
     return _epoch(job.runs[0].number) == epoch
 
