--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -72,7 +72,7 @@
         # The first owner that learnt of it.
         self.received_by = ''
         self.cancelled_s: float | None = None
-        self.shown_s: float | None = None
+        self.completed_s: float | None = None
         self.phase = ''
         self.occurrences = 1
         self.runs: list[RunHistory] = []
@@ -110,7 +110,7 @@
     @property
     def latency_s(self) -> float | None:
         """Time from the first question to the end as shown; nothing when it has none."""
-        return None if self.shown_s is None else self.shown_s - self.submitted_s
+        return None if self.completed_s is None else self.completed_s - self.submitted_s
 
     @property
     def is_in_time(self) -> bool:
@@ -185,7 +185,7 @@
 
     def shown(self, line: LogLine) -> None:
         job = self.job(line.fields['job'])
-        job.shown_s = line.at_s
+        job.completed_s = line.at_s
         job.phase = line.fields['phase']
 
 
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -174,7 +174,7 @@
     if causes:
         return f'stopped: {min(causes)}'
     last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
-    if last_s is not None and job.shown_s is not None and job.shown_s - last_s > _LATE_TO_SHOW_S:
+    if last_s is not None and job.completed_s is not None and job.completed_s - last_s > _LATE_TO_SHOW_S:
         return 'end kept late'
     if job.runs[0].ordered_s - job.received_s > _WAITED_S:
         return 'waited for room'
