--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -122,7 +122,7 @@
 
 def read_histories(lines: Iterable[LogLine]) -> dict[str, JobHistory]:
     """Return the history of each job by its id."""
-    builder = _Builder()
+    builder = _HistoryBuilder()
     for line in sorted(lines, key=lambda each: each.at_s):
         handle = _HANDLER_BY_EVENT.get(line.event)
         if handle is not None:
@@ -130,7 +130,7 @@
     return builder.job_by_id
 
 
-class _Builder:
+class _HistoryBuilder:
     """Takes in one line after the other."""
 
     def __init__(self) -> None:
@@ -194,13 +194,13 @@
     return (job_id, occurrence, step, index), fields['run']
 
 
-_HANDLER_BY_EVENT: dict[str, Callable[[_Builder, LogLine], None]] = {
-    'request_answered': _Builder.answered,
-    'job_known': _Builder.known,
-    'run_ordered': _Builder.ordered,
-    'stop_ordered': _Builder.stopped,
-    'run_ended': _Builder.ended,
-    'run_lost': _Builder.ended,
-    'job_cancelled': _Builder.cancelled,
-    'job_ended': _Builder.shown,
+_HANDLER_BY_EVENT: dict[str, Callable[[_HistoryBuilder, LogLine], None]] = {
+    'request_answered': _HistoryBuilder.answered,
+    'job_known': _HistoryBuilder.known,
+    'run_ordered': _HistoryBuilder.ordered,
+    'stop_ordered': _HistoryBuilder.stopped,
+    'run_ended': _HistoryBuilder.ended,
+    'run_lost': _HistoryBuilder.ended,
+    'job_cancelled': _HistoryBuilder.cancelled,
+    'job_ended': _HistoryBuilder.shown,
 }
