--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -140,7 +140,7 @@
     def job(self, job_id: str) -> JobHistory:
         return self.job_by_id.setdefault(job_id, JobHistory(job_id))
 
-    def answered(self, line: LogLine) -> None:
+    def on_request_answered(self, line: LogLine) -> None:
         if line.fields.get('operation') != 'submit':
             return
         job = self.job(str(line.fields['target']).rpartition('/')[2])
@@ -195,7 +195,7 @@
 
 
 _HANDLER_BY_EVENT: dict[str, Callable[[_HistoryBuilder, LogLine], None]] = {
-    'request_answered': _HistoryBuilder.answered,
+    'request_answered': _HistoryBuilder.on_request_answered,
     'job_known': _HistoryBuilder.known,
     'run_ordered': _HistoryBuilder.ordered,
     'stop_ordered': _HistoryBuilder.stopped,
