--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -147,7 +147,7 @@
         job.submitted_s = min(job.submitted_s, line.at_s - float(line.fields['took_s']))
         job.is_refused = int(line.fields['status']) >= HTTPStatus.BAD_REQUEST
 
-    def known(self, line: LogLine) -> None:
+    def on_job_known(self, line: LogLine) -> None:
         job = self.job(line.fields['job'])
         if job.received_s is not None:
             return
@@ -196,7 +196,7 @@
 
 _HANDLER_BY_EVENT: dict[str, Callable[[_HistoryBuilder, LogLine], None]] = {
     'request_answered': _HistoryBuilder.on_request_answered,
-    'job_known': _HistoryBuilder.known,
+    'job_known': _HistoryBuilder.on_job_known,
     'run_ordered': _HistoryBuilder.ordered,
     'stop_ordered': _HistoryBuilder.stopped,
     'run_ended': _HistoryBuilder.ended,
