--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -161,7 +161,7 @@
         job.cores_by_step = list(line.fields.get('cores', ()))
         job.has_checkpoints_by_step = ['checkpoints' in text for text in line.fields['steps']]
 
-    def ordered(self, line: LogLine) -> None:
+    def on_run_ordered(self, line: LogLine) -> None:
         key = _key(line.fields)
         run = RunHistory(*key, line.at_s, line.fields['worker'], line.fields.get('rank', 0))
         self._run_by_key[key] = run
@@ -197,7 +197,7 @@
 _HANDLER_BY_EVENT: dict[str, Callable[[_HistoryBuilder, LogLine], None]] = {
     'request_answered': _HistoryBuilder.on_request_answered,
     'job_known': _HistoryBuilder.on_job_known,
-    'run_ordered': _HistoryBuilder.ordered,
+    'run_ordered': _HistoryBuilder.on_run_ordered,
     'stop_ordered': _HistoryBuilder.stopped,
     'run_ended': _HistoryBuilder.ended,
     'run_lost': _HistoryBuilder.ended,
