--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -167,7 +167,7 @@
         self._run_by_key[key] = run
         self.job(run.task[0]).runs.append(run)
 
-    def stopped(self, line: LogLine) -> None:
+    def on_stop_ordered(self, line: LogLine) -> None:
         run = self._run_by_key.get(_key(line.fields))
         if run is not None and not run.stop_reason:
             run.stop_reason = line.fields['why']
@@ -198,7 +198,7 @@
     'request_answered': _HistoryBuilder.on_request_answered,
     'job_known': _HistoryBuilder.on_job_known,
     'run_ordered': _HistoryBuilder.on_run_ordered,
-    'stop_ordered': _HistoryBuilder.stopped,
+    'stop_ordered': _HistoryBuilder.on_stop_ordered,
     'run_ended': _HistoryBuilder.ended,
     'run_lost': _HistoryBuilder.ended,
     'job_cancelled': _HistoryBuilder.cancelled,
