--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -173,7 +173,7 @@
             run.stop_reason = line.fields['why']
             run.stop_ordered_s = line.at_s
 
-    def ended(self, line: LogLine) -> None:
+    def on_run_ended(self, line: LogLine) -> None:
         run = self._run_by_key.get(_key(line.fields))
         if run is not None and run.ended_s is None:
             run.ended_s = line.at_s
@@ -199,8 +199,8 @@
     'job_known': _HistoryBuilder.on_job_known,
     'run_ordered': _HistoryBuilder.on_run_ordered,
     'stop_ordered': _HistoryBuilder.on_stop_ordered,
-    'run_ended': _HistoryBuilder.ended,
-    'run_lost': _HistoryBuilder.ended,
+    'run_ended': _HistoryBuilder.on_run_ended,
+    'run_lost': _HistoryBuilder.on_run_ended,
     'job_cancelled': _HistoryBuilder.cancelled,
     'job_ended': _HistoryBuilder.shown,
 }
