--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -180,7 +180,7 @@
             # A run that was lost with its worker has no end of its own.
             run.end_kind = line.fields.get('how', 'lost')
 
-    def cancelled(self, line: LogLine) -> None:
+    def on_job_cancelled(self, line: LogLine) -> None:
         self.job(line.fields['job']).cancelled_s = line.at_s
 
     def shown(self, line: LogLine) -> None:
@@ -201,6 +201,6 @@
     'stop_ordered': _HistoryBuilder.on_stop_ordered,
     'run_ended': _HistoryBuilder.on_run_ended,
     'run_lost': _HistoryBuilder.on_run_ended,
-    'job_cancelled': _HistoryBuilder.cancelled,
+    'job_cancelled': _HistoryBuilder.on_job_cancelled,
     'job_ended': _HistoryBuilder.shown,
 }
