--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -183,7 +183,7 @@
     def on_job_cancelled(self, line: LogLine) -> None:
         self.job(line.fields['job']).cancelled_s = line.at_s
 
-    def shown(self, line: LogLine) -> None:
+    def on_job_ended(self, line: LogLine) -> None:
         job = self.job(line.fields['job'])
         job.completed_s = line.at_s
         job.phase = line.fields['phase']
@@ -202,5 +202,5 @@
     'run_ended': _HistoryBuilder.on_run_ended,
     'run_lost': _HistoryBuilder.on_run_ended,
     'job_cancelled': _HistoryBuilder.on_job_cancelled,
-    'job_ended': _HistoryBuilder.shown,
+    'job_ended': _HistoryBuilder.on_job_ended,
 }
