--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -162,19 +162,19 @@
         job.has_checkpoints_by_step = ['checkpoints' in text for text in line.fields['steps']]
 
     def on_run_ordered(self, line: LogLine) -> None:
-        key = _key(line.fields)
+        key = _run_key(line.fields)
         run = RunHistory(*key, line.at_s, line.fields['worker'], line.fields.get('rank', 0))
         self._run_by_key[key] = run
         self.job(run.task[0]).runs.append(run)
 
     def on_stop_ordered(self, line: LogLine) -> None:
-        run = self._run_by_key.get(_key(line.fields))
+        run = self._run_by_key.get(_run_key(line.fields))
         if run is not None and not run.stop_reason:
             run.stop_reason = line.fields['why']
             run.stop_ordered_s = line.at_s
 
     def on_run_ended(self, line: LogLine) -> None:
-        run = self._run_by_key.get(_key(line.fields))
+        run = self._run_by_key.get(_run_key(line.fields))
         if run is not None and run.ended_s is None:
             run.ended_s = line.at_s
             # A run that was lost with its worker has no end of its own.
@@ -189,7 +189,7 @@
         job.phase = line.fields['phase']
 
 
-def _key(fields: dict[str, Any]) -> tuple[_Task, int]:
+def _run_key(fields: dict[str, Any]) -> tuple[_Task, int]:
     job_id, occurrence, step, index = fields['task']
     return (job_id, occurrence, step, index), fields['run']
 
