--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -10,7 +10,7 @@
 from ..explaining import LogLine
 
 # Events that only an owner logs.
-_DECISIONS = frozenset(('run_ordered', 'stop_ordered', 'run_ended'))
+_OWNER_EVENTS = frozenset(('run_ordered', 'stop_ordered', 'run_ended'))
 _TAIL = 0.99
 
 
@@ -69,7 +69,7 @@
     reason_by_job = _reasons(own, ready, inherited)
     with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
     waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in with_room)
-    decisions_s = [line.at_s for line in lines if line.event in _DECISIONS and line.at_s < ready.at_s]
+    decisions_s = [line.at_s for line in lines if line.event in _OWNER_EVENTS and line.at_s < ready.at_s]
     return InheritedWaits(
         ready.at_s - lines[0].at_s,
         ready.instance,
