--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -11,7 +11,7 @@
 
 # Events that only an owner logs.
 _OWNER_EVENTS = frozenset(('run_ordered', 'stop_ordered', 'run_ended'))
-_TAIL = 0.99
+_TAIL_QUANTILE = 0.99
 
 
 class InheritedWaits(NamedTuple):
@@ -78,7 +78,7 @@
         len(with_room),
         len(with_room - started_s.keys()),
         _at_share(waits_s, 0.5),
-        _at_share(waits_s, _TAIL),
+        _at_share(waits_s, _TAIL_QUANTILE),
         _at_share(waits_s, 1.0),
         Counter(reason for job, reason in reason_by_job.items() if reason is not None),
     )
