--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -77,9 +77,9 @@
         ready.at_s - max(decisions_s, default=ready.at_s),
         len(with_room),
         len(with_room - started_s.keys()),
-        _at_share(waits_s, 0.5),
-        _at_share(waits_s, _TAIL_QUANTILE),
-        _at_share(waits_s, 1.0),
+        _quantile(waits_s, 0.5),
+        _quantile(waits_s, _TAIL_QUANTILE),
+        _quantile(waits_s, 1.0),
         Counter(reason for job, reason in reason_by_job.items() if reason is not None),
     )
 
@@ -121,6 +121,6 @@
     return reason_by_job
 
 
-def _at_share(ordered: Sequence[float], share: float) -> float:
+def _quantile(ordered: Sequence[float], share: float) -> float:
     """Return the value below which a share of values in order lies."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
