--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -64,7 +64,7 @@
     """Return what jobs of previous owners waited for an owner, until the next one is ready or the log ends."""
     epoch = int(ready.fields['epoch'])
     own = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
-    inherited = _without_runs(own, ready, epoch)
+    inherited = _inherited_jobs_without_runs(own, ready, epoch)
     started_s = _first_starts(own, epoch, inherited)
     reason_by_job = _reasons(own, ready, inherited)
     with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
@@ -84,7 +84,7 @@
     )
 
 
-def _without_runs(own: Iterable[LogLine], ready: LogLine, epoch: int) -> set[str]:
+def _inherited_jobs_without_runs(own: Iterable[LogLine], ready: LogLine, epoch: int) -> set[str]:
     """Return the jobs that were sent to previous owners, and of which nothing was assigned."""
     known: set[str] = set()
     running: set[str] = set()
