--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -57,10 +57,10 @@
     ordered = sorted(lines, key=attrgetter('at_s'))
     ready = [line for line in ordered if line.event == 'owner_ready']
     ends_s = [line.at_s for line in ready[2:]] + [line.at_s for line in ordered[-1:]]
-    return [_waits(line, ordered, end_s) for line, end_s in zip(ready[1:], ends_s, strict=False)]
+    return [_summarize_waits(line, ordered, end_s) for line, end_s in zip(ready[1:], ends_s, strict=False)]
 
 
-def _waits(ready: LogLine, lines: Sequence[LogLine], until_s: float) -> InheritedWaits:
+def _summarize_waits(ready: LogLine, lines: Sequence[LogLine], until_s: float) -> InheritedWaits:
     """Return what jobs of previous owners waited for an owner, until the next one is ready or the log ends."""
     epoch = int(ready.fields['epoch'])
     own = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
