--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -65,7 +65,7 @@
     epoch = int(ready.fields['epoch'])
     own = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
     inherited = _inherited_jobs_without_runs(own, ready, epoch)
-    started_s = _first_starts(own, epoch, inherited)
+    started_s = _first_start_times(own, epoch, inherited)
     reason_by_job = _reasons(own, ready, inherited)
     with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
     waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in with_room)
@@ -98,7 +98,7 @@
     return known - running
 
 
-def _first_starts(own: Iterable[LogLine], epoch: int, jobs: set[str]) -> dict[str, float]:
+def _first_start_times(own: Iterable[LogLine], epoch: int, jobs: set[str]) -> dict[str, float]:
     """Return when each job was first started by an owner."""
     started_s: dict[str, float] = {}
     for line in own:
