--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -66,7 +66,7 @@
     own = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
     inherited = _inherited_jobs_without_runs(own, ready, epoch)
     started_s = _first_start_times(own, epoch, inherited)
-    reason_by_job = _reasons(own, ready, inherited)
+    reason_by_job = _last_wait_reasons(own, ready, inherited)
     with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
     waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in with_room)
     decisions_s = [line.at_s for line in lines if line.event in _OWNER_EVENTS and line.at_s < ready.at_s]
@@ -109,7 +109,7 @@
     return started_s
 
 
-def _reasons(own: Iterable[LogLine], ready: LogLine, jobs: set[str]) -> dict[str, str | None]:
+def _last_wait_reasons(own: Iterable[LogLine], ready: LogLine, jobs: set[str]) -> dict[str, str | None]:
     """Return the last gate that jobs were reported to wait at; none for those without room."""
     reason_by_job: dict[str, str | None] = {}
     for line in own:
