--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -63,10 +63,10 @@
 def _summarize_waits(ready: LogLine, lines: Sequence[LogLine], until_s: float) -> InheritedWaits:
     """Return what jobs of previous owners waited for an owner, until the next one is ready or the log ends."""
     epoch = int(ready.fields['epoch'])
-    own = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
-    inherited = _inherited_jobs_without_runs(own, ready, epoch)
-    started_s = _first_start_times(own, epoch, inherited)
-    reason_by_job = _last_wait_reasons(own, ready, inherited)
+    owner_lines = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
+    inherited = _inherited_jobs_without_runs(owner_lines, ready, epoch)
+    started_s = _first_start_times(owner_lines, epoch, inherited)
+    reason_by_job = _last_wait_reasons(owner_lines, ready, inherited)
     with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
     waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in with_room)
     decisions_s = [line.at_s for line in lines if line.event in _OWNER_EVENTS and line.at_s < ready.at_s]
@@ -84,11 +84,11 @@
     )
 
 
-def _inherited_jobs_without_runs(own: Iterable[LogLine], ready: LogLine, epoch: int) -> set[str]:
+def _inherited_jobs_without_runs(owner_lines: Iterable[LogLine], ready: LogLine, epoch: int) -> set[str]:
     """Return the jobs that were sent to previous owners, and of which nothing was assigned."""
     known: set[str] = set()
     running: set[str] = set()
-    for line in own:
+    for line in owner_lines:
         if line.at_s > ready.at_s:
             break
         if line.event == 'job_known' and line.fields.get('owner_epoch') != epoch:
@@ -98,10 +98,10 @@
     return known - running
 
 
-def _first_start_times(own: Iterable[LogLine], epoch: int, jobs: set[str]) -> dict[str, float]:
+def _first_start_times(owner_lines: Iterable[LogLine], epoch: int, jobs: set[str]) -> dict[str, float]:
     """Return when each job was first started by an owner."""
     started_s: dict[str, float] = {}
-    for line in own:
+    for line in owner_lines:
         if line.event == 'run_ordered' and line.fields['run'] // RUNS_PER_EPOCH == epoch:
             job = line.fields['task'][0]
             if job in jobs:
@@ -109,10 +109,10 @@
     return started_s
 
 
-def _last_wait_reasons(own: Iterable[LogLine], ready: LogLine, jobs: set[str]) -> dict[str, str | None]:
+def _last_wait_reasons(owner_lines: Iterable[LogLine], ready: LogLine, jobs: set[str]) -> dict[str, str | None]:
     """Return the last gate that jobs were reported to wait at; none for those without room."""
     reason_by_job: dict[str, str | None] = {}
-    for line in own:
+    for line in owner_lines:
         if line.event != 'step_waiting' or line.at_s < ready.at_s or line.fields['job'] not in jobs:
             continue
         job = line.fields['job']
