--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -67,16 +67,16 @@
     inherited = _inherited_jobs_without_runs(owner_lines, ready, epoch)
     started_s = _first_start_times(owner_lines, epoch, inherited)
     reason_by_job = _last_wait_reasons(owner_lines, ready, inherited)
-    with_room = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
-    waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in with_room)
+    placeable_jobs = {job for job in started_s.keys() | reason_by_job.keys() if reason_by_job.get(job, '') is not None}
+    waits_s = sorted(started_s.get(job, until_s) - ready.at_s for job in placeable_jobs)
     decisions_s = [line.at_s for line in lines if line.event in _OWNER_EVENTS and line.at_s < ready.at_s]
     return InheritedWaits(
         ready.at_s - lines[0].at_s,
         ready.instance,
         epoch,
         ready.at_s - max(decisions_s, default=ready.at_s),
-        len(with_room),
-        len(with_room - started_s.keys()),
+        len(placeable_jobs),
+        len(placeable_jobs - started_s.keys()),
         _quantile(waits_s, 0.5),
         _quantile(waits_s, _TAIL_QUANTILE),
         _quantile(waits_s, 1.0),
