--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -116,8 +116,8 @@
         if line.event != 'step_waiting' or line.at_s < ready.at_s or line.fields['job'] not in jobs:
             continue
         job = line.fields['job']
-        had_room = line.fields['has_takers_twice'] and reason_by_job.get(job, '') is not None
-        reason_by_job[job] = line.fields['reason'] if had_room else None
+        had_capacity = line.fields['has_takers_twice'] and reason_by_job.get(job, '') is not None
+        reason_by_job[job] = line.fields['reason'] if had_capacity else None
     return reason_by_job
 
 
