--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -8,7 +8,7 @@
 
 # A stop takes up to 0.9 s; work that it was ordered for begins at once after it, in
 # seconds from the order.
-_IN_TIME_S = 1.5
+_PROMPT_START_S = 1.5
 # Work that begins on the same worker later than this found other room there, in seconds.
 _LATE_S = 3.0
 _FOR = 'makes room for '
@@ -126,6 +126,6 @@
         return 'it never began'
     waits_s = [run.ordered_s - stop_ordered_s for run in later if run.worker == stop.run.worker]
     if waits_s and min(waits_s) < _LATE_S:
-        return 'it began there' if min(waits_s) < _IN_TIME_S else 'it began there late'
+        return 'it began there' if min(waits_s) < _PROMPT_START_S else 'it began there late'
     soonest_s = min(run.ordered_s - stop_ordered_s for run in later)
-    return 'it began elsewhere' if soonest_s < _IN_TIME_S else 'it began much later'
+    return 'it began elsewhere' if soonest_s < _PROMPT_START_S else 'it began much later'
