--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -10,7 +10,7 @@
 # seconds from the order.
 _PROMPT_START_S = 1.5
 # Work that begins on the same worker later than this found other room there, in seconds.
-_LATE_S = 3.0
+_LATE_START_S = 3.0
 _FOR = 'makes room for '
 
 
@@ -125,7 +125,7 @@
     if not later:
         return 'it never began'
     waits_s = [run.ordered_s - stop_ordered_s for run in later if run.worker == stop.run.worker]
-    if waits_s and min(waits_s) < _LATE_S:
+    if waits_s and min(waits_s) < _LATE_START_S:
         return 'it began there' if min(waits_s) < _PROMPT_START_S else 'it began there late'
     soonest_s = min(run.ordered_s - stop_ordered_s for run in later)
     return 'it began elsewhere' if soonest_s < _PROMPT_START_S else 'it began much later'
