--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -11,7 +11,7 @@
 _PROMPT_START_S = 1.5
 # Work that begins on the same worker later than this found other room there, in seconds.
 _LATE_START_S = 3.0
-_FOR = 'makes room for '
+_PREEMPTION_PREFIX = 'makes room for '
 
 
 class StoppedJob(NamedTuple):
@@ -66,7 +66,7 @@
     @property
     def made_for(self) -> str:
         """Job that room was made for."""
-        return self.run.stop_reason.removeprefix(_FOR)
+        return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
 
 def stops_by_job(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
@@ -112,7 +112,7 @@
     stops_by_job: dict[str, list[_Stop]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stop_reason.startswith(_FOR):
+            if run.stop_reason.startswith(_PREEMPTION_PREFIX):
                 thrown_away_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
                 stops_by_job[job.job_id].append(_Stop(job, run, thrown_away_s))
     return stops_by_job
