--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -58,7 +58,7 @@
     core_s: float
 
 
-class _Stop(NamedTuple):
+class _Preemption(NamedTuple):
     job: JobHistory
     run: RunHistory
     core_s: float
@@ -108,17 +108,17 @@
     )
 
 
-def _by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Stop]]:
-    stops_by_job: dict[str, list[_Stop]] = defaultdict(list)
+def _by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Preemption]]:
+    stops_by_job: dict[str, list[_Preemption]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
             if run.stop_reason.startswith(_PREEMPTION_PREFIX):
                 thrown_away_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
-                stops_by_job[job.job_id].append(_Stop(job, run, thrown_away_s))
+                stops_by_job[job.job_id].append(_Preemption(job, run, thrown_away_s))
     return stops_by_job
 
 
-def _use(stop: _Stop, made_for: JobHistory | None) -> str:
+def _use(stop: _Preemption, made_for: JobHistory | None) -> str:
     """Return whether work began on room that was made for it."""
     stop_ordered_s = stop.run.stop_ordered_s
     later = [] if made_for is None else [run for run in made_for.runs if run.ordered_s >= stop_ordered_s]
