--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -118,10 +118,10 @@
     return stops_by_job
 
 
-def _use(stop: _Preemption, made_for: JobHistory | None) -> str:
+def _use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
     """Return whether work began on room that was made for it."""
     stop_ordered_s = stop.run.stop_ordered_s
-    later = [] if made_for is None else [run for run in made_for.runs if run.ordered_s >= stop_ordered_s]
+    later = [] if preempting_job is None else [run for run in preempting_job.runs if run.ordered_s >= stop_ordered_s]
     if not later:
         return 'it never began'
     waits_s = [run.ordered_s - stop_ordered_s for run in later if run.worker == stop.run.worker]
