--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -76,9 +76,11 @@
         job = stops[0].job
         by_task = Counter(stop.run.task for stop in stops)
         core_s = sum(stop.core_s for stop in stops)
-        made_for = {stop.made_for for stop in stops}
+        preempting_job_ids = {stop.made_for for stop in stops}
         rows.append(
-            StoppedJob(job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(made_for))
+            StoppedJob(
+                job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(preempting_job_ids)
+            )
         )
     return sorted(rows, key=lambda row: (-row.core_s, row.job))
 
