--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -64,7 +64,7 @@
     core_s: float
 
     @property
-    def made_for(self) -> str:
+    def preempting_job_id(self) -> str:
         """Job that room was made for."""
         return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
@@ -76,7 +76,7 @@
         job = stops[0].job
         by_task = Counter(stop.run.task for stop in stops)
         core_s = sum(stop.core_s for stop in stops)
-        preempting_job_ids = {stop.made_for for stop in stops}
+        preempting_job_ids = {stop.preempting_job_id for stop in stops}
         rows.append(
             StoppedJob(
                 job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(preempting_job_ids)
@@ -91,7 +91,7 @@
     core_s_by_use: dict[str, float] = defaultdict(float)
     for stops in _by_job(history_by_id.values()).values():
         for stop in stops:
-            use = _use(stop, history_by_id.get(stop.made_for))
+            use = _use(stop, history_by_id.get(stop.preempting_job_id))
             count_by_use[use] += 1
             core_s_by_use[use] += stop.core_s
     found = [RoomUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
