--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -115,8 +115,8 @@
     for job in jobs:
         for run in job.runs:
             if run.stop_reason.startswith(_PREEMPTION_PREFIX):
-                thrown_away_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
-                stops_by_job[job.job_id].append(_Preemption(job, run, thrown_away_s))
+                wasted_core_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
+                stops_by_job[job.job_id].append(_Preemption(job, run, wasted_core_s))
     return stops_by_job
 
 
