--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -111,13 +111,13 @@
 
 
 def _by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Preemption]]:
-    stops_by_job: dict[str, list[_Preemption]] = defaultdict(list)
+    preemptions_by_job: dict[str, list[_Preemption]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
             if run.stop_reason.startswith(_PREEMPTION_PREFIX):
                 wasted_core_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
-                stops_by_job[job.job_id].append(_Preemption(job, run, wasted_core_s))
-    return stops_by_job
+                preemptions_by_job[job.job_id].append(_Preemption(job, run, wasted_core_s))
+    return preemptions_by_job
 
 
 def _use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
