--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -69,7 +69,7 @@
         return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
 
-def stops_by_job(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
+def preempted_jobs(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
     """Return the jobs that were stopped to make room, those that lost most first."""
     rows = []
     for stops in _by_job(jobs).values():
@@ -100,7 +100,7 @@
 
 def report_stops(job: JobHistory | None) -> str:
     """Return in a sentence how often a job was stopped to make room; nothing when it was not, or is unknown."""
-    rows = [] if job is None else stops_by_job([job])
+    rows = [] if job is None else preempted_jobs([job])
     if not rows:
         return ''
     row = rows[0]
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .histories import JobHistory, RunHistory
-from .stops import RoomUse, StoppedJob, stops_by_job, use_of_room
+from .stops import preempted_jobs, RoomUse, StoppedJob, use_of_room
 
 # Length of a window in seconds.
 _WINDOW_S = 2.0
@@ -122,7 +122,7 @@
         _by_window(jobs, size_by_id),
         _costliest(jobs),
         use_of_room(history_by_id),
-        stops_by_job(jobs)[:_MOST_NAMED],
+        preempted_jobs(jobs)[:_MOST_NAMED],
     )
 
 
