--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -85,7 +85,7 @@
     return sorted(rows, key=lambda row: (-row.core_s, row.job))
 
 
-def use_of_room(history_by_id: Mapping[str, JobHistory]) -> list[RoomUse]:
+def freed_capacity_use(history_by_id: Mapping[str, JobHistory]) -> list[RoomUse]:
     """Return what became of the room that stops made, what threw most away first."""
     count_by_use: Counter[str] = Counter()
     core_s_by_use: dict[str, float] = defaultdict(float)
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .histories import JobHistory, RunHistory
-from .stops import preempted_jobs, RoomUse, StoppedJob, use_of_room
+from .stops import freed_capacity_use, preempted_jobs, RoomUse, StoppedJob
 
 # Length of a window in seconds.
 _WINDOW_S = 2.0
@@ -121,7 +121,7 @@
         _by_outcome(jobs),
         _by_window(jobs, size_by_id),
         _costliest(jobs),
-        use_of_room(history_by_id),
+        freed_capacity_use(history_by_id),
         preempted_jobs(jobs)[:_MOST_NAMED],
     )
 
