--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -2,7 +2,7 @@
 
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
-from .stops import report_stops, RoomUse, StoppedJob
+from .stops import describe_preemptions, RoomUse, StoppedJob
 from .sums import Account, account, CostlyDecision, Loss, QueueRow, WindowRow
 from .takeovers import TakeOver, takeovers
 
@@ -22,5 +22,5 @@
     'inherited_waits',
     'read_histories',
     'takeovers',
-    'report_stops',
+    'describe_preemptions',
 )
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -98,7 +98,7 @@
     return sorted(found, key=lambda row: -row.core_s)
 
 
-def report_stops(job: JobHistory | None) -> str:
+def describe_preemptions(job: JobHistory | None) -> str:
     """Return in a sentence how often a job was stopped to make room; nothing when it was not, or is unknown."""
     rows = [] if job is None else preempted_jobs([job])
     if not rows:
--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -14,7 +14,7 @@
 from dahliaarch_standins.demo import run_demo
 from dahliaarch_standins.soak import control_arm, draw_settings, PROTECTIONS, run_soak
 
-from .accounting import account, inherited_waits, read_histories, report_stops, takeovers
+from .accounting import account, describe_preemptions, inherited_waits, read_histories, takeovers
 from .client import CallFailure, Client
 from .explaining import explain_job, LogLine, read_log_lines
 from .printing import print_effects, print_gap, print_table, print_transposed
@@ -75,7 +75,7 @@
         lines.extend(read_log_lines(path))
     for sentence in explain_job(job_id, lines, as_json=as_json):
         typer.echo(sentence)
-    report = '' if as_json else report_stops(read_histories(lines).get(job_id))
+    report = '' if as_json else describe_preemptions(read_histories(lines).get(job_id))
     if report:
         typer.echo(report)
 
--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ..accounting import account, inherited_waits, read_histories, report_stops, takeovers
+from ..accounting import account, describe_preemptions, inherited_waits, read_histories, takeovers
 from ..explaining import LogLine
 
 URGENT, BATCH = 'a' * 16, 'b' * 16
@@ -124,8 +124,8 @@
             ended(3.5, BATCH, 'stopped'),
         )
     )
-    assert report_stops(histories[BATCH]).startswith('stopped 1 times to make room for 1 jobs')
-    assert not report_stops(None)
+    assert describe_preemptions(histories[BATCH]).startswith('stopped 1 times to make room for 1 jobs')
+    assert not describe_preemptions(None)
 
 
 def test_a_job_is_in_time_by_its_own_objective():
