--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -91,7 +91,7 @@
     core_s_by_use: dict[str, float] = defaultdict(float)
     for stops in _by_job(history_by_id.values()).values():
         for stop in stops:
-            use = _use(stop, history_by_id.get(stop.preempting_job_id))
+            use = _classify_use(stop, history_by_id.get(stop.preempting_job_id))
             count_by_use[use] += 1
             core_s_by_use[use] += stop.core_s
     found = [RoomUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
@@ -120,7 +120,7 @@
     return preemptions_by_job
 
 
-def _use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
+def _classify_use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
     """Return whether work began on room that was made for it."""
     stop_ordered_s = stop.run.stop_ordered_s
     later = [] if preempting_job is None else [run for run in preempting_job.runs if run.ordered_s >= stop_ordered_s]
