--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -72,7 +72,7 @@
 def preempted_jobs(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
     """Return the jobs that were stopped to make room, those that lost most first."""
     rows = []
-    for stops in _by_job(jobs).values():
+    for stops in _preemptions_by_job(jobs).values():
         job = stops[0].job
         by_task = Counter(stop.run.task for stop in stops)
         core_s = sum(stop.core_s for stop in stops)
@@ -89,7 +89,7 @@
     """Return what became of the room that stops made, what threw most away first."""
     count_by_use: Counter[str] = Counter()
     core_s_by_use: dict[str, float] = defaultdict(float)
-    for stops in _by_job(history_by_id.values()).values():
+    for stops in _preemptions_by_job(history_by_id.values()).values():
         for stop in stops:
             use = _classify_use(stop, history_by_id.get(stop.preempting_job_id))
             count_by_use[use] += 1
@@ -110,7 +110,7 @@
     )
 
 
-def _by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Preemption]]:
+def _preemptions_by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Preemption]]:
     preemptions_by_job: dict[str, list[_Preemption]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
