--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -2,7 +2,7 @@
 
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
-from .stops import describe_preemptions, RoomUse, StoppedJob
+from .stops import describe_preemptions, PreemptedJob, RoomUse
 from .sums import Account, account, CostlyDecision, Loss, QueueRow, WindowRow
 from .takeovers import TakeOver, takeovers
 
@@ -15,7 +15,7 @@
     'QueueRow',
     'RoomUse',
     'RunHistory',
-    'StoppedJob',
+    'PreemptedJob',
     'TakeOver',
     'WindowRow',
     'account',
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -14,7 +14,7 @@
 _PREEMPTION_PREFIX = 'makes room for '
 
 
-class StoppedJob(NamedTuple):
+class PreemptedJob(NamedTuple):
     """A job whose tasks were stopped to make room.
 
     Parameters
@@ -69,7 +69,7 @@
         return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
 
-def preempted_jobs(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
+def preempted_jobs(jobs: Iterable[JobHistory]) -> list[PreemptedJob]:
     """Return the jobs that were stopped to make room, those that lost most first."""
     rows = []
     for stops in _preemptions_by_job(jobs).values():
@@ -78,7 +78,7 @@
         core_s = sum(stop.core_s for stop in stops)
         preempting_job_ids = {stop.preempting_job_id for stop in stops}
         rows.append(
-            StoppedJob(
+            PreemptedJob(
                 job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(preempting_job_ids)
             )
         )
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .histories import JobHistory, RunHistory
-from .stops import freed_capacity_use, preempted_jobs, RoomUse, StoppedJob
+from .stops import freed_capacity_use, preempted_jobs, PreemptedJob, RoomUse
 
 # Length of a window in seconds.
 _WINDOW_S = 2.0
@@ -108,7 +108,7 @@
     windows: list[WindowRow]
     decisions: list[CostlyDecision]
     room: list[RoomUse]
-    stopped: list[StoppedJob]
+    stopped: list[PreemptedJob]
 
 
 def account(history_by_id: Mapping[str, JobHistory]) -> Account:
