--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -2,7 +2,7 @@
 
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
-from .stops import describe_preemptions, PreemptedJob, RoomUse
+from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
 from .sums import Account, account, CostlyDecision, Loss, QueueRow, WindowRow
 from .takeovers import TakeOver, takeovers
 
@@ -13,7 +13,7 @@
     'JobHistory',
     'Loss',
     'QueueRow',
-    'RoomUse',
+    'FreedCapacityUse',
     'RunHistory',
     'PreemptedJob',
     'TakeOver',
--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -40,7 +40,7 @@
     stopped_for: int
 
 
-class RoomUse(NamedTuple):
+class FreedCapacityUse(NamedTuple):
     """What became of room that was made.
 
     Parameters
@@ -85,7 +85,7 @@
     return sorted(rows, key=lambda row: (-row.core_s, row.job))
 
 
-def freed_capacity_use(history_by_id: Mapping[str, JobHistory]) -> list[RoomUse]:
+def freed_capacity_use(history_by_id: Mapping[str, JobHistory]) -> list[FreedCapacityUse]:
     """Return what became of the room that stops made, what threw most away first."""
     count_by_use: Counter[str] = Counter()
     core_s_by_use: dict[str, float] = defaultdict(float)
@@ -94,7 +94,7 @@
             use = _classify_use(stop, history_by_id.get(stop.preempting_job_id))
             count_by_use[use] += 1
             core_s_by_use[use] += stop.core_s
-    found = [RoomUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
+    found = [FreedCapacityUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
     return sorted(found, key=lambda row: -row.core_s)
 
 
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .histories import JobHistory, RunHistory
-from .stops import freed_capacity_use, preempted_jobs, PreemptedJob, RoomUse
+from .stops import freed_capacity_use, FreedCapacityUse, preempted_jobs, PreemptedJob
 
 # Length of a window in seconds.
 _WINDOW_S = 2.0
@@ -107,7 +107,7 @@
     work: list[Loss]
     windows: list[WindowRow]
     decisions: list[CostlyDecision]
-    room: list[RoomUse]
+    room: list[FreedCapacityUse]
     stopped: list[PreemptedJob]
 
 
