--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -12,7 +12,7 @@
 _WINDOW_S = 2.0
 # What counts as a delay on the way, in seconds: an owner learns of a job in
 # milliseconds, starts it as soon as there is room, and keeps its end in 0.01 s.
-_LATE_TO_OWNER_S = 0.5
+_OWNER_DELAY_S = 0.5
 _WAITED_S = 0.2
 _LATE_TO_SHOW_S = 0.3
 # Decisions that are named.
@@ -166,7 +166,7 @@
     """Return what kept a job from being in time: the first that holds."""
     if job.received_s is None:
         return 'refused'
-    if job.received_s - job.submitted_s > _LATE_TO_OWNER_S:
+    if job.received_s - job.submitted_s > _OWNER_DELAY_S:
         return 'late to the owner'
     if not job.runs:
         return 'never started'
