--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -13,7 +13,7 @@
 # What counts as a delay on the way, in seconds: an owner learns of a job in
 # milliseconds, starts it as soon as there is room, and keeps its end in 0.01 s.
 _OWNER_DELAY_S = 0.5
-_WAITED_S = 0.2
+_CAPACITY_WAIT_S = 0.2
 _LATE_TO_SHOW_S = 0.3
 # Decisions that are named.
 _MOST_NAMED = 8
@@ -176,7 +176,7 @@
     last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
     if last_s is not None and job.completed_s is not None and job.completed_s - last_s > _LATE_TO_SHOW_S:
         return 'end kept late'
-    if job.runs[0].ordered_s - job.received_s > _WAITED_S:
+    if job.runs[0].ordered_s - job.received_s > _CAPACITY_WAIT_S:
         return 'waited for room'
     if any(run.end_kind == 'failed' for run in job.runs):
         return 'runs failed'
