--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -14,7 +14,7 @@
 # milliseconds, starts it as soon as there is room, and keeps its end in 0.01 s.
 _OWNER_DELAY_S = 0.5
 _CAPACITY_WAIT_S = 0.2
-_LATE_TO_SHOW_S = 0.3
+_COMPLETION_DELAY_S = 0.3
 # Decisions that are named.
 _MOST_NAMED = 8
 
@@ -174,7 +174,7 @@
     if causes:
         return f'stopped: {min(causes)}'
     last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
-    if last_s is not None and job.completed_s is not None and job.completed_s - last_s > _LATE_TO_SHOW_S:
+    if last_s is not None and job.completed_s is not None and job.completed_s - last_s > _COMPLETION_DELAY_S:
         return 'end kept late'
     if job.runs[0].ordered_s - job.received_s > _CAPACITY_WAIT_S:
         return 'waited for room'
