--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -16,7 +16,7 @@
 _CAPACITY_WAIT_S = 0.2
 _COMPLETION_DELAY_S = 0.3
 # Decisions that are named.
-_MOST_NAMED = 8
+_MAX_LISTED = 8
 
 _SAVED = ' (work saved)'
 
@@ -122,7 +122,7 @@
         _by_window(jobs, size_by_id),
         _costliest(jobs),
         freed_capacity_use(history_by_id),
-        preempted_jobs(jobs)[:_MOST_NAMED],
+        preempted_jobs(jobs)[:_MAX_LISTED],
     )
 
 
@@ -255,4 +255,4 @@
         )
         for why, pairs in runs_by_reason.items()
     ]
-    return sorted(found, key=lambda decision: -decision.core_s)[:_MOST_NAMED]
+    return sorted(found, key=lambda decision: -decision.core_s)[:_MAX_LISTED]
