--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -18,7 +18,7 @@
 # Decisions that are named.
 _MAX_LISTED = 8
 
-_SAVED = ' (work saved)'
+_SAVED_SUFFIX = ' (work saved)'
 
 
 # The users' formula of a job's worth: a fixed part, and one by its work against the
@@ -200,7 +200,7 @@
         return 'done'
     if run.ended_s is None:
         return 'not ended'
-    return run.cause + (_SAVED if job.resumes_from_checkpoint(run) else '')
+    return run.cause + (_SAVED_SUFFIX if job.resumes_from_checkpoint(run) else '')
 
 
 def _is_thrown_away(job: JobHistory, run: RunHistory) -> bool:
