--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -24,7 +24,7 @@
 # The users' formula of a job's worth: a fixed part, and one by its work against the
 # mean of its queue, which counts up to so many times.
 _FIXED_WORTH = 0.3
-_LARGEST_SIZE = 4.0
+_MAX_WORTH = 4.0
 
 
 class QueueRow(NamedTuple):
@@ -153,7 +153,7 @@
         mean = statistics.fmean(job.core_s for job in members) or 1.0
         for job in members:
             size = _FIXED_WORTH + (1 - _FIXED_WORTH) * job.core_s / mean
-            size_by_id[job.job_id] = min(size, _LARGEST_SIZE)
+            size_by_id[job.job_id] = min(size, _MAX_WORTH)
     return size_by_id
 
 
