--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -114,7 +114,7 @@
 def account(history_by_id: Mapping[str, JobHistory]) -> Account:
     """Return where time and core-seconds went."""
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
-    size_by_id = _sizes(jobs)
+    size_by_id = _worth_by_id(jobs)
     return Account(
         _by_queue(jobs, size_by_id),
         _by_delay(jobs),
@@ -146,7 +146,7 @@
     return jobs_by_queue
 
 
-def _sizes(jobs: Iterable[JobHistory]) -> dict[str, float]:
+def _worth_by_id(jobs: Iterable[JobHistory]) -> dict[str, float]:
     """Return the worth of each job, in jobs of mean size of its queue."""
     size_by_id = {}
     for members in _jobs_by_queue(jobs).values():
