--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -114,26 +114,26 @@
 def account(history_by_id: Mapping[str, JobHistory]) -> Account:
     """Return where time and core-seconds went."""
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
-    size_by_id = _worth_by_id(jobs)
+    worth_by_id = _worth_by_id(jobs)
     return Account(
-        _by_queue(jobs, size_by_id),
+        _by_queue(jobs, worth_by_id),
         _by_delay(jobs),
         _by_outcome(jobs),
-        _by_window(jobs, size_by_id),
+        _by_window(jobs, worth_by_id),
         _costliest(jobs),
         freed_capacity_use(history_by_id),
         preempted_jobs(jobs)[:_MAX_LISTED],
     )
 
 
-def _by_queue(jobs: Iterable[JobHistory], size_by_id: Mapping[str, float]) -> list[QueueRow]:
+def _by_queue(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueRow]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
         owed = [job for job in members if job.is_evaluated]
         in_time = [job for job in owed if job.is_in_time]
         late = [job for job in owed if job.phase == 'succeeded' and not job.is_in_time]
         cancelled = sum(job.cancelled_s is not None for job in members)
-        worth = [sum(size_by_id[job.job_id] for job in group) for group in (owed, in_time, late)]
+        worth = [sum(worth_by_id[job.job_id] for job in group) for group in (owed, in_time, late)]
         not_done = len(owed) - len(in_time) - len(late)
         rows.append(QueueRow(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
     return rows
@@ -148,13 +148,13 @@
 
 def _worth_by_id(jobs: Iterable[JobHistory]) -> dict[str, float]:
     """Return the worth of each job, in jobs of mean size of its queue."""
-    size_by_id = {}
+    worth_by_id = {}
     for members in _jobs_by_queue(jobs).values():
         mean = statistics.fmean(job.core_s for job in members) or 1.0
         for job in members:
             size = _FIXED_WORTH + (1 - _FIXED_WORTH) * job.core_s / mean
-            size_by_id[job.job_id] = min(size, _MAX_WORTH)
-    return size_by_id
+            worth_by_id[job.job_id] = min(size, _MAX_WORTH)
+    return worth_by_id
 
 
 def _by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
@@ -207,7 +207,7 @@
     return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
-def _by_window(jobs: list[JobHistory], size_by_id: Mapping[str, float]) -> list[WindowRow]:
+def _by_window(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
     first_s = _first_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     lost_by_window: dict[int, float] = defaultdict(float)
@@ -221,7 +221,7 @@
     for window in sorted(jobs_by_window.keys() | lost_by_window.keys()):
         came = jobs_by_window[window]
         in_time = [job for job in came if job.is_in_time]
-        worth, worth_in_time = (sum(size_by_id[job.job_id] for job in group) for group in (came, in_time))
+        worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (came, in_time))
         lost = lost_by_window[window]
         rows.append(WindowRow(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
     return rows
