--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -116,7 +116,7 @@
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
     worth_by_id = _worth_by_id(jobs)
     return Account(
-        _by_queue(jobs, worth_by_id),
+        _queue_rows(jobs, worth_by_id),
         _by_delay(jobs),
         _by_outcome(jobs),
         _by_window(jobs, worth_by_id),
@@ -126,7 +126,7 @@
     )
 
 
-def _by_queue(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueRow]:
+def _queue_rows(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueRow]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
         owed = [job for job in members if job.is_evaluated]
