--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -117,7 +117,7 @@
     worth_by_id = _worth_by_id(jobs)
     return Account(
         _queue_rows(jobs, worth_by_id),
-        _by_delay(jobs),
+        _losses_by_delay(jobs),
         _by_outcome(jobs),
         _by_window(jobs, worth_by_id),
         _costliest(jobs),
@@ -157,7 +157,7 @@
     return worth_by_id
 
 
-def _by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
+def _losses_by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
     counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.received_s is None))
     return [Loss(cause, count, 0.0) for cause, count in counts.most_common()]
 
