--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -158,11 +158,13 @@
 
 
 def _losses_by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
-    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.received_s is None))
+    counts = Counter(
+        _delay_cause(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.received_s is None)
+    )
     return [Loss(cause, count, 0.0) for cause, count in counts.most_common()]
 
 
-def _delay(job: JobHistory) -> str:
+def _delay_cause(job: JobHistory) -> str:
     """Return what kept a job from being in time: the first that holds."""
     if job.received_s is None:
         return 'refused'
