--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -118,7 +118,7 @@
     return Account(
         _queue_rows(jobs, worth_by_id),
         _losses_by_delay(jobs),
-        _by_outcome(jobs),
+        _losses_by_outcome(jobs),
         _by_window(jobs, worth_by_id),
         _costliest(jobs),
         freed_capacity_use(history_by_id),
@@ -185,7 +185,7 @@
     return 'ran too long' if last_s is not None else 'not ended'
 
 
-def _by_outcome(jobs: Iterable[JobHistory]) -> list[Loss]:
+def _losses_by_outcome(jobs: Iterable[JobHistory]) -> list[Loss]:
     core_s_by_cause: dict[str, float] = defaultdict(float)
     runs_by_cause: Counter[str] = Counter()
     for job in jobs:
