--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -190,14 +190,14 @@
     runs_by_cause: Counter[str] = Counter()
     for job in jobs:
         for run in job.runs:
-            cause = _outcome(job, run)
+            cause = _run_outcome(job, run)
             core_s_by_cause[cause] += job.core_s_of(run)
             runs_by_cause[cause] += 1
     found = [Loss(cause, runs_by_cause[cause], core_s) for cause, core_s in core_s_by_cause.items()]
     return sorted(found, key=lambda loss: -loss.core_s)
 
 
-def _outcome(job: JobHistory, run: RunHistory) -> str:
+def _run_outcome(job: JobHistory, run: RunHistory) -> str:
     if run.end_kind == 'done':
         return 'done'
     if run.ended_s is None:
