--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -205,7 +205,7 @@
     return run.cause + (_SAVED_SUFFIX if job.resumes_from_checkpoint(run) else '')
 
 
-def _is_thrown_away(job: JobHistory, run: RunHistory) -> bool:
+def _is_wasted(job: JobHistory, run: RunHistory) -> bool:
     return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
@@ -217,7 +217,7 @@
         if job.is_evaluated or job.received_s is None:
             jobs_by_window[_window(job.submitted_s - first_s)].append(job)
         for run in job.runs:
-            if run.ended_s is not None and _is_thrown_away(job, run):
+            if run.ended_s is not None and _is_wasted(job, run):
                 lost_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
     rows = []
     for window in sorted(jobs_by_window.keys() | lost_by_window.keys()):
@@ -244,7 +244,7 @@
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stop_reason and _is_thrown_away(job, run):
+            if run.stop_reason and _is_wasted(job, run):
                 reason = run.stop_reason if ' for ' in run.stop_reason else f'{run.stop_reason}: {job.job_id}'
                 runs_by_reason[reason].append((job, run))
     found = [
