--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -119,7 +119,7 @@
         _queue_rows(jobs, worth_by_id),
         _losses_by_delay(jobs),
         _losses_by_outcome(jobs),
-        _by_window(jobs, worth_by_id),
+        _window_rows(jobs, worth_by_id),
         _costliest(jobs),
         freed_capacity_use(history_by_id),
         preempted_jobs(jobs)[:_MAX_LISTED],
@@ -209,7 +209,7 @@
     return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
-def _by_window(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
+def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
     first_s = _first_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     lost_by_window: dict[int, float] = defaultdict(float)
