--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -212,19 +212,19 @@
 def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
     first_s = _first_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
-    lost_by_window: dict[int, float] = defaultdict(float)
+    wasted_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
         if job.is_evaluated or job.received_s is None:
             jobs_by_window[_window(job.submitted_s - first_s)].append(job)
         for run in job.runs:
             if run.ended_s is not None and _is_wasted(job, run):
-                lost_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
+                wasted_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
     rows = []
-    for window in sorted(jobs_by_window.keys() | lost_by_window.keys()):
+    for window in sorted(jobs_by_window.keys() | wasted_by_window.keys()):
         came = jobs_by_window[window]
         in_time = [job for job in came if job.is_in_time]
         worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (came, in_time))
-        lost = lost_by_window[window]
+        lost = wasted_by_window[window]
         rows.append(WindowRow(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
     return rows
 
