--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -210,7 +210,7 @@
 
 
 def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
-    first_s = _first_s(jobs)
+    first_s = _first_submission_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     wasted_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
@@ -229,7 +229,7 @@
     return rows
 
 
-def _first_s(jobs: list[JobHistory]) -> float:
+def _first_submission_s(jobs: list[JobHistory]) -> float:
     """Return when the first job was asked for, seconds since 1970."""
     return min((job.submitted_s for job in jobs), default=0.0)
 
@@ -240,7 +240,7 @@
 
 def _costliest(jobs: list[JobHistory]) -> list[CostlyDecision]:
     """Return the stops that threw most away; those for one reason count as one decision."""
-    first_s = _first_s(jobs)
+    first_s = _first_submission_s(jobs)
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
