--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -215,10 +215,10 @@
     wasted_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
         if job.is_evaluated or job.received_s is None:
-            jobs_by_window[_window(job.submitted_s - first_s)].append(job)
+            jobs_by_window[_window_index(job.submitted_s - first_s)].append(job)
         for run in job.runs:
             if run.ended_s is not None and _is_wasted(job, run):
-                wasted_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
+                wasted_by_window[_window_index(run.ended_s - first_s)] += job.core_s_of(run)
     rows = []
     for window in sorted(jobs_by_window.keys() | wasted_by_window.keys()):
         came = jobs_by_window[window]
@@ -234,7 +234,7 @@
     return min((job.submitted_s for job in jobs), default=0.0)
 
 
-def _window(after_s: float) -> int:
+def _window_index(after_s: float) -> int:
     return int(after_s // _WINDOW_S)
 
 
