--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -120,7 +120,7 @@
         _losses_by_delay(jobs),
         _losses_by_outcome(jobs),
         _window_rows(jobs, worth_by_id),
-        _costliest(jobs),
+        _costliest_decisions(jobs),
         freed_capacity_use(history_by_id),
         preempted_jobs(jobs)[:_MAX_LISTED],
     )
@@ -238,7 +238,7 @@
     return int(after_s // _WINDOW_S)
 
 
-def _costliest(jobs: list[JobHistory]) -> list[CostlyDecision]:
+def _costliest_decisions(jobs: list[JobHistory]) -> list[CostlyDecision]:
     """Return the stops that threw most away; those for one reason count as one decision."""
     first_s = _first_submission_s(jobs)
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
