--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -3,7 +3,7 @@
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
 from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
-from .sums import Account, account, CostlyDecision, Loss, QueueRow, WindowRow
+from .sums import Account, account, CostlyDecision, Loss, QueueSummary, WindowRow
 from .takeovers import TakeOver, takeovers
 
 __all__ = (
@@ -12,7 +12,7 @@
     'InheritedWaits',
     'JobHistory',
     'Loss',
-    'QueueRow',
+    'QueueSummary',
     'FreedCapacityUse',
     'RunHistory',
     'PreemptedJob',
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -27,7 +27,7 @@
 _MAX_WORTH = 4.0
 
 
-class QueueRow(NamedTuple):
+class QueueSummary(NamedTuple):
     """What became of the jobs of one queue.
 
     Parameters
@@ -102,7 +102,7 @@
         Jobs that lost most by such stops.
     """
 
-    queues: list[QueueRow]
+    queues: list[QueueSummary]
     late: list[Loss]
     work: list[Loss]
     windows: list[WindowRow]
@@ -126,7 +126,7 @@
     )
 
 
-def _queue_rows(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueRow]:
+def _queue_rows(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueSummary]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
         owed = [job for job in members if job.is_evaluated]
@@ -135,7 +135,7 @@
         cancelled = sum(job.cancelled_s is not None for job in members)
         worth = [sum(worth_by_id[job.job_id] for job in group) for group in (owed, in_time, late)]
         not_done = len(owed) - len(in_time) - len(late)
-        rows.append(QueueRow(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
+        rows.append(QueueSummary(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
     return rows
 
 
