--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -3,7 +3,7 @@
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
 from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
-from .sums import Account, account, CostlyDecision, Loss, QueueSummary, WindowRow
+from .sums import Account, account, CostlyDecision, Loss, QueueSummary, WindowSummary
 from .takeovers import TakeOver, takeovers
 
 __all__ = (
@@ -17,7 +17,7 @@
     'RunHistory',
     'PreemptedJob',
     'TakeOver',
-    'WindowRow',
+    'WindowSummary',
     'account',
     'inherited_waits',
     'read_histories',
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -60,7 +60,7 @@
     core_s: float
 
 
-class WindowRow(NamedTuple):
+class WindowSummary(NamedTuple):
     """Two seconds: jobs that came, what became of them, and core-seconds thrown away by runs that ended."""
 
     from_s: float
@@ -105,7 +105,7 @@
     queues: list[QueueSummary]
     late: list[Loss]
     work: list[Loss]
-    windows: list[WindowRow]
+    windows: list[WindowSummary]
     decisions: list[CostlyDecision]
     room: list[FreedCapacityUse]
     stopped: list[PreemptedJob]
@@ -209,7 +209,7 @@
     return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
-def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowRow]:
+def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowSummary]:
     first_s = _first_submission_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
     wasted_by_window: dict[int, float] = defaultdict(float)
@@ -225,7 +225,7 @@
         in_time = [job for job in came if job.is_in_time]
         worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (came, in_time))
         lost = wasted_by_window[window]
-        rows.append(WindowRow(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
+        rows.append(WindowSummary(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
     return rows
 
 
