--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -3,7 +3,7 @@
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
 from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
-from .sums import Account, account, CostlyDecision, Loss, QueueSummary, WindowSummary
+from .sums import Account, build_report, CostlyDecision, Loss, QueueSummary, WindowSummary
 from .takeovers import TakeOver, takeovers
 
 __all__ = (
@@ -18,7 +18,7 @@
     'PreemptedJob',
     'TakeOver',
     'WindowSummary',
-    'account',
+    'build_report',
     'inherited_waits',
     'read_histories',
     'takeovers',
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -111,7 +111,7 @@
     stopped: list[PreemptedJob]
 
 
-def account(history_by_id: Mapping[str, JobHistory]) -> Account:
+def build_report(history_by_id: Mapping[str, JobHistory]) -> Account:
     """Return where time and core-seconds went."""
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
     worth_by_id = _worth_by_id(jobs)
--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -14,7 +14,7 @@
 from dahliaarch_standins.demo import run_demo
 from dahliaarch_standins.soak import control_arm, draw_settings, PROTECTIONS, run_soak
 
-from .accounting import account, describe_preemptions, inherited_waits, read_histories, takeovers
+from .accounting import build_report, describe_preemptions, inherited_waits, read_histories, takeovers
 from .client import CallFailure, Client
 from .explaining import explain_job, LogLine, read_log_lines
 from .printing import print_effects, print_gap, print_table, print_transposed
@@ -91,7 +91,7 @@
         lines.extend(read_log_lines(path))
     histories = read_histories(lines)
     found = {
-        **account(histories)._asdict(),
+        **build_report(histories)._asdict(),
         'takeovers': takeovers(lines, histories),
         'inherited_waits': inherited_waits(lines),
     }
--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ..accounting import account, describe_preemptions, inherited_waits, read_histories, takeovers
+from ..accounting import build_report, describe_preemptions, inherited_waits, read_histories, takeovers
 from ..explaining import LogLine
 
 URGENT, BATCH = 'a' * 16, 'b' * 16
@@ -46,7 +46,7 @@
 
 
 def account_of(*lines):
-    return account(read_histories(lines))
+    return build_report(read_histories(lines))
 
 
 def preempted(*, checkpoints):
