--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -3,11 +3,11 @@
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
 from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
-from .sums import Account, build_report, CostlyDecision, Loss, QueueSummary, WindowSummary
+from .sums import AccountingReport, build_report, CostlyDecision, Loss, QueueSummary, WindowSummary
 from .takeovers import TakeOver, takeovers
 
 __all__ = (
-    'Account',
+    'AccountingReport',
     'CostlyDecision',
     'InheritedWaits',
     'JobHistory',
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -81,7 +81,7 @@
     jobs: tuple[str, ...]
 
 
-class Account(NamedTuple):
+class AccountingReport(NamedTuple):
     """Where time and core-seconds went.
 
     Parameters
@@ -111,11 +111,11 @@
     stopped: list[PreemptedJob]
 
 
-def build_report(history_by_id: Mapping[str, JobHistory]) -> Account:
+def build_report(history_by_id: Mapping[str, JobHistory]) -> AccountingReport:
     """Return where time and core-seconds went."""
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
     worth_by_id = _worth_by_id(jobs)
-    return Account(
+    return AccountingReport(
         _queue_rows(jobs, worth_by_id),
         _losses_by_delay(jobs),
         _losses_by_outcome(jobs),
