--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -129,12 +129,12 @@
 def _queue_rows(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueSummary]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
-        owed = [job for job in members if job.is_evaluated]
-        in_time = [job for job in owed if job.is_in_time]
-        late = [job for job in owed if job.phase == 'succeeded' and not job.is_in_time]
+        evaluated = [job for job in members if job.is_evaluated]
+        in_time = [job for job in evaluated if job.is_in_time]
+        late = [job for job in evaluated if job.phase == 'succeeded' and not job.is_in_time]
         cancelled = sum(job.cancelled_s is not None for job in members)
-        worth = [sum(worth_by_id[job.job_id] for job in group) for group in (owed, in_time, late)]
-        not_done = len(owed) - len(in_time) - len(late)
+        worth = [sum(worth_by_id[job.job_id] for job in group) for group in (evaluated, in_time, late)]
+        not_done = len(evaluated) - len(in_time) - len(late)
         rows.append(QueueSummary(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
     return rows
 
