--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -221,11 +221,11 @@
                 wasted_by_window[_window_index(run.ended_s - first_s)] += job.core_s_of(run)
     rows = []
     for window in sorted(jobs_by_window.keys() | wasted_by_window.keys()):
-        came = jobs_by_window[window]
-        in_time = [job for job in came if job.is_in_time]
-        worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (came, in_time))
+        submitted = jobs_by_window[window]
+        in_time = [job for job in submitted if job.is_in_time]
+        worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (submitted, in_time))
         lost = wasted_by_window[window]
-        rows.append(WindowSummary(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
+        rows.append(WindowSummary(window * _WINDOW_S, len(submitted), len(in_time), worth, worth_in_time, lost))
     return rows
 
 
