--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -224,8 +224,10 @@
         submitted = jobs_by_window[window]
         in_time = [job for job in submitted if job.is_in_time]
         worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (submitted, in_time))
-        lost = wasted_by_window[window]
-        rows.append(WindowSummary(window * _WINDOW_S, len(submitted), len(in_time), worth, worth_in_time, lost))
+        wasted_core_s = wasted_by_window[window]
+        rows.append(
+            WindowSummary(window * _WINDOW_S, len(submitted), len(in_time), worth, worth_in_time, wasted_core_s)
+        )
     return rows
 
 
