--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -4,7 +4,7 @@
 from .inherited import inherited_waits, InheritedWaits
 from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
 from .sums import AccountingReport, build_report, CostlyDecision, Loss, QueueSummary, WindowSummary
-from .takeovers import TakeOver, takeovers
+from .takeovers import Takeover, takeovers
 
 __all__ = (
     'AccountingReport',
@@ -16,7 +16,7 @@
     'FreedCapacityUse',
     'RunHistory',
     'PreemptedJob',
-    'TakeOver',
+    'Takeover',
     'WindowSummary',
     'build_report',
     'inherited_waits',
--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -11,7 +11,7 @@
 from .histories import JobHistory
 
 
-class TakeOver(NamedTuple):
+class Takeover(NamedTuple):
     """One change of the pool's owner.
 
     Parameters
@@ -48,7 +48,7 @@
     last_s: float
 
 
-def takeovers(lines: Iterable[LogLine], history_by_id: Mapping[str, JobHistory]) -> list[TakeOver]:
+def takeovers(lines: Iterable[LogLine], history_by_id: Mapping[str, JobHistory]) -> list[Takeover]:
     """Return the changes of the owner after the first one, in order of time."""
     ordered = sorted(lines, key=lambda line: line.at_s)
     orders_by_epoch = _orders_by_epoch(ordered)
@@ -66,14 +66,14 @@
 
 def _takeover(
     ready: LogLine, at_s: float, orders_by_epoch: Mapping[int, _Orders], jobs: Iterable[JobHistory]
-) -> TakeOver:
+) -> Takeover:
     epoch = int(ready.fields['epoch'])
     waited = [job for job in jobs if _waited_for(job, ready, epoch)]
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
     urgent_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
     own = orders_by_epoch.get(epoch)
     before_s = max((orders.last_s for each, orders in orders_by_epoch.items() if each < epoch), default=0.0)
-    return TakeOver(
+    return Takeover(
         at_s,
         ready.instance,
         epoch,
