--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -41,7 +41,7 @@
     orders_of_two_s: float
 
 
-class _Orders(NamedTuple):
+class _StartTimes(NamedTuple):
     """When the starts of one owner went out."""
 
     first_s: float
@@ -56,16 +56,16 @@
     return [_takeover(line, line.at_s - ordered[0].at_s, orders_by_epoch, history_by_id.values()) for line in ready[1:]]
 
 
-def _orders_by_epoch(lines: Iterable[LogLine]) -> dict[int, _Orders]:
+def _orders_by_epoch(lines: Iterable[LogLine]) -> dict[int, _StartTimes]:
     times_by_epoch: dict[int, list[float]] = defaultdict(list)
     for line in lines:
         if line.event == 'run_ordered':
             times_by_epoch[_epoch(line.fields['run'])].append(line.at_s)
-    return {epoch: _Orders(min(times), max(times)) for epoch, times in times_by_epoch.items()}
+    return {epoch: _StartTimes(min(times), max(times)) for epoch, times in times_by_epoch.items()}
 
 
 def _takeover(
-    ready: LogLine, at_s: float, orders_by_epoch: Mapping[int, _Orders], jobs: Iterable[JobHistory]
+    ready: LogLine, at_s: float, orders_by_epoch: Mapping[int, _StartTimes], jobs: Iterable[JobHistory]
 ) -> Takeover:
     epoch = int(ready.fields['epoch'])
     waited = [job for job in jobs if _waited_for(job, ready, epoch)]
