--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -51,12 +51,12 @@
 def takeovers(lines: Iterable[LogLine], history_by_id: Mapping[str, JobHistory]) -> list[Takeover]:
     """Return the changes of the owner after the first one, in order of time."""
     ordered = sorted(lines, key=lambda line: line.at_s)
-    orders_by_epoch = _orders_by_epoch(ordered)
+    orders_by_epoch = _start_times_by_epoch(ordered)
     ready = [line for line in ordered if line.event == 'owner_ready']
     return [_takeover(line, line.at_s - ordered[0].at_s, orders_by_epoch, history_by_id.values()) for line in ready[1:]]
 
 
-def _orders_by_epoch(lines: Iterable[LogLine]) -> dict[int, _StartTimes]:
+def _start_times_by_epoch(lines: Iterable[LogLine]) -> dict[int, _StartTimes]:
     times_by_epoch: dict[int, list[float]] = defaultdict(list)
     for line in lines:
         if line.event == 'run_ordered':
