--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -51,9 +51,11 @@
 def takeovers(lines: Iterable[LogLine], history_by_id: Mapping[str, JobHistory]) -> list[Takeover]:
     """Return the changes of the owner after the first one, in order of time."""
     ordered = sorted(lines, key=lambda line: line.at_s)
-    orders_by_epoch = _start_times_by_epoch(ordered)
+    start_times_by_epoch = _start_times_by_epoch(ordered)
     ready = [line for line in ordered if line.event == 'owner_ready']
-    return [_takeover(line, line.at_s - ordered[0].at_s, orders_by_epoch, history_by_id.values()) for line in ready[1:]]
+    return [
+        _takeover(line, line.at_s - ordered[0].at_s, start_times_by_epoch, history_by_id.values()) for line in ready[1:]
+    ]
 
 
 def _start_times_by_epoch(lines: Iterable[LogLine]) -> dict[int, _StartTimes]:
@@ -65,14 +67,14 @@
 
 
 def _takeover(
-    ready: LogLine, at_s: float, orders_by_epoch: Mapping[int, _StartTimes], jobs: Iterable[JobHistory]
+    ready: LogLine, at_s: float, start_times_by_epoch: Mapping[int, _StartTimes], jobs: Iterable[JobHistory]
 ) -> Takeover:
     epoch = int(ready.fields['epoch'])
     waited = [job for job in jobs if _waited_for(job, ready, epoch)]
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
     urgent_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
-    own = orders_by_epoch.get(epoch)
-    before_s = max((orders.last_s for each, orders in orders_by_epoch.items() if each < epoch), default=0.0)
+    own = start_times_by_epoch.get(epoch)
+    before_s = max((orders.last_s for each, orders in start_times_by_epoch.items() if each < epoch), default=0.0)
     return Takeover(
         at_s,
         ready.instance,
