--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -70,7 +70,7 @@
     ready: LogLine, at_s: float, start_times_by_epoch: Mapping[int, _StartTimes], jobs: Iterable[JobHistory]
 ) -> Takeover:
     epoch = int(ready.fields['epoch'])
-    waited = [job for job in jobs if _waited_for(job, ready, epoch)]
+    waited = [job for job in jobs if _waited_for_takeover(job, ready, epoch)]
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
     urgent_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
     own = start_times_by_epoch.get(epoch)
@@ -87,7 +87,7 @@
     )
 
 
-def _waited_for(job: JobHistory, ready: LogLine, epoch: int) -> bool:
+def _waited_for_takeover(job: JobHistory, ready: LogLine, epoch: int) -> bool:
     """Tell whether a job could not begin before an owner was ready, and began under it."""
     if not job.runs or job.received_by != ready.instance or job.submitted_s >= ready.at_s:
         return False
