--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -62,7 +62,7 @@
     times_by_epoch: dict[int, list[float]] = defaultdict(list)
     for line in lines:
         if line.event == 'run_ordered':
-            times_by_epoch[_epoch(line.fields['run'])].append(line.at_s)
+            times_by_epoch[_epoch_of_run(line.fields['run'])].append(line.at_s)
     return {epoch: _StartTimes(min(times), max(times)) for epoch, times in times_by_epoch.items()}
 
 
@@ -91,8 +91,8 @@
     """Tell whether a job could not begin before an owner was ready, and began under it."""
     if not job.runs or job.received_by != ready.instance or job.submitted_s >= ready.at_s:
         return False
-    return _epoch(job.runs[0].number) == epoch
+    return _epoch_of_run(job.runs[0].number) == epoch
 
 
-def _epoch(run: int) -> int:
+def _epoch_of_run(run: int) -> int:
     return run // RUNS_PER_EPOCH
