--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -54,7 +54,8 @@
     start_times_by_epoch = _start_times_by_epoch(ordered)
     ready = [line for line in ordered if line.event == 'owner_ready']
     return [
-        _takeover(line, line.at_s - ordered[0].at_s, start_times_by_epoch, history_by_id.values()) for line in ready[1:]
+        _summarize_takeover(line, line.at_s - ordered[0].at_s, start_times_by_epoch, history_by_id.values())
+        for line in ready[1:]
     ]
 
 
@@ -66,7 +67,7 @@
     return {epoch: _StartTimes(min(times), max(times)) for epoch, times in times_by_epoch.items()}
 
 
-def _takeover(
+def _summarize_takeover(
     ready: LogLine, at_s: float, start_times_by_epoch: Mapping[int, _StartTimes], jobs: Iterable[JobHistory]
 ) -> Takeover:
     epoch = int(ready.fields['epoch'])
