--- a/tools/words.py
+++ b/tools/words.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-_PLACES = ('packages', 'platform')
+_SEARCHED_FOLDERS = ('packages', 'platform')
 _SUFFIXES = frozenset(('.py', '.feature', '.toml'))
 _EDGE_OF_PART = re.compile('(?<=[a-z0-9])(?=[A-Z])|(?<=[A-Z])(?=[A-Z][a-z])|_')
 
@@ -63,7 +63,7 @@
 
 
 def _files() -> list[Path]:
-    found = (path for place in _PLACES for path in sorted(Path(place).rglob('*')))
+    found = (path for place in _SEARCHED_FOLDERS for path in sorted(Path(place).rglob('*')))
     return [path for path in found if path.suffix in _SUFFIXES and 'build' not in path.parts]
 
 
