--- a/tools/words.py
+++ b/tools/words.py
@@ -13,7 +13,7 @@
 
 _SEARCHED_FOLDERS = ('packages', 'platform')
 _SUFFIXES = frozenset(('.py', '.feature', '.toml'))
-_EDGE_OF_PART = re.compile('(?<=[a-z0-9])(?=[A-Z])|(?<=[A-Z])(?=[A-Z][a-z])|_')
+_NAME_PART_BOUNDARY = re.compile('(?<=[a-z0-9])(?=[A-Z])|(?<=[A-Z])(?=[A-Z][a-z])|_')
 
 
 class Words(NamedTuple):
@@ -58,7 +58,7 @@
     """Return the words of a line, in lower case and with a space around each."""
     for text in kept:
         line = line.replace(text, '')
-    parts = re.findall('[A-Za-z]+', _EDGE_OF_PART.sub(' ', line))
+    parts = re.findall('[A-Za-z]+', _NAME_PART_BOUNDARY.sub(' ', line))
     return f' {" ".join(parts).lower()} '
 
 
