--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from ..words import find_words, Words
+from ..words import find_words, WordList
 
-WORDS = Words({'life': 'incarnation', 'stands still': 'is stalled'}, ["draw('life')"])
+WORDS = WordList({'life': 'incarnation', 'stands still': 'is stalled'}, ["draw('life')"])
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
     'line', ['lifetime = 1', 'The lifeline stands; still', "draw('life')", 'A worker stands. It is still.']
 )
 def test_other_words_and_kept_text_are_left_alone(line):
-    assert not list(find_words(line, Words({'life': 'incarnation'}, ["draw('life')"])))
+    assert not list(find_words(line, WordList({'life': 'incarnation'}, ["draw('life')"])))
 
 
 def test_a_finding_names_the_term_to_use():
--- a/tools/words.py
+++ b/tools/words.py
@@ -16,7 +16,7 @@
 _NAME_PART_BOUNDARY = re.compile('(?<=[a-z0-9])(?=[A-Z])|(?<=[A-Z])(?=[A-Z][a-z])|_')
 
 
-class Words(NamedTuple):
+class WordList(NamedTuple):
     """Words that are not used.
 
     Parameters
@@ -39,13 +39,13 @@
     term: str
 
 
-def read_words(path: Path) -> Words:
+def read_words(path: Path) -> WordList:
     """Return the words of a file."""
     table = tomllib.loads(path.read_text())
-    return Words(table['words'], table['kept'])
+    return WordList(table['words'], table['kept'])
 
 
-def find_words(text: str, words: Words) -> Iterator[Finding]:
+def find_words(text: str, words: WordList) -> Iterator[Finding]:
     """Yield the words in a text that are not used, by line."""
     for number, line in enumerate(text.splitlines(), 1):
         plain = _plain(line, words.kept)
