--- a/tools/words.py
+++ b/tools/words.py
@@ -28,7 +28,7 @@
     """
 
     term_by_word: dict[str, str]
-    kept: list[str]
+    exceptions: list[str]
 
 
 class Finding(NamedTuple):
@@ -48,15 +48,15 @@
 def find_words(text: str, words: WordList) -> Iterator[Finding]:
     """Yield the words in a text that are not used, by line."""
     for number, line in enumerate(text.splitlines(), 1):
-        plain = _plain(line, words.kept)
+        plain = _plain(line, words.exceptions)
         for word, term in words.term_by_word.items():
             if f' {word} ' in plain:
                 yield Finding(number, word, term)
 
 
-def _plain(line: str, kept: Iterable[str]) -> str:
+def _plain(line: str, exceptions: Iterable[str]) -> str:
     """Return the words of a line, in lower case and with a space around each."""
-    for text in kept:
+    for text in exceptions:
         line = line.replace(text, '')
     parts = re.findall('[A-Za-z]+', _NAME_PART_BOUNDARY.sub(' ', line))
     return f' {" ".join(parts).lower()} '
