--- a/tools/words.py
+++ b/tools/words.py
@@ -48,13 +48,13 @@
 def find_words(text: str, words: WordList) -> Iterator[Finding]:
     """Yield the words in a text that are not used, by line."""
     for number, line in enumerate(text.splitlines(), 1):
-        plain = _plain(line, words.exceptions)
+        plain = _normalize(line, words.exceptions)
         for word, term in words.term_by_word.items():
             if f' {word} ' in plain:
                 yield Finding(number, word, term)
 
 
-def _plain(line: str, exceptions: Iterable[str]) -> str:
+def _normalize(line: str, exceptions: Iterable[str]) -> str:
     """Return the words of a line, in lower case and with a space around each."""
     for text in exceptions:
         line = line.replace(text, '')
