--- a/tools/words.py
+++ b/tools/words.py
@@ -48,9 +48,9 @@
 def find_words(text: str, words: WordList) -> Iterator[Finding]:
     """Yield the words in a text that are not used, by line."""
     for number, line in enumerate(text.splitlines(), 1):
-        plain = _normalize(line, words.exceptions)
+        normalized = _normalize(line, words.exceptions)
         for word, term in words.term_by_word.items():
-            if f' {word} ' in plain:
+            if f' {word} ' in normalized:
                 yield Finding(number, word, term)
 
 
