--- a/tools/words.py
+++ b/tools/words.py
@@ -39,7 +39,7 @@
     term: str
 
 
-def read_words(path: Path) -> WordList:
+def read_word_list(path: Path) -> WordList:
     """Return the words of a file."""
     table = tomllib.loads(path.read_text())
     return WordList(table['words'], table['kept'])
@@ -69,7 +69,7 @@
 
 def main() -> int:
     """Print what is found below the working directory; return 1 if there is anything."""
-    words = read_words(Path(__file__).with_name('words.toml'))
+    words = read_word_list(Path(__file__).with_name('words.toml'))
     found = [(path, finding) for path in _files() for finding in find_words(path.read_text(), words)]
     sys.stdout.writelines(f'{path}:{each.line}: "{each.word}": use "{each.term}"\n' for path, each in found)
     return int(bool(found))
