--- a/tools/words.py
+++ b/tools/words.py
@@ -62,7 +62,7 @@
     return f' {" ".join(parts).lower()} '
 
 
-def _files() -> list[Path]:
+def _source_files() -> list[Path]:
     found = (path for place in _SEARCHED_FOLDERS for path in sorted(Path(place).rglob('*')))
     return [path for path in found if path.suffix in _SUFFIXES and 'build' not in path.parts]
 
@@ -70,7 +70,7 @@
 def main() -> int:
     """Print what is found below the working directory; return 1 if there is anything."""
     words = read_word_list(Path(__file__).with_name('words.toml'))
-    found = [(path, finding) for path in _files() for finding in find_words(path.read_text(), words)]
+    found = [(path, finding) for path in _source_files() for finding in find_words(path.read_text(), words)]
     sys.stdout.writelines(f'{path}:{each.line}: "{each.word}": use "{each.term}"\n' for path, each in found)
     return int(bool(found))
 
