--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -45,13 +45,13 @@
     return line(after_s, 'job_ended', job=job, phase='succeeded')
 
 
-def account_of(*lines):
+def build_report_from(*lines):
     return build_report(read_histories(lines))
 
 
 def preempted(*, checkpoints):
     """A batch job is stopped after 3 s for an urgent one, and runs again from 6 s on."""
-    return account_of(
+    return build_report_from(
         known(0.0, BATCH, 'batch', checkpoints=checkpoints),
         ordered(0.0, BATCH),
         known(3.0, URGENT, 'urgent'),
@@ -104,7 +104,7 @@
     ],
 )
 def test_room_that_served_nobody_in_time_is_told(began, use):
-    found = account_of(
+    found = build_report_from(
         known(0.0, BATCH, 'batch'),
         ordered(0.0, BATCH),
         known(3.0, URGENT, 'urgent'),
@@ -138,7 +138,7 @@
 
 def alone(began_s, ended_s, shown_s):
     run = ordered(began_s, URGENT), ended(ended_s, URGENT, 'done')
-    return account_of(known(0.0, URGENT, 'q'), *run, shown(shown_s, URGENT))
+    return build_report_from(known(0.0, URGENT, 'q'), *run, shown(shown_s, URGENT))
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
     [
         (alone(3.0, 4.0, 4.1), 'waited for room'),
         (alone(0.0, 1.0, 9.0), 'end kept late'),
-        (account_of(known(0.0, URGENT, 'q')), 'never started'),
+        (build_report_from(known(0.0, URGENT, 'q')), 'never started'),
     ],
 )
 def test_the_first_delay_on_the_way_is_named(found, cause):
@@ -155,13 +155,13 @@
 
 def test_a_refused_job_counts_in_the_window_in_which_it_was_asked_for():
     refused = line(5.0, 'request_answered', operation='submit', target=f'/q/{URGENT}', status=503, took_s=0.0)
-    found = account_of(known(0.0, BATCH, 'batch'), refused)
+    found = build_report_from(known(0.0, BATCH, 'batch'), refused)
     assert [(row.from_s, row.jobs, row.in_time) for row in found.windows] == [(0.0, 1, 0), (4.0, 1, 0)]
     assert [row.cause for row in found.late] == ['never started', 'refused']
 
 
 def test_without_any_line_there_is_nothing_to_tell():
-    found = account_of()
+    found = build_report_from()
     assert not any(found)
 
 
