--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -136,7 +136,7 @@
     assert (rows['batch'].in_time, rows['batch'].late) == (1, 0)
 
 
-def alone(began_s, ended_s, shown_s):
+def report_for_single_run(began_s, ended_s, shown_s):
     run = ordered(began_s, URGENT), ended(ended_s, URGENT, 'done')
     return build_report_from(known(0.0, URGENT, 'q'), *run, shown(shown_s, URGENT))
 
@@ -144,8 +144,8 @@
 @pytest.mark.parametrize(
     ('found', 'cause'),
     [
-        (alone(3.0, 4.0, 4.1), 'waited for room'),
-        (alone(0.0, 1.0, 9.0), 'end kept late'),
+        (report_for_single_run(3.0, 4.0, 4.1), 'waited for room'),
+        (report_for_single_run(0.0, 1.0, 9.0), 'end kept late'),
         (build_report_from(known(0.0, URGENT, 'q')), 'never started'),
     ],
 )
