--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -136,9 +136,9 @@
     assert (rows['batch'].in_time, rows['batch'].late) == (1, 0)
 
 
-def report_for_single_run(started_s, ended_s, shown_s):
+def report_for_single_run(started_s, ended_s, completed_s):
     run = ordered(started_s, URGENT), ended(ended_s, URGENT, 'done')
-    return build_report_from(known(0.0, URGENT, 'q'), *run, shown(shown_s, URGENT))
+    return build_report_from(known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
 
 
 @pytest.mark.parametrize(
