--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -169,7 +169,7 @@
     return (epoch << 20) + number
 
 
-def by(instance, each):
+def logged_by(instance, each):
     return each._replace(instance=instance)
 
 
@@ -178,9 +178,9 @@
         line(0.0, 'owner_ready', epoch=7),
         known(0.5, BATCH, 'batch'),
         ordered(0.6, BATCH, owner_run(7)),
-        by('i2', known(2.75, URGENT, 'urgent')._replace(fields=known(1.0, URGENT, 'urgent').fields)),
-        by('i2', line(3.0, 'owner_ready', epoch=9)),
-        by('i2', ordered(3.25, URGENT, owner_run(9))),
+        logged_by('i2', known(2.75, URGENT, 'urgent')._replace(fields=known(1.0, URGENT, 'urgent').fields)),
+        logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
+        logged_by('i2', ordered(3.25, URGENT, owner_run(9))),
         ordered(3.75, BATCH, owner_run(7, 2)),
     ]
     (found,) = takeovers(lines, read_histories(lines))
@@ -196,11 +196,13 @@
 
 
 def waiting(after_s, job, reason, *, has_takers_twice):
-    return by('i2', line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
+    return logged_by('i2', line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
 
 
 def inherited(after_s, job):
-    return by('i2', known(after_s, job, 'batch')._replace(fields={**known(0.5, job, 'batch').fields, 'owner_epoch': 7}))
+    return logged_by(
+        'i2', known(after_s, job, 'batch')._replace(fields={**known(0.5, job, 'batch').fields, 'owner_epoch': 7})
+    )
 
 
 def test_a_takeover_tells_what_jobs_of_previous_owners_waited_for():
@@ -209,14 +211,14 @@
         line(0.0, 'owner_ready', epoch=7),
         ordered(1.0, running, owner_run(7)),
         *(inherited(2.75, job) for job in (started, late, full, never, running)),
-        by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
-        by('i2', line(3.0, 'owner_ready', epoch=9)),
-        by('i2', ordered(3.25, started, owner_run(9))),
+        logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
+        logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
+        logged_by('i2', ordered(3.25, started, owner_run(9))),
         waiting(4.0, late, 'unknown start', has_takers_twice=True),
         waiting(4.0, full, 'no capacity', has_takers_twice=False),
         waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
-        by('i2', ordered(5.0, late, owner_run(9, 2))),
-        by('i2', ordered(6.0, full, owner_run(9, 3))),
+        logged_by('i2', ordered(5.0, late, owner_run(9, 2))),
+        logged_by('i2', ordered(6.0, full, owner_run(9, 3))),
         line(7.0, 'stopped'),
     ]
     (waits,) = inherited_waits(lines)
