--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -165,7 +165,7 @@
     assert not any(found)
 
 
-def owner_run(epoch, number=1):
+def run_number(epoch, number=1):
     return (epoch << 20) + number
 
 
@@ -177,11 +177,11 @@
     lines = [
         line(0.0, 'owner_ready', epoch=7),
         known(0.5, BATCH, 'batch'),
-        ordered(0.6, BATCH, owner_run(7)),
+        ordered(0.6, BATCH, run_number(7)),
         logged_by('i2', known(2.75, URGENT, 'urgent')._replace(fields=known(1.0, URGENT, 'urgent').fields)),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
-        logged_by('i2', ordered(3.25, URGENT, owner_run(9))),
-        ordered(3.75, BATCH, owner_run(7, 2)),
+        logged_by('i2', ordered(3.25, URGENT, run_number(9))),
+        ordered(3.75, BATCH, run_number(7, 2)),
     ]
     (found,) = takeovers(lines, read_histories(lines))
     assert (found.at_s, found.epoch, found.jobs, found.urgent) == (3.0, 9, 1, 1)
@@ -191,7 +191,7 @@
 
 
 def test_without_a_change_of_the_owner_there_is_no_takeover():
-    lines = [line(0.0, 'owner_ready', epoch=7), known(0.5, BATCH, 'batch'), ordered(0.6, BATCH, owner_run(7))]
+    lines = [line(0.0, 'owner_ready', epoch=7), known(0.5, BATCH, 'batch'), ordered(0.6, BATCH, run_number(7))]
     assert not takeovers(lines, read_histories(lines))
 
 
@@ -209,16 +209,16 @@
     started, late, full, never, running = (f'{number:016x}' for number in range(5))
     lines = [
         line(0.0, 'owner_ready', epoch=7),
-        ordered(1.0, running, owner_run(7)),
+        ordered(1.0, running, run_number(7)),
         *(inherited(2.75, job) for job in (started, late, full, never, running)),
         logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
-        logged_by('i2', ordered(3.25, started, owner_run(9))),
+        logged_by('i2', ordered(3.25, started, run_number(9))),
         waiting(4.0, late, 'unknown start', has_takers_twice=True),
         waiting(4.0, full, 'no capacity', has_takers_twice=False),
         waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
-        logged_by('i2', ordered(5.0, late, owner_run(9, 2))),
-        logged_by('i2', ordered(6.0, full, owner_run(9, 3))),
+        logged_by('i2', ordered(5.0, late, run_number(9, 2))),
+        logged_by('i2', ordered(6.0, full, run_number(9, 3))),
         line(7.0, 'stopped'),
     ]
     (waits,) = inherited_waits(lines)
