--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -199,7 +199,7 @@
     return logged_by('i2', line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
 
 
-def inherited(after_s, job):
+def inherited_job(after_s, job):
     return logged_by(
         'i2', known(after_s, job, 'batch')._replace(fields={**known(0.5, job, 'batch').fields, 'owner_epoch': 7})
     )
@@ -210,7 +210,7 @@
     lines = [
         line(0.0, 'owner_ready', epoch=7),
         ordered(1.0, running, run_number(7)),
-        *(inherited(2.75, job) for job in (started, late, full, never, running)),
+        *(inherited_job(2.75, job) for job in (started, late, full, never, running)),
         logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
         logged_by('i2', ordered(3.25, started, run_number(9))),
