--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -49,7 +49,7 @@
     return build_report(read_histories(lines))
 
 
-def preempted(*, checkpoints):
+def preemption_report(*, checkpoints):
     """A batch job is stopped after 3 s for an urgent one, and runs again from 6 s on."""
     return build_report_from(
         known(0.0, BATCH, 'batch', checkpoints=checkpoints),
@@ -67,31 +67,31 @@
 
 
 def test_what_was_stopped_is_thrown_away_unless_it_was_saved():
-    lost = {row.cause: row.core_s for row in preempted(checkpoints=False).work}
+    lost = {row.cause: row.core_s for row in preemption_report(checkpoints=False).work}
     assert lost == {'done': pytest.approx(80.0), 'makes room': pytest.approx(35.0)}
-    saved = {row.cause: row.core_s for row in preempted(checkpoints=True).work}
+    saved = {row.cause: row.core_s for row in preemption_report(checkpoints=True).work}
     assert saved == {'done': pytest.approx(80.0), 'makes room (work saved)': pytest.approx(35.0)}
 
 
 def test_the_costliest_decision_names_its_reason_and_the_jobs_that_lost():
-    found = preempted(checkpoints=False).decisions
+    found = preemption_report(checkpoints=False).decisions
     assert [(each.why, each.runs, each.jobs) for each in found] == [(f'makes room for {URGENT}', 1, (BATCH,))]
     assert found[0].core_s == pytest.approx(35.0)
-    assert not preempted(checkpoints=True).decisions
+    assert not preemption_report(checkpoints=True).decisions
 
 
 def test_decisions_are_timed_from_the_first_job_on():
-    assert preempted(checkpoints=False).decisions[0].at_s == pytest.approx(3.0)
+    assert preemption_report(checkpoints=False).decisions[0].at_s == pytest.approx(3.0)
 
 
 def test_stops_are_told_by_job_and_by_what_became_of_the_room():
-    found = preempted(checkpoints=False)
+    found = preemption_report(checkpoints=False)
     assert [(row.job, row.ended, row.stops, row.most_of_one_task) for row in found.stopped] == [
         (BATCH, 'succeeded', 1, 1)
     ]
     assert [(row.use, row.stops) for row in found.room] == [('it began there', 1)]
     assert found.room[0].core_s == pytest.approx(35.0)
-    assert not preempted(checkpoints=True).room[0].core_s
+    assert not preemption_report(checkpoints=True).room[0].core_s
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,7 @@
 
 
 def test_a_job_is_in_time_by_its_own_objective():
-    rows = {row.queue: row for row in preempted(checkpoints=False).queues}
+    rows = {row.queue: row for row in preemption_report(checkpoints=False).queues}
     assert (rows['urgent'].in_time, rows['urgent'].late) == (1, 0)
     assert rows['urgent'].worth_in_time == pytest.approx(1.0)
     # It took 12.1 s; twice its 6 s of work and half a second are allowed.
