--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -13,7 +13,7 @@
     return LogLine(START_S + after_s, 'i1', event, fields)
 
 
-def known(after_s, job, queue, *, cores=10.0, checkpoints=False, stretch=2.0):
+def job_known(after_s, job, queue, *, cores=10.0, checkpoints=False, stretch=2.0):
     summary = '1 x 1000m 10MB 1acc, 1s' + (', checkpoints' if checkpoints else '')
     return line(
         after_s,
@@ -52,9 +52,9 @@
 def preemption_report(*, checkpoints):
     """A batch job is stopped after 3 s for an urgent one, and runs again from 6 s on."""
     return build_report_from(
-        known(0.0, BATCH, 'batch', checkpoints=checkpoints),
+        job_known(0.0, BATCH, 'batch', checkpoints=checkpoints),
         ordered(0.0, BATCH),
-        known(3.0, URGENT, 'urgent'),
+        job_known(3.0, URGENT, 'urgent'),
         stopped(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
         ordered(3.5, URGENT),
@@ -105,9 +105,9 @@
 )
 def test_room_that_served_nobody_in_time_is_told(began, use):
     found = build_report_from(
-        known(0.0, BATCH, 'batch'),
+        job_known(0.0, BATCH, 'batch'),
         ordered(0.0, BATCH),
-        known(3.0, URGENT, 'urgent'),
+        job_known(3.0, URGENT, 'urgent'),
         stopped(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
         *began,
@@ -118,7 +118,7 @@
 def test_what_a_job_lost_by_stops_is_a_sentence():
     histories = read_histories(
         (
-            known(0.0, BATCH, 'batch'),
+            job_known(0.0, BATCH, 'batch'),
             ordered(0.0, BATCH),
             stopped(3.0, BATCH, f'makes room for {URGENT}'),
             ended(3.5, BATCH, 'stopped'),
@@ -138,7 +138,7 @@
 
 def report_for_single_run(started_s, ended_s, completed_s):
     run = ordered(started_s, URGENT), ended(ended_s, URGENT, 'done')
-    return build_report_from(known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
+    return build_report_from(job_known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
     [
         (report_for_single_run(3.0, 4.0, 4.1), 'waited for room'),
         (report_for_single_run(0.0, 1.0, 9.0), 'end kept late'),
-        (build_report_from(known(0.0, URGENT, 'q')), 'never started'),
+        (build_report_from(job_known(0.0, URGENT, 'q')), 'never started'),
     ],
 )
 def test_the_first_delay_on_the_way_is_named(found, cause):
@@ -155,7 +155,7 @@
 
 def test_a_refused_job_counts_in_the_window_in_which_it_was_asked_for():
     refused = line(5.0, 'request_answered', operation='submit', target=f'/q/{URGENT}', status=503, took_s=0.0)
-    found = build_report_from(known(0.0, BATCH, 'batch'), refused)
+    found = build_report_from(job_known(0.0, BATCH, 'batch'), refused)
     assert [(row.from_s, row.jobs, row.in_time) for row in found.windows] == [(0.0, 1, 0), (4.0, 1, 0)]
     assert [row.cause for row in found.late] == ['never started', 'refused']
 
@@ -176,9 +176,9 @@
 def test_a_takeover_tells_who_waited_and_whether_two_owners_gave_orders():
     lines = [
         line(0.0, 'owner_ready', epoch=7),
-        known(0.5, BATCH, 'batch'),
+        job_known(0.5, BATCH, 'batch'),
         ordered(0.6, BATCH, run_number(7)),
-        logged_by('i2', known(2.75, URGENT, 'urgent')._replace(fields=known(1.0, URGENT, 'urgent').fields)),
+        logged_by('i2', job_known(2.75, URGENT, 'urgent')._replace(fields=job_known(1.0, URGENT, 'urgent').fields)),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
         logged_by('i2', ordered(3.25, URGENT, run_number(9))),
         ordered(3.75, BATCH, run_number(7, 2)),
@@ -191,7 +191,7 @@
 
 
 def test_without_a_change_of_the_owner_there_is_no_takeover():
-    lines = [line(0.0, 'owner_ready', epoch=7), known(0.5, BATCH, 'batch'), ordered(0.6, BATCH, run_number(7))]
+    lines = [line(0.0, 'owner_ready', epoch=7), job_known(0.5, BATCH, 'batch'), ordered(0.6, BATCH, run_number(7))]
     assert not takeovers(lines, read_histories(lines))
 
 
@@ -201,7 +201,8 @@
 
 def inherited_job(after_s, job):
     return logged_by(
-        'i2', known(after_s, job, 'batch')._replace(fields={**known(0.5, job, 'batch').fields, 'owner_epoch': 7})
+        'i2',
+        job_known(after_s, job, 'batch')._replace(fields={**job_known(0.5, job, 'batch').fields, 'owner_epoch': 7}),
     )
 
 
