--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -29,7 +29,7 @@
     )
 
 
-def ordered(after_s, job, run=1, worker='w'):
+def run_ordered(after_s, job, run=1, worker='w'):
     return line(after_s, 'run_ordered', task=[job, 0, 0, 0], run=run, worker=worker)
 
 
@@ -53,14 +53,14 @@
     """A batch job is stopped after 3 s for an urgent one, and runs again from 6 s on."""
     return build_report_from(
         job_known(0.0, BATCH, 'batch', checkpoints=checkpoints),
-        ordered(0.0, BATCH),
+        run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
         stopped(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
-        ordered(3.5, URGENT),
+        run_ordered(3.5, URGENT),
         ended(5.5, URGENT, 'done'),
         shown(5.6, URGENT),
-        ordered(6.0, BATCH, 2),
+        run_ordered(6.0, BATCH, 2),
         ended(12.0, BATCH, 'done', 2),
         shown(12.1, BATCH),
     )
@@ -98,15 +98,15 @@
     ('began', 'use'),
     [
         ((), 'it never began'),
-        ((ordered(5.5, URGENT),), 'it began there late'),
-        ((ordered(4.0, URGENT, worker='v'),), 'it began elsewhere'),
-        ((ordered(9.0, URGENT),), 'it began much later'),
+        ((run_ordered(5.5, URGENT),), 'it began there late'),
+        ((run_ordered(4.0, URGENT, worker='v'),), 'it began elsewhere'),
+        ((run_ordered(9.0, URGENT),), 'it began much later'),
     ],
 )
 def test_room_that_served_nobody_in_time_is_told(began, use):
     found = build_report_from(
         job_known(0.0, BATCH, 'batch'),
-        ordered(0.0, BATCH),
+        run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
         stopped(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
@@ -119,7 +119,7 @@
     histories = read_histories(
         (
             job_known(0.0, BATCH, 'batch'),
-            ordered(0.0, BATCH),
+            run_ordered(0.0, BATCH),
             stopped(3.0, BATCH, f'makes room for {URGENT}'),
             ended(3.5, BATCH, 'stopped'),
         )
@@ -137,7 +137,7 @@
 
 
 def report_for_single_run(started_s, ended_s, completed_s):
-    run = ordered(started_s, URGENT), ended(ended_s, URGENT, 'done')
+    run = run_ordered(started_s, URGENT), ended(ended_s, URGENT, 'done')
     return build_report_from(job_known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
 
 
@@ -177,11 +177,11 @@
     lines = [
         line(0.0, 'owner_ready', epoch=7),
         job_known(0.5, BATCH, 'batch'),
-        ordered(0.6, BATCH, run_number(7)),
+        run_ordered(0.6, BATCH, run_number(7)),
         logged_by('i2', job_known(2.75, URGENT, 'urgent')._replace(fields=job_known(1.0, URGENT, 'urgent').fields)),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
-        logged_by('i2', ordered(3.25, URGENT, run_number(9))),
-        ordered(3.75, BATCH, run_number(7, 2)),
+        logged_by('i2', run_ordered(3.25, URGENT, run_number(9))),
+        run_ordered(3.75, BATCH, run_number(7, 2)),
     ]
     (found,) = takeovers(lines, read_histories(lines))
     assert (found.at_s, found.epoch, found.jobs, found.urgent) == (3.0, 9, 1, 1)
@@ -191,7 +191,7 @@
 
 
 def test_without_a_change_of_the_owner_there_is_no_takeover():
-    lines = [line(0.0, 'owner_ready', epoch=7), job_known(0.5, BATCH, 'batch'), ordered(0.6, BATCH, run_number(7))]
+    lines = [line(0.0, 'owner_ready', epoch=7), job_known(0.5, BATCH, 'batch'), run_ordered(0.6, BATCH, run_number(7))]
     assert not takeovers(lines, read_histories(lines))
 
 
@@ -210,16 +210,16 @@
     started, late, full, never, running = (f'{number:016x}' for number in range(5))
     lines = [
         line(0.0, 'owner_ready', epoch=7),
-        ordered(1.0, running, run_number(7)),
+        run_ordered(1.0, running, run_number(7)),
         *(inherited_job(2.75, job) for job in (started, late, full, never, running)),
         logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
-        logged_by('i2', ordered(3.25, started, run_number(9))),
+        logged_by('i2', run_ordered(3.25, started, run_number(9))),
         waiting(4.0, late, 'unknown start', has_takers_twice=True),
         waiting(4.0, full, 'no capacity', has_takers_twice=False),
         waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
-        logged_by('i2', ordered(5.0, late, run_number(9, 2))),
-        logged_by('i2', ordered(6.0, full, run_number(9, 3))),
+        logged_by('i2', run_ordered(5.0, late, run_number(9, 2))),
+        logged_by('i2', run_ordered(6.0, full, run_number(9, 3))),
         line(7.0, 'stopped'),
     ]
     (waits,) = inherited_waits(lines)
