--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -33,7 +33,7 @@
     return line(after_s, 'run_ordered', task=[job, 0, 0, 0], run=run, worker=worker)
 
 
-def stopped(after_s, job, why, run=1):
+def stop_ordered(after_s, job, why, run=1):
     return line(after_s, 'stop_ordered', task=[job, 0, 0, 0], run=run, worker='w', why=why)
 
 
@@ -55,7 +55,7 @@
         job_known(0.0, BATCH, 'batch', checkpoints=checkpoints),
         run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
-        stopped(3.0, BATCH, f'makes room for {URGENT}'),
+        stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
         run_ordered(3.5, URGENT),
         ended(5.5, URGENT, 'done'),
@@ -108,7 +108,7 @@
         job_known(0.0, BATCH, 'batch'),
         run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
-        stopped(3.0, BATCH, f'makes room for {URGENT}'),
+        stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
         ended(3.5, BATCH, 'stopped'),
         *began,
     )
@@ -120,7 +120,7 @@
         (
             job_known(0.0, BATCH, 'batch'),
             run_ordered(0.0, BATCH),
-            stopped(3.0, BATCH, f'makes room for {URGENT}'),
+            stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
             ended(3.5, BATCH, 'stopped'),
         )
     )
