--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -37,7 +37,7 @@
     return line(after_s, 'stop_ordered', task=[job, 0, 0, 0], run=run, worker='w', why=why)
 
 
-def ended(after_s, job, how, run=1):
+def run_ended(after_s, job, how, run=1):
     return line(after_s, 'run_ended', task=[job, 0, 0, 0], run=run, worker='w', how=how)
 
 
@@ -56,12 +56,12 @@
         run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
         stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
-        ended(3.5, BATCH, 'stopped'),
+        run_ended(3.5, BATCH, 'stopped'),
         run_ordered(3.5, URGENT),
-        ended(5.5, URGENT, 'done'),
+        run_ended(5.5, URGENT, 'done'),
         shown(5.6, URGENT),
         run_ordered(6.0, BATCH, 2),
-        ended(12.0, BATCH, 'done', 2),
+        run_ended(12.0, BATCH, 'done', 2),
         shown(12.1, BATCH),
     )
 
@@ -109,7 +109,7 @@
         run_ordered(0.0, BATCH),
         job_known(3.0, URGENT, 'urgent'),
         stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
-        ended(3.5, BATCH, 'stopped'),
+        run_ended(3.5, BATCH, 'stopped'),
         *began,
     )
     assert [row.use for row in found.room] == [use]
@@ -121,7 +121,7 @@
             job_known(0.0, BATCH, 'batch'),
             run_ordered(0.0, BATCH),
             stop_ordered(3.0, BATCH, f'makes room for {URGENT}'),
-            ended(3.5, BATCH, 'stopped'),
+            run_ended(3.5, BATCH, 'stopped'),
         )
     )
     assert describe_preemptions(histories[BATCH]).startswith('stopped 1 times to make room for 1 jobs')
@@ -137,7 +137,7 @@
 
 
 def report_for_single_run(started_s, ended_s, completed_s):
-    run = run_ordered(started_s, URGENT), ended(ended_s, URGENT, 'done')
+    run = run_ordered(started_s, URGENT), run_ended(ended_s, URGENT, 'done')
     return build_report_from(job_known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
 
 
