--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -41,7 +41,7 @@
     return line(after_s, 'run_ended', task=[job, 0, 0, 0], run=run, worker='w', how=how)
 
 
-def shown(after_s, job):
+def job_ended(after_s, job):
     return line(after_s, 'job_ended', job=job, phase='succeeded')
 
 
@@ -59,10 +59,10 @@
         run_ended(3.5, BATCH, 'stopped'),
         run_ordered(3.5, URGENT),
         run_ended(5.5, URGENT, 'done'),
-        shown(5.6, URGENT),
+        job_ended(5.6, URGENT),
         run_ordered(6.0, BATCH, 2),
         run_ended(12.0, BATCH, 'done', 2),
-        shown(12.1, BATCH),
+        job_ended(12.1, BATCH),
     )
 
 
@@ -138,7 +138,7 @@
 
 def report_for_single_run(started_s, ended_s, completed_s):
     run = run_ordered(started_s, URGENT), run_ended(ended_s, URGENT, 'done')
-    return build_report_from(job_known(0.0, URGENT, 'q'), *run, shown(completed_s, URGENT))
+    return build_report_from(job_known(0.0, URGENT, 'q'), *run, job_ended(completed_s, URGENT))
 
 
 @pytest.mark.parametrize(
