--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -195,7 +195,7 @@
     assert not takeovers(lines, read_histories(lines))
 
 
-def waiting(after_s, job, reason, *, has_takers_twice):
+def step_waiting(after_s, job, reason, *, has_takers_twice):
     return logged_by('i2', line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
 
 
@@ -215,9 +215,9 @@
         logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
         logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
         logged_by('i2', run_ordered(3.25, started, run_number(9))),
-        waiting(4.0, late, 'unknown start', has_takers_twice=True),
-        waiting(4.0, full, 'no capacity', has_takers_twice=False),
-        waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
+        step_waiting(4.0, late, 'unknown start', has_takers_twice=True),
+        step_waiting(4.0, full, 'no capacity', has_takers_twice=False),
+        step_waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
         logged_by('i2', run_ordered(5.0, late, run_number(9, 2))),
         logged_by('i2', run_ordered(6.0, full, run_number(9, 3))),
         line(7.0, 'stopped'),
