--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -9,13 +9,13 @@
 START_S = 1000.0
 
 
-def line(after_s, event, **fields):
+def log_line(after_s, event, **fields):
     return LogLine(START_S + after_s, 'i1', event, fields)
 
 
 def job_known(after_s, job, queue, *, cores=10.0, checkpoints=False, stretch=2.0):
     summary = '1 x 1000m 10MB 1acc, 1s' + (', checkpoints' if checkpoints else '')
-    return line(
+    return log_line(
         after_s,
         'job_known',
         job=job,
@@ -30,19 +30,19 @@
 
 
 def run_ordered(after_s, job, run=1, worker='w'):
-    return line(after_s, 'run_ordered', task=[job, 0, 0, 0], run=run, worker=worker)
+    return log_line(after_s, 'run_ordered', task=[job, 0, 0, 0], run=run, worker=worker)
 
 
 def stop_ordered(after_s, job, why, run=1):
-    return line(after_s, 'stop_ordered', task=[job, 0, 0, 0], run=run, worker='w', why=why)
+    return log_line(after_s, 'stop_ordered', task=[job, 0, 0, 0], run=run, worker='w', why=why)
 
 
 def run_ended(after_s, job, how, run=1):
-    return line(after_s, 'run_ended', task=[job, 0, 0, 0], run=run, worker='w', how=how)
+    return log_line(after_s, 'run_ended', task=[job, 0, 0, 0], run=run, worker='w', how=how)
 
 
 def job_ended(after_s, job):
-    return line(after_s, 'job_ended', job=job, phase='succeeded')
+    return log_line(after_s, 'job_ended', job=job, phase='succeeded')
 
 
 def build_report_from(*lines):
@@ -154,7 +154,7 @@
 
 
 def test_a_refused_job_counts_in_the_window_in_which_it_was_asked_for():
-    refused = line(5.0, 'request_answered', operation='submit', target=f'/q/{URGENT}', status=503, took_s=0.0)
+    refused = log_line(5.0, 'request_answered', operation='submit', target=f'/q/{URGENT}', status=503, took_s=0.0)
     found = build_report_from(job_known(0.0, BATCH, 'batch'), refused)
     assert [(row.from_s, row.jobs, row.in_time) for row in found.windows] == [(0.0, 1, 0), (4.0, 1, 0)]
     assert [row.cause for row in found.late] == ['never started', 'refused']
@@ -175,11 +175,11 @@
 
 def test_a_takeover_tells_who_waited_and_whether_two_owners_gave_orders():
     lines = [
-        line(0.0, 'owner_ready', epoch=7),
+        log_line(0.0, 'owner_ready', epoch=7),
         job_known(0.5, BATCH, 'batch'),
         run_ordered(0.6, BATCH, run_number(7)),
         logged_by('i2', job_known(2.75, URGENT, 'urgent')._replace(fields=job_known(1.0, URGENT, 'urgent').fields)),
-        logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
+        logged_by('i2', log_line(3.0, 'owner_ready', epoch=9)),
         logged_by('i2', run_ordered(3.25, URGENT, run_number(9))),
         run_ordered(3.75, BATCH, run_number(7, 2)),
     ]
@@ -191,12 +191,16 @@
 
 
 def test_without_a_change_of_the_owner_there_is_no_takeover():
-    lines = [line(0.0, 'owner_ready', epoch=7), job_known(0.5, BATCH, 'batch'), run_ordered(0.6, BATCH, run_number(7))]
+    lines = [
+        log_line(0.0, 'owner_ready', epoch=7),
+        job_known(0.5, BATCH, 'batch'),
+        run_ordered(0.6, BATCH, run_number(7)),
+    ]
     assert not takeovers(lines, read_histories(lines))
 
 
 def step_waiting(after_s, job, reason, *, has_takers_twice):
-    return logged_by('i2', line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
+    return logged_by('i2', log_line(after_s, 'step_waiting', job=job, reason=reason, has_takers_twice=has_takers_twice))
 
 
 def inherited_job(after_s, job):
@@ -209,18 +213,18 @@
 def test_a_takeover_tells_what_jobs_of_previous_owners_waited_for():
     started, late, full, never, running = (f'{number:016x}' for number in range(5))
     lines = [
-        line(0.0, 'owner_ready', epoch=7),
+        log_line(0.0, 'owner_ready', epoch=7),
         run_ordered(1.0, running, run_number(7)),
         *(inherited_job(2.75, job) for job in (started, late, full, never, running)),
-        logged_by('i2', line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
-        logged_by('i2', line(3.0, 'owner_ready', epoch=9)),
+        logged_by('i2', log_line(2.8, 'job_inherited', job=running, runs=1, workers=['w'])),
+        logged_by('i2', log_line(3.0, 'owner_ready', epoch=9)),
         logged_by('i2', run_ordered(3.25, started, run_number(9))),
         step_waiting(4.0, late, 'unknown start', has_takers_twice=True),
         step_waiting(4.0, full, 'no capacity', has_takers_twice=False),
         step_waiting(4.0, never, 'workers unavailable', has_takers_twice=True),
         logged_by('i2', run_ordered(5.0, late, run_number(9, 2))),
         logged_by('i2', run_ordered(6.0, full, run_number(9, 3))),
-        line(7.0, 'stopped'),
+        log_line(7.0, 'stopped'),
     ]
     (waits,) = inherited_waits(lines)
     assert (waits.at_s, waits.owner, waits.epoch) == (3.0, 'i2', 9)
