--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -66,7 +66,7 @@
     )
 
 
-def test_what_was_stopped_is_thrown_away_unless_it_was_saved():
+def test_work_of_a_preempted_run_is_wasted_unless_checkpointed():
     lost = {row.cause: row.core_s for row in preemption_report(checkpoints=False).work}
     assert lost == {'done': pytest.approx(80.0), 'makes room': pytest.approx(35.0)}
     saved = {row.cause: row.core_s for row in preemption_report(checkpoints=True).work}
