--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -73,7 +73,7 @@
     assert saved == {'done': pytest.approx(80.0), 'makes room (work saved)': pytest.approx(35.0)}
 
 
-def test_the_costliest_decision_names_its_reason_and_the_jobs_that_lost():
+def test_costliest_decision_reports_its_reason_and_the_affected_jobs():
     found = preemption_report(checkpoints=False).decisions
     assert [(each.why, each.runs, each.jobs) for each in found] == [(f'makes room for {URGENT}', 1, (BATCH,))]
     assert found[0].core_s == pytest.approx(35.0)
