--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -80,7 +80,7 @@
     assert not preemption_report(checkpoints=True).decisions
 
 
-def test_decisions_are_timed_from_the_first_job_on():
+def test_decision_times_are_relative_to_the_first_submission():
     assert preemption_report(checkpoints=False).decisions[0].at_s == pytest.approx(3.0)
 
 
