--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -84,7 +84,7 @@
     assert preemption_report(checkpoints=False).decisions[0].at_s == pytest.approx(3.0)
 
 
-def test_stops_are_told_by_job_and_by_what_became_of_the_room():
+def test_preemptions_are_reported_by_job_and_by_use_of_the_freed_capacity():
     found = preemption_report(checkpoints=False)
     assert [(row.job, row.ended, row.stops, row.most_of_one_task) for row in found.stopped] == [
         (BATCH, 'succeeded', 1, 1)
