--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -103,7 +103,7 @@
         ((run_ordered(9.0, URGENT),), 'it began much later'),
     ],
 )
-def test_room_that_served_nobody_in_time_is_told(began, use):
+def test_freed_capacity_that_was_not_used_promptly_is_reported(began, use):
     found = build_report_from(
         job_known(0.0, BATCH, 'batch'),
         run_ordered(0.0, BATCH),
