--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -115,7 +115,7 @@
     assert [row.use for row in found.room] == [use]
 
 
-def test_what_a_job_lost_by_stops_is_a_sentence():
+def test_describe_preemptions_returns_a_sentence():
     histories = read_histories(
         (
             job_known(0.0, BATCH, 'batch'),
