--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -128,7 +128,7 @@
     assert not describe_preemptions(None)
 
 
-def test_a_job_is_in_time_by_its_own_objective():
+def test_timeliness_is_measured_against_the_latency_objective_of_the_job():
     rows = {row.queue: row for row in preemption_report(checkpoints=False).queues}
     assert (rows['urgent'].in_time, rows['urgent'].late) == (1, 0)
     assert rows['urgent'].worth_in_time == pytest.approx(1.0)
