--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -149,7 +149,7 @@
         (build_report_from(job_known(0.0, URGENT, 'q')), 'never started'),
     ],
 )
-def test_the_first_delay_on_the_way_is_named(found, cause):
+def test_first_delay_is_reported_as_the_cause(found, cause):
     assert [(row.cause, row.cases) for row in found.late] == [(cause, 1)]
 
 
