--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -153,7 +153,7 @@
     assert [(row.cause, row.cases) for row in found.late] == [(cause, 1)]
 
 
-def test_a_refused_job_counts_in_the_window_in_which_it_was_asked_for():
+def test_refused_job_is_counted_in_the_window_of_its_submission():
     refused = log_line(5.0, 'request_answered', operation='submit', target=f'/q/{URGENT}', status=503, took_s=0.0)
     found = build_report_from(job_known(0.0, BATCH, 'batch'), refused)
     assert [(row.from_s, row.jobs, row.in_time) for row in found.windows] == [(0.0, 1, 0), (4.0, 1, 0)]
