--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -160,7 +160,7 @@
     assert [row.cause for row in found.late] == ['never started', 'refused']
 
 
-def test_without_any_line_there_is_nothing_to_tell():
+def test_report_without_log_lines_is_empty():
     found = build_report_from()
     assert not any(found)
 
