--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -173,7 +173,7 @@
     return each._replace(instance=instance)
 
 
-def test_a_takeover_tells_who_waited_and_whether_two_owners_gave_orders():
+def test_takeover_reports_waits_and_overlapping_starts_of_two_owners():
     lines = [
         log_line(0.0, 'owner_ready', epoch=7),
         job_known(0.5, BATCH, 'batch'),
