--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -190,7 +190,7 @@
     assert found.orders_of_two_s == pytest.approx(0.5)
 
 
-def test_without_a_change_of_the_owner_there_is_no_takeover():
+def test_no_takeover_is_reported_without_an_owner_change():
     lines = [
         log_line(0.0, 'owner_ready', epoch=7),
         job_known(0.5, BATCH, 'batch'),
