--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -210,7 +210,7 @@
     )
 
 
-def test_a_takeover_tells_what_jobs_of_previous_owners_waited_for():
+def test_inherited_waits_are_reported_by_reason():
     started, late, full, never, running = (f'{number:016x}' for number in range(5))
     lines = [
         log_line(0.0, 'owner_ready', epoch=7),
