--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -2,7 +2,7 @@
 
 from ..explaining import explain_job, read_log_lines
 
-A = 'a' * 16
+JOB_ID = 'a' * 16
 
 
 def lines(tmp_path, *rows):
@@ -12,33 +12,33 @@
 
 
 def test_a_job_is_told_in_order_of_time(tmp_path):
-    known = {'at': 2.0, 'instance': 'i1', 'event': 'job_known', 'job': A, 'queue': 'q', 'revision': 5}
+    known = {'at': 2.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
     answered = {
         'at': 1.0,
         'instance': 'i0',
         'event': 'request_answered',
         'operation': 'submit',
-        'target': f'/q/{A}',
+        'target': f'/q/{JOB_ID}',
         'status': 200,
         'took_s': 0.01,
         'configuration': 3,
     }
-    ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': [A, 0, 0, 0], 'worker': 'w', 'run': 9}
-    found = list(explain_job(A, lines(tmp_path, known, answered, ordered)))
+    ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': [JOB_ID, 0, 0, 0], 'worker': 'w', 'run': 9}
+    found = list(explain_job(JOB_ID, lines(tmp_path, known, answered, ordered)))
     assert [line.split()[0] for line in found[:3]] == ['1.000', '2.000', '3.000']
-    assert found[3:] == [f"not known: how run 9 of task ['{A}', 0, 0, 0] ended"]
+    assert found[3:] == [f"not known: how run 9 of task ['{JOB_ID}', 0, 0, 0] ended"]
 
 
 def test_what_the_logs_do_not_tell_is_said(tmp_path):
-    assert 'no line names this job' in next(explain_job(A, lines(tmp_path)))
+    assert 'no line names this job' in next(explain_job(JOB_ID, lines(tmp_path)))
 
 
 def test_a_run_that_was_lost_with_its_worker_is_told_with_what_went_beside_it(tmp_path):
-    task = [A, 0, 0, 0]
+    task = [JOB_ID, 0, 0, 0]
     ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': task, 'worker': 'w', 'run': 9}
     lost = {'at': 4.0, 'instance': 'i1', 'event': 'run_lost', 'task': task, 'worker': 'w', 'run': 9}
     lost |= {'why': 'worker over', 'ran_s': 0.02, 'beside': 3}
-    found = list(explain_job(A, lines(tmp_path, ordered, lost)))
+    found = list(explain_job(JOB_ID, lines(tmp_path, ordered, lost)))
     assert 'was lost with w (worker over) after 0.02 s beside 3 others' in found[1]
     assert not any('not known: how run' in line for line in found)
 
@@ -49,32 +49,32 @@
         'at': at_s,
         'instance': 'i1',
         'event': 'step_waiting',
-        'job': A,
-        'step': [A, 0, 1],
+        'job': JOB_ID,
+        'step': [JOB_ID, 0, 1],
         'reason': reason,
         **counts,
     }
 
 
 def test_what_a_step_waits_for_is_told_with_the_room_that_there_was(tmp_path):
-    found = list(explain_job(A, lines(tmp_path, waiting(1.2, 'reserved'))))
-    assert f"step ['{A}', 0, 1] of 4 tasks waits, nothing of its job has run for 1.2 s: reserved" in found[0]
+    found = list(explain_job(JOB_ID, lines(tmp_path, waiting(1.2, 'reserved'))))
+    assert f"step ['{JOB_ID}', 0, 1] of 4 tasks waits, nothing of its job has run for 1.2 s: reserved" in found[0]
     assert '(room for it twice: True, on workers that take starts: True, share of the pool in use: 0.31)' in found[0]
 
 
 def test_the_last_reason_is_named_of_a_job_of_which_nothing_was_started(tmp_path):
-    known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': A, 'queue': 'q', 'revision': 5}
-    found = list(explain_job(A, lines(tmp_path, waiting(3.4, 'locality'), waiting(1.2, 'reserved'), known)))
-    assert found[-1].endswith(f"""the last reason known is "locality" (step ['{A}', 0, 1], 3.400)""")
+    known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
+    found = list(explain_job(JOB_ID, lines(tmp_path, waiting(3.4, 'locality'), waiting(1.2, 'reserved'), known)))
+    assert found[-1].endswith(f"""the last reason known is "locality" (step ['{JOB_ID}', 0, 1], 3.400)""")
 
 
 def test_a_job_of_which_nothing_was_started_for_no_known_reason_is_told_as_such(tmp_path):
-    known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': A, 'queue': 'q', 'revision': 5}
-    assert 'see its queue in the status' in list(explain_job(A, lines(tmp_path, known)))[-1]
+    known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
+    assert 'see its queue in the status' in list(explain_job(JOB_ID, lines(tmp_path, known)))[-1]
 
 
 def test_a_start_that_waited_behind_others_is_told(tmp_path):
-    late = {'at': 3.0, 'instance': 'i1', 'event': 'start_turn_late', 'task': [A, 0, 0, 0], 'worker': 'w', 'run': 9}
-    found = list(explain_job(A, lines(tmp_path, late | {'waited_s': 1.7, 'late_starts': 4})))
+    late = {'at': 3.0, 'instance': 'i1', 'event': 'start_turn_late', 'task': [JOB_ID, 0, 0, 0], 'worker': 'w', 'run': 9}
+    found = list(explain_job(JOB_ID, lines(tmp_path, late | {'waited_s': 1.7, 'late_starts': 4})))
     assert 'run 9' in found[0]
     assert 'waited 1.7 s behind other starts' in found[0]
