--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -5,7 +5,7 @@
 JOB_ID = 'a' * 16
 
 
-def lines(tmp_path, *rows):
+def write_and_read_log(tmp_path, *rows):
     path = tmp_path / 'log'
     path.write_text('not a line\n' + ''.join(f'12.3 i0 {json.dumps(row)}\n' for row in rows))
     return list(read_log_lines(path))
@@ -24,13 +24,13 @@
         'configuration': 3,
     }
     ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': [JOB_ID, 0, 0, 0], 'worker': 'w', 'run': 9}
-    found = list(explain_job(JOB_ID, lines(tmp_path, known, answered, ordered)))
+    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, known, answered, ordered)))
     assert [line.split()[0] for line in found[:3]] == ['1.000', '2.000', '3.000']
     assert found[3:] == [f"not known: how run 9 of task ['{JOB_ID}', 0, 0, 0] ended"]
 
 
 def test_what_the_logs_do_not_tell_is_said(tmp_path):
-    assert 'no line names this job' in next(explain_job(JOB_ID, lines(tmp_path)))
+    assert 'no line names this job' in next(explain_job(JOB_ID, write_and_read_log(tmp_path)))
 
 
 def test_a_run_that_was_lost_with_its_worker_is_told_with_what_went_beside_it(tmp_path):
@@ -38,7 +38,7 @@
     ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': task, 'worker': 'w', 'run': 9}
     lost = {'at': 4.0, 'instance': 'i1', 'event': 'run_lost', 'task': task, 'worker': 'w', 'run': 9}
     lost |= {'why': 'worker over', 'ran_s': 0.02, 'beside': 3}
-    found = list(explain_job(JOB_ID, lines(tmp_path, ordered, lost)))
+    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, ordered, lost)))
     assert 'was lost with w (worker over) after 0.02 s beside 3 others' in found[1]
     assert not any('not known: how run' in line for line in found)
 
@@ -57,24 +57,26 @@
 
 
 def test_what_a_step_waits_for_is_told_with_the_room_that_there_was(tmp_path):
-    found = list(explain_job(JOB_ID, lines(tmp_path, waiting(1.2, 'reserved'))))
+    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, waiting(1.2, 'reserved'))))
     assert f"step ['{JOB_ID}', 0, 1] of 4 tasks waits, nothing of its job has run for 1.2 s: reserved" in found[0]
     assert '(room for it twice: True, on workers that take starts: True, share of the pool in use: 0.31)' in found[0]
 
 
 def test_the_last_reason_is_named_of_a_job_of_which_nothing_was_started(tmp_path):
     known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
-    found = list(explain_job(JOB_ID, lines(tmp_path, waiting(3.4, 'locality'), waiting(1.2, 'reserved'), known)))
+    found = list(
+        explain_job(JOB_ID, write_and_read_log(tmp_path, waiting(3.4, 'locality'), waiting(1.2, 'reserved'), known))
+    )
     assert found[-1].endswith(f"""the last reason known is "locality" (step ['{JOB_ID}', 0, 1], 3.400)""")
 
 
 def test_a_job_of_which_nothing_was_started_for_no_known_reason_is_told_as_such(tmp_path):
     known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
-    assert 'see its queue in the status' in list(explain_job(JOB_ID, lines(tmp_path, known)))[-1]
+    assert 'see its queue in the status' in list(explain_job(JOB_ID, write_and_read_log(tmp_path, known)))[-1]
 
 
 def test_a_start_that_waited_behind_others_is_told(tmp_path):
     late = {'at': 3.0, 'instance': 'i1', 'event': 'start_turn_late', 'task': [JOB_ID, 0, 0, 0], 'worker': 'w', 'run': 9}
-    found = list(explain_job(JOB_ID, lines(tmp_path, late | {'waited_s': 1.7, 'late_starts': 4})))
+    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, late | {'waited_s': 1.7, 'late_starts': 4})))
     assert 'run 9' in found[0]
     assert 'waited 1.7 s behind other starts' in found[0]
