--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -43,7 +43,7 @@
     assert not any('not known: how run' in line for line in found)
 
 
-def waiting(at_s, reason):
+def step_waiting(at_s, reason):
     counts = {'waited_s': at_s, 'tasks': 4, 'has_room_twice': True, 'has_takers_twice': True, 'used_share': 0.31}
     return {
         'at': at_s,
@@ -57,7 +57,7 @@
 
 
 def test_what_a_step_waits_for_is_told_with_the_room_that_there_was(tmp_path):
-    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, waiting(1.2, 'reserved'))))
+    found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, step_waiting(1.2, 'reserved'))))
     assert f"step ['{JOB_ID}', 0, 1] of 4 tasks waits, nothing of its job has run for 1.2 s: reserved" in found[0]
     assert '(room for it twice: True, on workers that take starts: True, share of the pool in use: 0.31)' in found[0]
 
@@ -65,7 +65,9 @@
 def test_the_last_reason_is_named_of_a_job_of_which_nothing_was_started(tmp_path):
     known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
     found = list(
-        explain_job(JOB_ID, write_and_read_log(tmp_path, waiting(3.4, 'locality'), waiting(1.2, 'reserved'), known))
+        explain_job(
+            JOB_ID, write_and_read_log(tmp_path, step_waiting(3.4, 'locality'), step_waiting(1.2, 'reserved'), known)
+        )
     )
     assert found[-1].endswith(f"""the last reason known is "locality" (step ['{JOB_ID}', 0, 1], 3.400)""")
 
