--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -11,7 +11,7 @@
     return list(read_log_lines(path))
 
 
-def test_a_job_is_told_in_order_of_time(tmp_path):
+def test_explanation_is_in_chronological_order(tmp_path):
     known = {'at': 2.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
     answered = {
         'at': 1.0,
