--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -29,7 +29,7 @@
     assert found[3:] == [f"not known: how run 9 of task ['{JOB_ID}', 0, 0, 0] ended"]
 
 
-def test_what_the_logs_do_not_tell_is_said(tmp_path):
+def test_missing_log_lines_are_reported(tmp_path):
     assert 'no line names this job' in next(explain_job(JOB_ID, write_and_read_log(tmp_path)))
 
 
