--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -33,7 +33,7 @@
     assert 'no line names this job' in next(explain_job(JOB_ID, write_and_read_log(tmp_path)))
 
 
-def test_a_run_that_was_lost_with_its_worker_is_told_with_what_went_beside_it(tmp_path):
+def test_lost_run_is_explained_with_the_number_of_concurrent_runs(tmp_path):
     task = [JOB_ID, 0, 0, 0]
     ordered = {'at': 3.0, 'instance': 'i1', 'event': 'run_ordered', 'task': task, 'worker': 'w', 'run': 9}
     lost = {'at': 4.0, 'instance': 'i1', 'event': 'run_lost', 'task': task, 'worker': 'w', 'run': 9}
