--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -56,7 +56,7 @@
     }
 
 
-def test_what_a_step_waits_for_is_told_with_the_room_that_there_was(tmp_path):
+def test_waiting_step_is_explained_with_the_available_capacity(tmp_path):
     found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, step_waiting(1.2, 'reserved'))))
     assert f"step ['{JOB_ID}', 0, 1] of 4 tasks waits, nothing of its job has run for 1.2 s: reserved" in found[0]
     assert '(room for it twice: True, on workers that take starts: True, share of the pool in use: 0.31)' in found[0]
