--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -62,7 +62,7 @@
     assert '(room for it twice: True, on workers that take starts: True, share of the pool in use: 0.31)' in found[0]
 
 
-def test_the_last_reason_is_named_of_a_job_of_which_nothing_was_started(tmp_path):
+def test_last_wait_reason_of_a_job_without_starts_is_reported(tmp_path):
     known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
     found = list(
         explain_job(
