--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -72,7 +72,7 @@
     assert found[-1].endswith(f"""the last reason known is "locality" (step ['{JOB_ID}', 0, 1], 3.400)""")
 
 
-def test_a_job_of_which_nothing_was_started_for_no_known_reason_is_told_as_such(tmp_path):
+def test_job_without_starts_or_wait_reason_refers_to_the_queue_status(tmp_path):
     known = {'at': 0.0, 'instance': 'i1', 'event': 'job_known', 'job': JOB_ID, 'queue': 'q', 'revision': 5}
     assert 'see its queue in the status' in list(explain_job(JOB_ID, write_and_read_log(tmp_path, known)))[-1]
 
