--- a/packages/cli/dahliaarch_cli/tests/test_explaining.py
+++ b/packages/cli/dahliaarch_cli/tests/test_explaining.py
@@ -77,7 +77,7 @@
     assert 'see its queue in the status' in list(explain_job(JOB_ID, write_and_read_log(tmp_path, known)))[-1]
 
 
-def test_a_start_that_waited_behind_others_is_told(tmp_path):
+def test_start_delayed_by_other_starts_is_explained(tmp_path):
     late = {'at': 3.0, 'instance': 'i1', 'event': 'start_turn_late', 'task': [JOB_ID, 0, 0, 0], 'worker': 'w', 'run': 9}
     found = list(explain_job(JOB_ID, write_and_read_log(tmp_path, late | {'waited_s': 1.7, 'late_starts': 4})))
     assert 'run 9' in found[0]
