--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -18,7 +18,7 @@
         "stop('stands still')",
     ],
 )
-def test_a_word_is_found_in_prose_and_in_names(line):
+def test_listed_words_are_found_in_prose_and_in_identifiers(line):
     assert [finding.line for finding in find_words(f'\n{line}\n', WORDS)] == [2]
 
 
