--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(
     'line', ['lifetime = 1', 'The lifeline stands; still', "draw('life')", 'A worker stands. It is still.']
 )
-def test_other_words_and_kept_text_are_left_alone(line):
+def test_other_words_and_exceptions_are_not_reported(line):
     assert not list(find_words(line, WordList({'life': 'incarnation'}, ["draw('life')"])))
 
 
