--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -29,5 +29,5 @@
     assert not list(find_words(line, WordList({'life': 'incarnation'}, ["draw('life')"])))
 
 
-def test_a_finding_names_the_term_to_use():
+def test_finding_contains_the_recommended_term():
     assert [(finding.word, finding.term) for finding in find_words('life', WORDS)] == [('life', 'incarnation')]
