--- a/packages/cli/dahliaarch_cli/__init__.py
+++ b/packages/cli/dahliaarch_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: jobs, the state of the pool, explanations and a demonstration."""
+"""Command-line interface: job requests, pool status, log analysis, demonstration and benchmarks."""
