--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -1,4 +1,4 @@
-"""Where time and core-seconds went, worked out from the logs of real processes."""
+"""Accounting of time and core-seconds, derived from the logs of real processes."""
 
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
@@ -9,18 +9,18 @@
 __all__ = (
     'AccountingReport',
     'CostlyDecision',
+    'FreedCapacityUse',
     'InheritedWaits',
     'JobHistory',
     'Loss',
+    'PreemptedJob',
     'QueueSummary',
-    'FreedCapacityUse',
     'RunHistory',
-    'PreemptedJob',
     'Takeover',
     'WindowSummary',
     'build_report',
+    'describe_preemptions',
     'inherited_waits',
     'read_histories',
     'takeovers',
-    'describe_preemptions',
 )
