--- a/packages/cli/dahliaarch_cli/accounting/histories.py
+++ b/packages/cli/dahliaarch_cli/accounting/histories.py
@@ -1,4 +1,4 @@
-"""The history of each job, put together from the lines of all instances."""
+"""Job histories, reconstructed from the log lines of all instances."""
 
 from collections.abc import Callable, Iterable
 from http import HTTPStatus
@@ -15,19 +15,19 @@
     Parameters
     ----------
     task : tuple
-        Job, occurrence, step and index.
+        Job id, occurrence, step and task index.
     number : int
-        Number of the run.
+        Run number.
     ordered_s : float
-        When its start was ordered, seconds since 1970.
+        Time of the start order, in seconds since 1970.
     worker : str
-        Where.
+        Worker that the task was assigned to.
     rank : int
-        Rank that its step had then.
+        Rank of the step when the start was ordered.
     """
 
     def __init__(self, task: _Task, number: int, ordered_s: float, worker: str, rank: int = 0) -> None:
-        """Start as a run under way."""
+        """Create a run that has not ended."""
         self.rank = rank
         self.task = task
         self.number = number
@@ -40,26 +40,26 @@
 
     @property
     def duration_s(self) -> float:
-        """Time from its order to its end; 0 while it runs."""
+        """Time from the start order to the end; 0 while the run has not ended."""
         return 0.0 if self.ended_s is None else self.ended_s - self.ordered_s
 
     @property
     def cause(self) -> str:
-        """Why it ended, if not by success: the reason of its stop, or how it ended."""
+        """Cause of an end without success: the stop reason without the preempting job, or the end kind."""
         return self.stop_reason.split(' for ')[0] or self.end_kind
 
 
 class JobHistory:
-    """What the lines say of one job.
+    """History of one job, as far as it was logged.
 
     Parameters
     ----------
     job_id : str
-        Its id.
+        Id of the job.
     """
 
     def __init__(self, job_id: str) -> None:
-        """Start without any line."""
+        """Create a history without any event."""
         self.job_id = job_id
         self.queue = ''
         self.stretch = 0.0
@@ -69,7 +69,7 @@
         self.submitted_s = float('inf')
         self.is_refused = False
         self.received_s: float | None = None
-        # The first owner that learnt of it.
+        # Instance that was the first owner to receive the job.
         self.received_by = ''
         self.cancelled_s: float | None = None
         self.completed_s: float | None = None
@@ -79,12 +79,12 @@
 
     @property
     def is_evaluated(self) -> bool:
-        """Whether its owner waits for one end of it, and it was taken."""
+        """Whether the job has a latency objective: received by an owner, not cancelled and not recurring."""
         return self.received_s is not None and self.cancelled_s is None and self.occurrences == 1
 
     @property
     def core_s(self) -> float:
-        """Weighted core-seconds of the runs that succeeded."""
+        """Weighted core-seconds of the successful runs."""
         return sum(self.core_s_of(run) for run in self.runs if run.end_kind == 'done')
 
     def core_s_of(self, run: RunHistory) -> float:
@@ -93,12 +93,12 @@
         return run.duration_s * (self.cores_by_step[step] if step < len(self.cores_by_step) else 1.0)
 
     def resumes_from_checkpoint(self, run: RunHistory) -> bool:
-        """Tell whether the work of a run that was stopped goes on in the next."""
+        """Tell whether the next run continues the work of a stopped run from its checkpoint."""
         return bool(run.stop_reason) and self.cancelled_s is None and self.has_checkpoints_by_step[run.task[2]]
 
     @property
     def work_s(self) -> float:
-        """Longest chain of its work as it was seen: per step the longest success, and what failed."""
+        """Observed length of the longest chain of work: longest successful run of each step, plus all failed runs."""
         longest_by_step: dict[int, float] = {}
         for run in self.runs:
             step = run.task[2]
@@ -109,19 +109,19 @@
 
     @property
     def latency_s(self) -> float | None:
-        """Time from the first question to the end as shown; nothing when it has none."""
+        """Time from submission to published completion; None without a completion."""
         return None if self.completed_s is None else self.completed_s - self.submitted_s
 
     @property
     def is_in_time(self) -> bool:
-        """Whether it was shown as succeeded within its objective."""
+        """Whether the job was published as succeeded within its latency objective."""
         if self.latency_s is None or self.phase != 'succeeded':
             return False
         return self.latency_s <= self.stretch * self.work_s + self.target_s
 
 
 def read_histories(lines: Iterable[LogLine]) -> dict[str, JobHistory]:
-    """Return the history of each job by its id."""
+    """Return the job histories by job id."""
     builder = _HistoryBuilder()
     for line in sorted(lines, key=lambda each: each.at_s):
         handle = _HANDLER_BY_EVENT.get(line.event)
@@ -131,7 +131,7 @@
 
 
 class _HistoryBuilder:
-    """Takes in one line after the other."""
+    """Builds job histories from log lines in chronological order."""
 
     def __init__(self) -> None:
         self.job_by_id: dict[str, JobHistory] = {}
@@ -177,7 +177,7 @@
         run = self._run_by_key.get(_run_key(line.fields))
         if run is not None and run.ended_s is None:
             run.ended_s = line.at_s
-            # A run that was lost with its worker has no end of its own.
+            # A run lost with its worker did not report an end: `run_lost` has no field `how`.
             run.end_kind = line.fields.get('how', 'lost')
 
     def on_job_cancelled(self, line: LogLine) -> None:
