--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -1,4 +1,4 @@
-"""How long jobs of previous owners waited for the next one, by what held them."""
+"""Waiting times of jobs inherited from previous owners, by wait reason."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,29 +15,29 @@
 
 
 class InheritedWaits(NamedTuple):
-    """Waits of jobs that a new owner took over with nothing running, from its readiness on.
+    """Waiting times of jobs that a new owner inherited without assigned runs, from its readiness on.
 
-    Jobs that had no room twice over, on workers that take starts, when they were reported
-    waiting are left out.
+    A job is excluded if, when it was reported as waiting, the workers that accept starts
+    did not have capacity for it twice over.
 
     Parameters
     ----------
     at_s : float
-        When the new owner was ready, from the first line on.
+        Time at which the new owner was ready, in seconds after the first log line.
     owner : str
-        The instance.
+        Instance that became the owner.
     epoch : int
-        Its epoch.
+        Epoch of the owner.
     without_owner_s : float
-        From the last decision of the owner before to the readiness of this one.
+        Time from the last decision of the previous owner to the readiness of the new one.
     jobs : int
-        Jobs that were started, or reported waiting, before the next change of the owner.
+        Jobs that were started or reported as waiting before the next owner change.
     never_started : int
-        Those of them that were not started by then.
+        Those of `jobs` that were not started before the next owner change.
     median_s, p99_s, longest_s : float
-        Until the first start, or the next change of the owner.
+        Waiting time until the first start or the next owner change.
     jobs_by_reason : mapping
-        Jobs that were reported waiting, by the last gate that was named.
+        Number of jobs that were reported as waiting, by the last wait reason reported.
     """
 
     at_s: float
@@ -53,7 +53,7 @@
 
 
 def inherited_waits(lines: Iterable[LogLine]) -> list[InheritedWaits]:
-    """Return what jobs of previous owners waited for each owner but the first, in order of time."""
+    """Return the waiting times of inherited jobs for every owner but the first, in chronological order."""
     ordered = sorted(lines, key=attrgetter('at_s'))
     ready = [line for line in ordered if line.event == 'owner_ready']
     ends_s = [line.at_s for line in ready[2:]] + [line.at_s for line in ordered[-1:]]
@@ -61,7 +61,7 @@
 
 
 def _summarize_waits(ready: LogLine, lines: Sequence[LogLine], until_s: float) -> InheritedWaits:
-    """Return what jobs of previous owners waited for an owner, until the next one is ready or the log ends."""
+    """Return the waiting times of jobs inherited by an owner, until the next owner is ready or the log ends."""
     epoch = int(ready.fields['epoch'])
     owner_lines = [line for line in lines if line.instance == ready.instance and line.at_s <= until_s]
     inherited = _inherited_jobs_without_runs(owner_lines, ready, epoch)
@@ -85,7 +85,7 @@
 
 
 def _inherited_jobs_without_runs(owner_lines: Iterable[LogLine], ready: LogLine, epoch: int) -> set[str]:
-    """Return the jobs that were sent to previous owners, and of which nothing was assigned."""
+    """Return the jobs that were submitted to previous owners and had no task assigned to a worker."""
     known: set[str] = set()
     running: set[str] = set()
     for line in owner_lines:
@@ -99,7 +99,7 @@
 
 
 def _first_start_times(owner_lines: Iterable[LogLine], epoch: int, jobs: set[str]) -> dict[str, float]:
-    """Return when each job was first started by an owner."""
+    """Return the time of the first start order of each job in an epoch."""
     started_s: dict[str, float] = {}
     for line in owner_lines:
         if line.event == 'run_ordered' and line.fields['run'] // RUNS_PER_EPOCH == epoch:
@@ -110,7 +110,7 @@
 
 
 def _last_wait_reasons(owner_lines: Iterable[LogLine], ready: LogLine, jobs: set[str]) -> dict[str, str | None]:
-    """Return the last gate that jobs were reported to wait at; none for those without room."""
+    """Return the last wait reason reported for each job; None for jobs that lacked capacity in any report."""
     reason_by_job: dict[str, str | None] = {}
     for line in owner_lines:
         if line.event != 'step_waiting' or line.at_s < ready.at_s or line.fields['job'] not in jobs:
@@ -122,5 +122,5 @@
 
 
 def _quantile(ordered: Sequence[float], share: float) -> float:
-    """Return the value below which a share of values in order lies."""
+    """Return a quantile of sorted values; 0 without values."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
