--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -1,4 +1,4 @@
-"""Stops that made room: whom they hit, what they threw away, and what became of the room."""
+"""Preemptions: the affected jobs, the wasted work and the use of the freed capacity."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -6,29 +6,29 @@
 
 from .histories import JobHistory, RunHistory
 
-# A stop takes up to 0.9 s; work that it was ordered for begins at once after it, in
-# seconds from the order.
+# A start of the preempting job within this time of the stop order, in seconds, counts as
+# prompt: a stop takes up to 0.9 s, and the start follows immediately.
 _PROMPT_START_S = 1.5
-# Work that begins on the same worker later than this found other room there, in seconds.
+# A start on the same worker later than this, in seconds, used other capacity of the worker.
 _LATE_START_S = 3.0
 _PREEMPTION_PREFIX = 'makes room for '
 
 
 class PreemptedJob(NamedTuple):
-    """A job whose tasks were stopped to make room.
+    """A job whose tasks were preempted.
 
     Parameters
     ----------
     job, queue : str
-        The job.
+        Job id and queue.
     ended : str
-        Its end; empty while it has none.
+        Final phase of the job; empty while it has not ended.
     stops, most_of_one_task : int
-        Stops of its tasks.
+        Preemptions of all tasks of the job, and of the task preempted most often.
     core_s : float
-        Core-seconds that they threw away.
+        Core-seconds wasted by the preemptions.
     stopped_for : int
-        Jobs that room was made for.
+        Number of jobs that the preemptions freed capacity for.
     """
 
     job: str
@@ -41,16 +41,16 @@
 
 
 class FreedCapacityUse(NamedTuple):
-    """What became of room that was made.
+    """Use of the capacity that preemptions freed.
 
     Parameters
     ----------
     use : str
-        Whether the job that it was made for began there, and when.
+        Whether the preempting job started on the freed capacity, and when.
     stops : int
-        Stops.
+        Number of preemptions.
     core_s : float
-        Core-seconds that they threw away.
+        Core-seconds wasted by the preemptions.
     """
 
     use: str
@@ -65,12 +65,12 @@
 
     @property
     def preempting_job_id(self) -> str:
-        """Job that room was made for."""
+        """Id of the job that the capacity was freed for."""
         return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
 
 def preempted_jobs(jobs: Iterable[JobHistory]) -> list[PreemptedJob]:
-    """Return the jobs that were stopped to make room, those that lost most first."""
+    """Return the preempted jobs, ordered by decreasing wasted work."""
     rows = []
     for stops in _preemptions_by_job(jobs).values():
         job = stops[0].job
@@ -86,7 +86,7 @@
 
 
 def freed_capacity_use(history_by_id: Mapping[str, JobHistory]) -> list[FreedCapacityUse]:
-    """Return what became of the room that stops made, what threw most away first."""
+    """Return the uses of capacity freed by preemptions, ordered by decreasing wasted work."""
     count_by_use: Counter[str] = Counter()
     core_s_by_use: dict[str, float] = defaultdict(float)
     for stops in _preemptions_by_job(history_by_id.values()).values():
@@ -99,7 +99,7 @@
 
 
 def describe_preemptions(job: JobHistory | None) -> str:
-    """Return in a sentence how often a job was stopped to make room; nothing when it was not, or is unknown."""
+    """Return a sentence on the preemptions of a job; empty without any, or for an unknown job."""
     rows = [] if job is None else preempted_jobs([job])
     if not rows:
         return ''
@@ -121,7 +121,7 @@
 
 
 def _classify_use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
-    """Return whether work began on room that was made for it."""
+    """Classify when and where the preempting job started after a preemption."""
     stop_ordered_s = stop.run.stop_ordered_s
     later = [] if preempting_job is None else [run for run in preempting_job.runs if run.ordered_s >= stop_ordered_s]
     if not later:
