--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -1,4 +1,4 @@
-"""Sums over the histories of jobs: by queue, by cause, by window, by decision."""
+"""Aggregates of job histories: by queue, cause, time window and decision."""
 
 import statistics
 from collections import Counter, defaultdict
@@ -8,37 +8,37 @@
 from .histories import JobHistory, RunHistory
 from .stops import freed_capacity_use, FreedCapacityUse, preempted_jobs, PreemptedJob
 
-# Length of a window in seconds.
+# Length of a time window in seconds.
 _WINDOW_S = 2.0
-# What counts as a delay on the way, in seconds: an owner learns of a job in
-# milliseconds, starts it as soon as there is room, and keeps its end in 0.01 s.
+# Durations that count as a delay, in seconds: an owner normally receives a job within
+# milliseconds, starts it as soon as there is capacity, and stores its end within 0.01 s.
 _OWNER_DELAY_S = 0.5
 _CAPACITY_WAIT_S = 0.2
 _COMPLETION_DELAY_S = 0.3
-# Decisions that are named.
+# Maximum number of decisions, and of preempted jobs, in a report.
 _MAX_LISTED = 8
 
 _SAVED_SUFFIX = ' (work saved)'
 
 
-# The users' formula of a job's worth: a fixed part, and one by its work against the
-# mean of its queue, which counts up to so many times.
+# The users' formula for the worth of a job: a fixed part plus a part proportional to its
+# work relative to the mean of its queue. The sum is capped.
 _FIXED_WORTH = 0.3
 _MAX_WORTH = 4.0
 
 
 class QueueSummary(NamedTuple):
-    """What became of the jobs of one queue.
+    """Outcomes of the jobs of one queue.
 
     Parameters
     ----------
     queue : str
-        Its name; jobs that were refused have none.
+        Name of the queue; '(refused)' for refused jobs, whose queue is not known.
     jobs, in_time, late, not_done, cancelled : int
-        Numbers of jobs.
+        Number of jobs.
     worth, worth_in_time, worth_late : float
-        Worth of all owed jobs and of those that ended, in jobs of mean size: the
-        platform tells no worth of one queue against another.
+        Worth of all evaluated jobs, of those in time and of those that succeeded late, in
+        jobs of mean size: the platform defines no worth of one queue relative to another.
     """
 
     queue: str
@@ -53,7 +53,7 @@
 
 
 class Loss(NamedTuple):
-    """Jobs that were not in time, or core-seconds that came to nothing, for one reason."""
+    """Number of jobs that were not in time, or of runs with their core-seconds, for one cause."""
 
     cause: str
     cases: int
@@ -61,7 +61,7 @@
 
 
 class WindowSummary(NamedTuple):
-    """Two seconds: jobs that came, what became of them, and core-seconds thrown away by runs that ended."""
+    """Jobs submitted in a two-second window, their outcomes, and core-seconds wasted by runs that ended in it."""
 
     from_s: float
     jobs: int
@@ -72,7 +72,7 @@
 
 
 class CostlyDecision(NamedTuple):
-    """Runs that were stopped together for one reason, at a time from the first job on."""
+    """Runs that were stopped for the same reason, with the time in seconds after the first submission."""
 
     at_s: float
     why: str
@@ -82,24 +82,24 @@
 
 
 class AccountingReport(NamedTuple):
-    """Where time and core-seconds went.
+    """Accounting of time and core-seconds.
 
     Parameters
     ----------
-    queues : list of QueueRow
-        By queue.
+    queues : list of QueueSummary
+        Outcomes by queue.
     late : list of Loss
-        Why jobs were not in time.
+        Number of jobs that were not in time, by cause.
     work : list of Loss
-        Core-seconds by what they came to, useful ones too.
-    windows : list of WindowRow
-        By two-second window, from the first job on.
+        Core-seconds by outcome of the run, including successful runs.
+    windows : list of WindowSummary
+        Outcomes by two-second window, starting at the first submission.
     decisions : list of CostlyDecision
-        The costliest.
-    room : list of RoomUse
-        What became of room that stops made.
-    stopped : list of StoppedJob
-        Jobs that lost most by such stops.
+        Decisions that wasted the most core-seconds.
+    room : list of FreedCapacityUse
+        Use of the capacity that preemptions freed.
+    stopped : list of PreemptedJob
+        Jobs that lost the most work to preemptions.
     """
 
     queues: list[QueueSummary]
@@ -112,7 +112,7 @@
 
 
 def build_report(history_by_id: Mapping[str, JobHistory]) -> AccountingReport:
-    """Return where time and core-seconds went."""
+    """Return the accounting of time and core-seconds over all received or refused jobs."""
     jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
     worth_by_id = _worth_by_id(jobs)
     return AccountingReport(
@@ -147,7 +147,7 @@
 
 
 def _worth_by_id(jobs: Iterable[JobHistory]) -> dict[str, float]:
-    """Return the worth of each job, in jobs of mean size of its queue."""
+    """Return the worth of each job, relative to a job of mean size in its queue."""
     worth_by_id = {}
     for members in _jobs_by_queue(jobs).values():
         mean = statistics.fmean(job.core_s for job in members) or 1.0
@@ -165,7 +165,7 @@
 
 
 def _delay_cause(job: JobHistory) -> str:
-    """Return what kept a job from being in time: the first that holds."""
+    """Return the first cause that applies to a job that was not in time."""
     if job.received_s is None:
         return 'refused'
     if job.received_s - job.submitted_s > _OWNER_DELAY_S:
@@ -232,7 +232,7 @@
 
 
 def _first_submission_s(jobs: list[JobHistory]) -> float:
-    """Return when the first job was asked for, seconds since 1970."""
+    """Return the time of the first submission, in seconds since 1970."""
     return min((job.submitted_s for job in jobs), default=0.0)
 
 
@@ -241,7 +241,7 @@
 
 
 def _costliest_decisions(jobs: list[JobHistory]) -> list[CostlyDecision]:
-    """Return the stops that threw most away; those for one reason count as one decision."""
+    """Return the stops that wasted the most work; stops for the same reason count as one decision."""
     first_s = _first_submission_s(jobs)
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
     for job in jobs:
