--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -1,4 +1,4 @@
-"""Changes of the pool's owner: how long work waited, and whether two owners gave orders at a time."""
+"""Owner changes: waiting times of jobs, and overlap of the start orders of two owners."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -12,23 +12,25 @@
 
 
 class Takeover(NamedTuple):
-    """One change of the pool's owner.
+    """One change of the owner of the pool.
 
     Parameters
     ----------
     at_s : float
-        When the new owner was ready, from the first line on.
+        Time at which the new owner was ready, in seconds after the first log line.
     owner : str
-        The instance.
+        Instance that became the owner.
     epoch : int
-        Its epoch.
+        Epoch of the new owner.
     jobs, urgent : int
-        Jobs that were handed in before it was ready, that no previous owner had learnt
-        of and that began under it; those of them that began as urgent work.
+        Jobs that were submitted before the new owner was ready, had not been received by a
+        previous owner and were first started by the new one; those of them that were
+        urgent at their first start.
     longest_wait_s, mean_urgent_wait_s : float
-        From handing in to the first start.
+        Time from submission to the first start.
     orders_of_two_s : float
-        For how long starts of a previous owner went out after its own first one.
+        How long a previous owner still ordered starts after the first start ordered by the
+        new owner.
     """
 
     at_s: float
@@ -42,14 +44,14 @@
 
 
 class _StartTimes(NamedTuple):
-    """When the starts of one owner went out."""
+    """Times of the first and the last start ordered by one owner."""
 
     first_s: float
     last_s: float
 
 
 def takeovers(lines: Iterable[LogLine], history_by_id: Mapping[str, JobHistory]) -> list[Takeover]:
-    """Return the changes of the owner after the first one, in order of time."""
+    """Return the owner changes after the first owner, in chronological order."""
     ordered = sorted(lines, key=lambda line: line.at_s)
     start_times_by_epoch = _start_times_by_epoch(ordered)
     ready = [line for line in ordered if line.event == 'owner_ready']
@@ -89,7 +91,7 @@
 
 
 def _waited_for_takeover(job: JobHistory, ready: LogLine, epoch: int) -> bool:
-    """Tell whether a job could not begin before an owner was ready, and began under it."""
+    """Tell whether a job was submitted before an owner was ready, and first received and started by it."""
     if not job.runs or job.received_by != ready.instance or job.submitted_s >= ready.at_s:
         return False
     return _epoch_of_run(job.runs[0].number) == epoch
