--- a/packages/cli/dahliaarch_cli/client.py
+++ b/packages/cli/dahliaarch_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the system's interface, with failures as values."""
+"""HTTP client for the API of an instance; failures are returned as values."""
 
 from enum import StrEnum
 from http import HTTPStatus
@@ -7,12 +7,12 @@
 import httpx
 from result import Err, Ok, Result
 
-# Longest wait for an answer, in seconds.
+# Timeout of a request in seconds.
 _TIMEOUT_S = 5.0
 
 
 class FailureKind(StrEnum):
-    """What a failed call tells."""
+    """Reason why a call failed."""
 
     NOT_REACHED = 'not reached'
     OUTCOME_UNKNOWN = 'outcome unknown: ask again with the same id'
@@ -24,7 +24,7 @@
 
 
 class CallFailure(NamedTuple):
-    """A call that failed."""
+    """A failed call: its reason and the detail given by the server or the HTTP client."""
 
     kind: FailureKind
     detail: str
@@ -42,23 +42,23 @@
 
 
 class Client:
-    """A caller.
+    """Synchronous HTTP client of an instance.
 
     Parameters
     ----------
     url : str
-        Address of an instance.
+        Base URL of an instance.
     key : str
-        Key of a client account.
+        API key of a client account; empty for requests without authentication.
     """
 
     def __init__(self, url: str, key: str) -> None:
-        """Prepare; nothing is called yet."""
+        """Create the HTTP client without sending a request."""
         headers = {'Authorization': f'Token {key}'} if key else {}
         self._http = httpx.Client(base_url=url, headers=headers, timeout=_TIMEOUT_S)
 
     def submit(self, queue: str, job_id: str, body: bytes) -> Result[str, CallFailure]:
-        """Hand a job in."""
+        """Submit a job; `body` is the request body."""
         return self._call('POST', queue + job_id, body).map(lambda _: '')
 
     def state(self, queue: str, job_id: str) -> Result[str, CallFailure]:
@@ -70,7 +70,7 @@
         return self._call('DELETE', queue + job_id).map(lambda _: '')
 
     def status(self) -> Result[dict[str, Any], CallFailure]:
-        """Return what an instance knows of the pool."""
+        """Return the pool status as seen by the instance."""
         return self._call('GET', '/status').map(lambda reply: dict(reply.json()))
 
     def _call(self, method: str, path: str, body: bytes = b'') -> Result[httpx.Response, CallFailure]:
