--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -1,4 +1,4 @@
-"""Tells from log lines what became of a job."""
+"""Explains the course of a job from log lines."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -12,13 +12,13 @@
     Parameters
     ----------
     at_s : float
-        When it was written, seconds since 1970.
+        Time at which the line was written, in seconds since 1970.
     instance : str
-        Which instance wrote it.
+        Instance that wrote the line.
     event : str
-        What it is about.
+        Name of the event.
     fields : dict
-        The whole line.
+        All fields of the line.
     """
 
     at_s: float
@@ -62,7 +62,7 @@
 
 
 def read_log_lines(path: Path) -> Iterator[LogLine]:
-    """Yield the log lines of a file; other lines are passed over."""
+    """Yield the log lines of a file; lines that are not JSON log lines are skipped."""
     with path.open(encoding='utf-8') as lines:
         for text in lines:
             try:
@@ -74,7 +74,7 @@
 
 
 def explain_job(job_id: str, lines: Iterable[LogLine], *, as_json: bool = False) -> Iterator[str]:
-    """Yield what the lines say of a job, in order of time, and what they don't."""
+    """Yield sentences on a job in chronological order, then those on information missing from the logs."""
     relevant = sorted((line for line in lines if _concerns_job(line, job_id)), key=lambda line: line.at_s)
     if as_json:
         for line in relevant:
@@ -102,7 +102,7 @@
 
 
 def _missing_information(lines: list[LogLine]) -> Iterator[str]:
-    """Yield what the lines do not say."""
+    """Yield sentences on information about a job that the log lines do not contain."""
     events = {line.event for line in lines}
     if not lines:
         yield 'not known: no line names this job; it was never received, or the logs are of other instances or times'
@@ -120,7 +120,7 @@
 
 
 def _last_wait_reason(lines: list[LogLine]) -> str:
-    """Return what last kept a step of a job from being started, as far as the lines tell."""
+    """Return the last wait reason logged for a step of a job, or a hint where to look if none was logged."""
     waiting = [line for line in lines if line.event == 'step_waiting']
     if not waiting:
         return 'see its queue in the status, and what else ran'
