--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -1,4 +1,4 @@
-"""Tables that are read at 80 columns."""
+"""Tables for terminals of 80 columns."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,7 +12,7 @@
 
 
 def print_table(name: str, rows: object) -> None:
-    """Print one row each; a plain value as it is."""
+    """Print a list of mappings as a table; any other value on one line."""
     if not isinstance(rows, list):
         _console.print(f'{name}: {rows}')
         return
@@ -26,7 +26,7 @@
 
 
 def print_transposed(name: str, rows: Sequence[Mapping[str, object]], heading: str) -> None:
-    """Print one column each, under what names it, for rows of many measures."""
+    """Print a transposed table: one column per row, headed by its value for the key `heading`."""
     table = Table('', *(_format_cell(row[heading]) for row in rows), title=name)
     for measure in rows[0]:
         if measure != heading:
@@ -35,7 +35,7 @@
 
 
 def print_gap(gap: Gap) -> None:
-    """Print what no scheduler could exceed, what was reached, and what each cause cost."""
+    """Print the upper bound for any scheduler, the value reached and the loss by cause."""
     table = Table('cause', 'worth lost', 'thrown away', title=f'bound {gap.bound:.3f}, reached {gap.net:.3f}')
     for loss in gap.losses:
         table.add_row(loss.cause, _format_cell(loss.worth), _format_cell(loss.waste))
@@ -47,7 +47,7 @@
 
 
 def print_effects(effects: Sequence[Effect]) -> None:
-    """Print what each mechanism is worth, and the margin, by deployment."""
+    """Print the gain of each mechanism with its margin, by deployment."""
     deployments = list(dict.fromkeys(effect.deployment for effect in effects))
     cell_by_key = {
         (effect.mechanism, effect.deployment): f'{effect.gain:+.3f}±{effect.margin:.3f}' for effect in effects
