--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -1,4 +1,4 @@
-"""Commands for owners of jobs and for operators."""
+"""Commands for job owners and operators."""
 
 import json
 from pathlib import Path
@@ -21,17 +21,17 @@
 
 app = typer.Typer(no_args_is_help=True, help=__doc__)
 
-Url = Annotated[str, typer.Option('--url', envvar='DAHLIAARCH_URL', help='Address of any instance, for callers.')]
-Key = Annotated[str, typer.Option('--key', envvar='DAHLIAARCH_KEY', help='Key of a client account.')]
+Url = Annotated[str, typer.Option('--url', envvar='DAHLIAARCH_URL', help='URL of the client API of any instance.')]
+Key = Annotated[str, typer.Option('--key', envvar='DAHLIAARCH_KEY', help='API key of a client account.')]
 Queue = Annotated[str, typer.Argument(help='Path of the queue, for example /reconciliation/.')]
 Deployment = Annotated[str, typer.Option(help=f'One of: {", ".join((*DEPLOYMENTS, DRAWN, DRAWN_LOADED))}.')]
-Cores = Annotated[int, typer.Option(help='Days that are played at a time.')]
-JobId = Annotated[str, typer.Argument(help='16 hexadecimal digits, chosen by the caller.')]
+Cores = Annotated[int, typer.Option(help='Number of days simulated in parallel.')]
+JobId = Annotated[str, typer.Argument(help='Job id of 16 hexadecimal digits, chosen by the caller.')]
 
 
 @app.command()
 def submit(queue: Queue, job_id: JobId, job: Path, url: Url, key: Key = '') -> None:
-    """Hand a job in: JOB is a file with the body of the request."""
+    """Submit a job: JOB is a file with the request body."""
     _print_result(Client(url, key).submit(queue, job_id, job.read_bytes()), 'accepted')
 
 
@@ -49,10 +49,13 @@
 
 @app.command()
 def status(
-    url: Annotated[str, typer.Option('--status-url', envvar='DAHLIAARCH_STATUS_URL', help='Readiness address.')],
-    as_json: Annotated[bool, typer.Option('--json', help='Print the whole answer.')] = False,
+    url: Annotated[
+        str,
+        typer.Option('--status-url', envvar='DAHLIAARCH_STATUS_URL', help='URL of the readiness port of an instance.'),
+    ],
+    as_json: Annotated[bool, typer.Option('--json', help='Print the full response as JSON.')] = False,
 ) -> None:
-    """Show in one look who owns the pool, what waits, who borrows and which workers are bad."""
+    """Show the owner of the pool, waiting work, borrowing accounts and unhealthy workers."""
     answer = Client(url, '').status()
     if not is_ok(answer):
         _exit_with_error(answer.unwrap_err())
@@ -67,9 +70,9 @@
 def explain(
     job_id: JobId,
     logs: Annotated[list[Path], typer.Argument(help='Files with log lines of the instances, in any order.')],
-    as_json: Annotated[bool, typer.Option('--json', help='Print the lines as they were written.')] = False,
+    as_json: Annotated[bool, typer.Option('--json', help='Print the log lines as JSON.')] = False,
 ) -> None:
-    """Tell from logs what became of a job, step by step, and what they do not tell."""
+    """Explain the course of a job from logs, and list the information missing from them."""
     lines: list[LogLine] = []
     for path in logs:
         lines.extend(read_log_lines(path))
@@ -85,7 +88,7 @@
     logs: Annotated[list[Path], typer.Argument(help='Files with log lines of the instances, in any order.')],
     as_json: Annotated[bool, typer.Option('--json', help='Print one JSON object.')] = False,
 ) -> None:
-    """Tell from logs where time and core-seconds went, why jobs were late and which decisions cost most."""
+    """Report from logs the use of time and core-seconds, the causes of late jobs and the costliest decisions."""
     lines: list[LogLine] = []
     for path in logs:
         lines.extend(read_log_lines(path))
@@ -105,7 +108,7 @@
 
 @app.command()
 def demo(jobs: int = 40, seed: int = 1) -> None:
-    """Run real daemons against stand-ins, kill the owner meanwhile, and count."""
+    """Run real daemons against a simulated platform, kill the owner and count lost jobs and duplicated tasks."""
     counts = run_demo(jobs, seed)
     typer.echo(json.dumps(counts._asdict()))
     raise typer.Exit(0 if counts.is_right else 1)
@@ -113,7 +116,7 @@
 
 @app.command()
 def bench(workers: int = 176, waiting: int = 2000, passes: int = 400, seed: int = 1) -> None:
-    """Time one pass of decisions over a large pool."""
+    """Measure the duration of scheduling passes over a large pool."""
     typer.echo(json.dumps(run_bench(workers, waiting, passes, seed)._asdict()))
 
 
@@ -123,10 +126,10 @@
     days: int = 4,
     load: float = 1.2,
     seed: int = 1,
-    with_bound: Annotated[bool, typer.Option('--bound', help='Tell what no scheduler could exceed, too.')] = False,
+    with_bound: Annotated[bool, typer.Option('--bound', help='Also print an upper bound for any scheduler.')] = False,
     cores: Cores = 1,
 ) -> None:
-    """Compare the decisions with those of best fit and backfill, under a fake clock."""
+    """Compare the scheduler with best-fit and backfill schedulers on simulated time."""
     seeds = range(seed, seed + days)
     rows = compare_schedulers(deployment, seeds, load, workers=cores)
     print_transposed(f'{deployment}, {days} days, load {load}', [row._asdict() for row in rows], 'scheduler')
@@ -139,11 +142,11 @@
     days: int = 40,
     load: float = 1.0,
     seed: int = 1,
-    deployments: Annotated[str, typer.Option(help='Names, with commas between.')] = 'zones,meters,cars,drawn',
+    deployments: Annotated[str, typer.Option(help='Comma-separated names of deployments.')] = 'zones,meters,cars,drawn',
     output: Annotated[Path, typer.Option('--output', '-o', help='Folder for ablation.json and .png.')] = Path(),
     cores: Cores = 1,
 ) -> None:
-    """Switch off each mechanism that decides, one by one, and tell what it is worth on the same days."""
+    """Disable each scheduling mechanism in turn and measure its effect on the same simulated days."""
     effects = ablate_mechanisms(range(seed, seed + days), load, deployments=deployments.split(','), workers=cores)
     output.mkdir(parents=True, exist_ok=True)
     rows = [effect._asdict() for effect in effects]
@@ -159,11 +162,11 @@
     instances: int = 3,
     workers: int = 5,
     without: Annotated[str, typer.Option(help=f'Control arm, one of: {", ".join(PROTECTIONS)}.')] = '',
-    logs: Annotated[Path | None, typer.Option(help='Folder that keeps the logs of every soak.')] = None,
+    logs: Annotated[Path | None, typer.Option(help='Folder for the logs of every soak test.')] = None,
 ) -> None:
-    """Run real daemons under random faults and check what callers and workers were promised.
+    """Run real daemons under random faults and check the guarantees given to callers and workers.
 
-    A soak that finds a violation keeps its logs and a report, in results/soak unless a folder is named.
+    The logs and a report of a soak test with a violation are kept, in results/soak unless a folder is given.
     """
     violating_seeds = 0
     for seed in range(first, first + seeds):
