--- a/packages/cli/dahliaarch_cli/tests/test_accounting.py
+++ b/packages/cli/dahliaarch_cli/tests/test_accounting.py
@@ -1,4 +1,4 @@
-"""The account of a day is worked out from log lines alone."""
+"""Accounting reports are derived from log lines alone."""
 
 import pytest
 
@@ -50,7 +50,7 @@
 
 
 def preemption_report(*, checkpoints):
-    """A batch job is stopped after 3 s for an urgent one, and runs again from 6 s on."""
+    """Return a report in which an urgent job preempts a batch job at 3 s, which runs again from 6 s on."""
     return build_report_from(
         job_known(0.0, BATCH, 'batch', checkpoints=checkpoints),
         run_ordered(0.0, BATCH),
@@ -132,7 +132,7 @@
     rows = {row.queue: row for row in preemption_report(checkpoints=False).queues}
     assert (rows['urgent'].in_time, rows['urgent'].late) == (1, 0)
     assert rows['urgent'].worth_in_time == pytest.approx(1.0)
-    # It took 12.1 s; twice its 6 s of work and half a second are allowed.
+    # The latency is 12.1 s; the objective is 12.5 s: a stretch of 2 times 6 s of work, plus 0.5 s.
     assert (rows['batch'].in_time, rows['batch'].late) == (1, 0)
 
 
