--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of the sources that no linter has."""
+"""Source checks that the linters do not provide."""
