--- a/tools/words.py
+++ b/tools/words.py
@@ -1,7 +1,7 @@
-"""Reports words that the project does not use, with the field's term for each.
+"""Reports discouraged words, with the recommended term for each.
 
-The words are in ``words.toml``. They are looked for in prose and in names alike: the
-parts of ``snake_case`` and ``CamelCase`` names count as words.
+The words are listed in ``words.toml``. Both prose and identifiers are searched: the parts
+of ``snake_case`` and ``CamelCase`` identifiers count as words.
 """
 
 import re
@@ -17,14 +17,14 @@
 
 
 class WordList(NamedTuple):
-    """Words that are not used.
+    """Discouraged words and the exceptions to them.
 
     Parameters
     ----------
     term_by_word : dict of str to str
-        The term to use, by the word or the words that it replaces.
-    kept : list of str
-        Text in which a word stays.
+        Recommended term by discouraged word or phrase.
+    exceptions : list of str
+        Text that is ignored by the search.
     """
 
     term_by_word: dict[str, str]
@@ -32,7 +32,7 @@
 
 
 class Finding(NamedTuple):
-    """A word that is not used, on one line of a file."""
+    """A discouraged word on one line of a file."""
 
     line: int
     word: str
@@ -40,13 +40,13 @@
 
 
 def read_word_list(path: Path) -> WordList:
-    """Return the words of a file."""
+    """Return the word list of a TOML file."""
     table = tomllib.loads(path.read_text())
     return WordList(table['words'], table['kept'])
 
 
 def find_words(text: str, words: WordList) -> Iterator[Finding]:
-    """Yield the words in a text that are not used, by line."""
+    """Yield the discouraged words of a text, by line."""
     for number, line in enumerate(text.splitlines(), 1):
         normalized = _normalize(line, words.exceptions)
         for word, term in words.term_by_word.items():
@@ -55,7 +55,7 @@
 
 
 def _normalize(line: str, exceptions: Iterable[str]) -> str:
-    """Return the words of a line, in lower case and with a space around each."""
+    """Return the words of a line in lower case, each surrounded by spaces, without the exceptions."""
     for text in exceptions:
         line = line.replace(text, '')
     parts = re.findall('[A-Za-z]+', _NAME_PART_BOUNDARY.sub(' ', line))
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Print what is found below the working directory; return 1 if there is anything."""
+    """Print the findings in the source files below the working directory; return 1 if there are any."""
     words = read_word_list(Path(__file__).with_name('words.toml'))
     found = [(path, finding) for path in _source_files() for finding in find_words(path.read_text(), words)]
     sys.stdout.writelines(f'{path}:{each.line}: "{each.word}": use "{each.term}"\n' for path, each in found)
