--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -1,4 +1,4 @@
-"""Words that the project does not use come back in prose, in names, and over words that merely contain them."""
+"""Guards against discouraged words missed in prose or identifiers, and against matches inside other words."""
 
 import pytest
 
