--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -178,10 +178,10 @@
     raise typer.Exit(1 if violating_seeds else 0)
 
 
-def _print_result(answer: Result[str, CallFailure], done: str = '') -> None:
+def _print_result(answer: Result[str, CallFailure], success_message: str = '') -> None:
     if not is_ok(answer):
         _exit_with_error(answer.unwrap_err())
-    typer.echo(done or answer.unwrap())
+    typer.echo(success_message or answer.unwrap())
 
 
 def _exit_with_error(failure: CallFailure) -> NoReturn:
