--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -56,13 +56,13 @@
     as_json: Annotated[bool, typer.Option('--json', help='Print the full response as JSON.')] = False,
 ) -> None:
     """Show the owner of the pool, waiting work, borrowing accounts and unhealthy workers."""
-    answer = Client(url, '').status()
-    if not is_ok(answer):
-        _exit_with_error(answer.unwrap_err())
+    response = Client(url, '').status()
+    if not is_ok(response):
+        _exit_with_error(response.unwrap_err())
     if as_json:
-        typer.echo(json.dumps(answer.unwrap(), indent=2))
+        typer.echo(json.dumps(response.unwrap(), indent=2))
         return
-    for name, rows in answer.unwrap().items():
+    for name, rows in response.unwrap().items():
         print_table(name, rows)
 
 
@@ -178,10 +178,10 @@
     raise typer.Exit(1 if violating_seeds else 0)
 
 
-def _print_result(answer: Result[str, CallFailure], success_message: str = '') -> None:
-    if not is_ok(answer):
-        _exit_with_error(answer.unwrap_err())
-    typer.echo(success_message or answer.unwrap())
+def _print_result(response: Result[str, CallFailure], success_message: str = '') -> None:
+    if not is_ok(response):
+        _exit_with_error(response.unwrap_err())
+    typer.echo(success_message or response.unwrap())
 
 
 def _exit_with_error(failure: CallFailure) -> NoReturn:
