--- a/packages/cli/dahliaarch_cli/accounting/inherited.py
+++ b/packages/cli/dahliaarch_cli/accounting/inherited.py
@@ -121,6 +121,6 @@
     return reason_by_job
 
 
-def _quantile(ordered: Sequence[float], share: float) -> float:
+def _quantile(ordered: Sequence[float], fraction: float) -> float:
     """Return a quantile of sorted values; 0 without values."""
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
