--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -236,8 +236,8 @@
     return min((job.submitted_s for job in jobs), default=0.0)
 
 
-def _window_index(after_s: float) -> int:
-    return int(after_s // _WINDOW_S)
+def _window_index(elapsed_s: float) -> int:
+    return int(elapsed_s // _WINDOW_S)
 
 
 def _costliest_decisions(jobs: list[JobHistory]) -> list[CostlyDecision]:
