--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -75,7 +75,7 @@
     epoch = int(ready.fields['epoch'])
     waited = [job for job in jobs if _waited_for_takeover(job, ready, epoch)]
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
-    urgent_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
+    urgent_waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
     own = start_times_by_epoch.get(epoch)
     last_previous_s = max((orders.last_s for each, orders in start_times_by_epoch.items() if each < epoch), default=0.0)
     return Takeover(
@@ -83,9 +83,9 @@
         ready.instance,
         epoch,
         len(waits_s),
-        len(urgent_s),
+        len(urgent_waits_s),
         max(waits_s, default=0.0),
-        sum(urgent_s) / len(urgent_s) if urgent_s else 0.0,
+        sum(urgent_waits_s) / len(urgent_waits_s) if urgent_waits_s else 0.0,
         0.0 if own is None else max(0.0, last_previous_s - own.first_s),
     )
 
