--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -93,16 +93,16 @@
     for path in logs:
         lines.extend(read_log_lines(path))
     histories = read_histories(lines)
-    found = {
+    tables = {
         **build_report(histories)._asdict(),
         'takeovers': takeovers(lines, histories),
         'inherited_waits': inherited_waits(lines),
     }
     if as_json:
-        rows = {name: [row._asdict() for row in part] for name, part in found.items()}
+        rows = {name: [row._asdict() for row in part] for name, part in tables.items()}
         typer.echo(json.dumps(rows, indent=2))
         return
-    for name, part in found.items():
+    for name, part in tables.items():
         print_table(name, [row._asdict() for row in part])
 
 
