--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -171,9 +171,9 @@
     violating_seeds = 0
     for seed in range(first, first + seeds):
         settings = control_arm(seed, without) if without else draw_settings(seed, instances, workers)
-        found = run_soak(settings, logs / str(seed) if logs else None)
-        typer.echo(json.dumps(found._asdict()))
-        violating_seeds += bool(found.violations)
+        soak_result = run_soak(settings, logs / str(seed) if logs else None)
+        typer.echo(json.dumps(soak_result._asdict()))
+        violating_seeds += bool(soak_result.violations)
     typer.echo(f'{seeds} seeds, {violating_seeds} with a violation')
     raise typer.Exit(1 if violating_seeds else 0)
 
