--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -152,8 +152,8 @@
     for members in _jobs_by_queue(jobs).values():
         mean = statistics.fmean(job.core_s for job in members) or 1.0
         for job in members:
-            size = _FIXED_WORTH + (1 - _FIXED_WORTH) * job.core_s / mean
-            worth_by_id[job.job_id] = min(size, _MAX_WORTH)
+            job_worth = _FIXED_WORTH + (1 - _FIXED_WORTH) * job.core_s / mean
+            worth_by_id[job.job_id] = min(job_worth, _MAX_WORTH)
     return worth_by_id
 
 
