--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -77,7 +77,9 @@
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
     urgent_waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
     own = start_times_by_epoch.get(epoch)
-    last_previous_s = max((orders.last_s for each, orders in start_times_by_epoch.items() if each < epoch), default=0.0)
+    last_previous_s = max(
+        (start_times.last_s for each, start_times in start_times_by_epoch.items() if each < epoch), default=0.0
+    )
     return Takeover(
         at_s,
         ready.instance,
