--- a/packages/cli/dahliaarch_cli/accounting/takeovers.py
+++ b/packages/cli/dahliaarch_cli/accounting/takeovers.py
@@ -76,7 +76,7 @@
     waited = [job for job in jobs if _waited_for_takeover(job, ready, epoch)]
     waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited]
     urgent_waits_s = [job.runs[0].ordered_s - job.submitted_s for job in waited if job.runs[0].rank <= RANK_URGENT]
-    own = start_times_by_epoch.get(epoch)
+    own_starts = start_times_by_epoch.get(epoch)
     last_previous_s = max(
         (start_times.last_s for each, start_times in start_times_by_epoch.items() if each < epoch), default=0.0
     )
@@ -88,7 +88,7 @@
         len(urgent_waits_s),
         max(waits_s, default=0.0),
         sum(urgent_waits_s) / len(urgent_waits_s) if urgent_waits_s else 0.0,
-        0.0 if own is None else max(0.0, last_previous_s - own.first_s),
+        0.0 if own_starts is None else max(0.0, last_previous_s - own_starts.first_s),
     )
 
 
