--- a/packages/cli/dahliaarch_cli/accounting/__init__.py
+++ b/packages/cli/dahliaarch_cli/accounting/__init__.py
@@ -1,26 +1,26 @@
-"""Where time and core-seconds went, worked out from the logs of real processes."""
+"""Accounting of time and core-seconds, derived from the logs of real processes."""
 
 from .histories import JobHistory, read_histories, RunHistory
 from .inherited import inherited_waits, InheritedWaits
-from .stops import report_stops, RoomUse, StoppedJob
-from .sums import Account, account, CostlyDecision, Loss, QueueRow, WindowRow
-from .takeovers import TakeOver, takeovers
+from .stops import describe_preemptions, FreedCapacityUse, PreemptedJob
+from .sums import AccountingReport, build_report, CostlyDecision, Loss, QueueSummary, WindowSummary
+from .takeovers import Takeover, takeovers
 
 __all__ = (
-    'Account',
+    'AccountingReport',
     'CostlyDecision',
+    'FreedCapacityUse',
     'InheritedWaits',
     'JobHistory',
     'Loss',
-    'QueueRow',
-    'RoomUse',
+    'PreemptedJob',
+    'QueueSummary',
     'RunHistory',
-    'StoppedJob',
-    'TakeOver',
-    'WindowRow',
-    'account',
+    'Takeover',
+    'WindowSummary',
+    'build_report',
+    'describe_preemptions',
     'inherited_waits',
     'read_histories',
     'takeovers',
-    'report_stops',
 )
--- a/packages/cli/dahliaarch_cli/accounting/sums.py
+++ b/packages/cli/dahliaarch_cli/accounting/sums.py
@@ -1,4 +1,4 @@
-"""Sums over the histories of jobs: by queue, by cause, by window, by decision."""
+"""Aggregates of job histories: by queue, cause, time window and decision."""
 
 import statistics
 from collections import Counter, defaultdict
@@ -6,39 +6,39 @@
 from typing import NamedTuple
 
 from .histories import JobHistory, RunHistory
-from .stops import RoomUse, StoppedJob, stops_by_job, use_of_room
+from .stops import freed_capacity_use, FreedCapacityUse, preempted_jobs, PreemptedJob
 
-# Length of a window in seconds.
+# Length of a time window in seconds.
 _WINDOW_S = 2.0
-# What counts as a delay on the way, in seconds: an owner learns of a job in
-# milliseconds, starts it as soon as there is room, and keeps its end in 0.01 s.
-_LATE_TO_OWNER_S = 0.5
-_WAITED_S = 0.2
-_LATE_TO_SHOW_S = 0.3
-# Decisions that are named.
-_MOST_NAMED = 8
+# Durations that count as a delay, in seconds: an owner normally receives a job within
+# milliseconds, starts it as soon as there is capacity, and stores its end within 0.01 s.
+_OWNER_DELAY_S = 0.5
+_CAPACITY_WAIT_S = 0.2
+_COMPLETION_DELAY_S = 0.3
+# Maximum number of decisions, and of preempted jobs, in a report.
+_MAX_LISTED = 8
 
-_SAVED = ' (work saved)'
+_SAVED_SUFFIX = ' (work saved)'
 
 
-# The users' formula of a job's worth: a fixed part, and one by its work against the
-# mean of its queue, which counts up to so many times.
-_FIXED_PART = 0.3
-_LARGEST_SIZE = 4.0
+# The users' formula for the worth of a job: a fixed part plus a part proportional to its
+# work relative to the mean of its queue. The sum is capped.
+_FIXED_WORTH = 0.3
+_MAX_WORTH = 4.0
 
 
-class QueueRow(NamedTuple):
-    """What became of the jobs of one queue.
+class QueueSummary(NamedTuple):
+    """Outcomes of the jobs of one queue.
 
     Parameters
     ----------
     queue : str
-        Its name; jobs that were refused have none.
+        Name of the queue; '(refused)' for refused jobs, whose queue is not known.
     jobs, in_time, late, not_done, cancelled : int
-        Numbers of jobs.
+        Number of jobs.
     worth, worth_in_time, worth_late : float
-        Worth of all owed jobs and of those that ended, in jobs of mean size: the
-        platform tells no worth of one queue against another.
+        Worth of all evaluated jobs, of those in time and of those that succeeded late, in
+        jobs of mean size: the platform defines no worth of one queue relative to another.
     """
 
     queue: str
@@ -53,15 +53,15 @@
 
 
 class Loss(NamedTuple):
-    """Jobs that were not in time, or core-seconds that came to nothing, for one reason."""
+    """Number of jobs that were not in time, or of runs with their core-seconds, for one cause."""
 
     cause: str
     cases: int
     core_s: float
 
 
-class WindowRow(NamedTuple):
-    """Two seconds: jobs that came, what became of them, and core-seconds thrown away by runs that ended."""
+class WindowSummary(NamedTuple):
+    """Jobs submitted in a two-second window, their outcomes, and core-seconds wasted by runs that ended in it."""
 
     from_s: float
     jobs: int
@@ -72,7 +72,7 @@
 
 
 class CostlyDecision(NamedTuple):
-    """Runs that were stopped together for one reason, at a time from the first job on."""
+    """Runs that were stopped for the same reason, with the time in seconds after the first submission."""
 
     at_s: float
     why: str
@@ -81,61 +81,61 @@
     jobs: tuple[str, ...]
 
 
-class Account(NamedTuple):
-    """Where time and core-seconds went.
+class AccountingReport(NamedTuple):
+    """Accounting of time and core-seconds.
 
     Parameters
     ----------
-    queues : list of QueueRow
-        By queue.
+    queues : list of QueueSummary
+        Outcomes by queue.
     late : list of Loss
-        Why jobs were not in time.
+        Number of jobs that were not in time, by cause.
     work : list of Loss
-        Core-seconds by what they came to, useful ones too.
-    windows : list of WindowRow
-        By two-second window, from the first job on.
+        Core-seconds by outcome of the run, including successful runs.
+    windows : list of WindowSummary
+        Outcomes by two-second window, starting at the first submission.
     decisions : list of CostlyDecision
-        The costliest.
-    room : list of RoomUse
-        What became of room that stops made.
-    stopped : list of StoppedJob
-        Jobs that lost most by such stops.
+        Decisions that wasted the most core-seconds.
+    room : list of FreedCapacityUse
+        Use of the capacity that preemptions freed.
+    stopped : list of PreemptedJob
+        Jobs that lost the most work to preemptions.
     """
 
-    queues: list[QueueRow]
+    queues: list[QueueSummary]
     late: list[Loss]
     work: list[Loss]
-    windows: list[WindowRow]
+    windows: list[WindowSummary]
     decisions: list[CostlyDecision]
-    room: list[RoomUse]
-    stopped: list[StoppedJob]
-
-
-def account(history_by_id: Mapping[str, JobHistory]) -> Account:
-    """Return where time and core-seconds went."""
-    jobs = [job for job in history_by_id.values() if job.known_s is not None or job.is_refused]
-    size_by_id = _sizes(jobs)
-    return Account(
-        _by_queue(jobs, size_by_id),
-        _by_delay(jobs),
-        _by_outcome(jobs),
-        _by_window(jobs, size_by_id),
-        _costliest(jobs),
-        use_of_room(history_by_id),
-        stops_by_job(jobs)[:_MOST_NAMED],
+    room: list[FreedCapacityUse]
+    stopped: list[PreemptedJob]
+
+
+def build_report(history_by_id: Mapping[str, JobHistory]) -> AccountingReport:
+    """Return the accounting of time and core-seconds over all received or refused jobs."""
+    jobs = [job for job in history_by_id.values() if job.received_s is not None or job.is_refused]
+    worth_by_id = _worth_by_id(jobs)
+    return AccountingReport(
+        _queue_rows(jobs, worth_by_id),
+        _losses_by_delay(jobs),
+        _losses_by_outcome(jobs),
+        _window_rows(jobs, worth_by_id),
+        _costliest_decisions(jobs),
+        freed_capacity_use(history_by_id),
+        preempted_jobs(jobs)[:_MAX_LISTED],
     )
 
 
-def _by_queue(jobs: Iterable[JobHistory], size_by_id: Mapping[str, float]) -> list[QueueRow]:
+def _queue_rows(jobs: Iterable[JobHistory], worth_by_id: Mapping[str, float]) -> list[QueueSummary]:
     rows = []
     for queue, members in sorted(_jobs_by_queue(jobs).items()):
-        owed = [job for job in members if job.is_owed]
-        in_time = [job for job in owed if job.is_in_time]
-        late = [job for job in owed if job.phase == 'succeeded' and not job.is_in_time]
+        evaluated = [job for job in members if job.is_evaluated]
+        in_time = [job for job in evaluated if job.is_in_time]
+        late = [job for job in evaluated if job.phase == 'succeeded' and not job.is_in_time]
         cancelled = sum(job.cancelled_s is not None for job in members)
-        worth = [sum(size_by_id[job.job_id] for job in group) for group in (owed, in_time, late)]
-        not_done = len(owed) - len(in_time) - len(late)
-        rows.append(QueueRow(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
+        worth = [sum(worth_by_id[job.job_id] for job in group) for group in (evaluated, in_time, late)]
+        not_done = len(evaluated) - len(in_time) - len(late)
+        rows.append(QueueSummary(queue, len(members), len(in_time), len(late), not_done, cancelled, *worth))
     return rows
 
 
@@ -146,108 +146,112 @@
     return jobs_by_queue
 
 
-def _sizes(jobs: Iterable[JobHistory]) -> dict[str, float]:
-    """Return the worth of each job, in jobs of mean size of its queue."""
-    size_by_id = {}
+def _worth_by_id(jobs: Iterable[JobHistory]) -> dict[str, float]:
+    """Return the worth of each job, relative to a job of mean size in its queue."""
+    worth_by_id = {}
     for members in _jobs_by_queue(jobs).values():
         mean = statistics.fmean(job.core_s for job in members) or 1.0
         for job in members:
-            size = _FIXED_PART + (1 - _FIXED_PART) * job.core_s / mean
-            size_by_id[job.job_id] = min(size, _LARGEST_SIZE)
-    return size_by_id
+            job_worth = _FIXED_WORTH + (1 - _FIXED_WORTH) * job.core_s / mean
+            worth_by_id[job.job_id] = min(job_worth, _MAX_WORTH)
+    return worth_by_id
 
 
-def _by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
-    counts = Counter(_delay(job) for job in jobs if not job.is_in_time and (job.is_owed or job.known_s is None))
+def _losses_by_delay(jobs: Iterable[JobHistory]) -> list[Loss]:
+    counts = Counter(
+        _delay_cause(job) for job in jobs if not job.is_in_time and (job.is_evaluated or job.received_s is None)
+    )
     return [Loss(cause, count, 0.0) for cause, count in counts.most_common()]
 
 
-def _delay(job: JobHistory) -> str:
-    """Return what kept a job from being in time: the first that holds."""
-    if job.known_s is None:
+def _delay_cause(job: JobHistory) -> str:
+    """Return the first cause that applies to a job that was not in time."""
+    if job.received_s is None:
         return 'refused'
-    if job.known_s - job.asked_s > _LATE_TO_OWNER_S:
+    if job.received_s - job.submitted_s > _OWNER_DELAY_S:
         return 'late to the owner'
     if not job.runs:
         return 'never started'
-    causes = {run.cause for run in job.runs if run.stopped_why or run.how in {'lapsed', 'lost'}}
+    causes = {run.cause for run in job.runs if run.stop_reason or run.end_kind in {'lapsed', 'lost'}}
     if causes:
         return f'stopped: {min(causes)}'
-    last_s = max((run.ended_s for run in job.runs if run.how == 'done' and run.ended_s), default=None)
-    if last_s is not None and job.shown_s is not None and job.shown_s - last_s > _LATE_TO_SHOW_S:
+    last_s = max((run.ended_s for run in job.runs if run.end_kind == 'done' and run.ended_s), default=None)
+    if last_s is not None and job.completed_s is not None and job.completed_s - last_s > _COMPLETION_DELAY_S:
         return 'end kept late'
-    if job.runs[0].ordered_s - job.known_s > _WAITED_S:
+    if job.runs[0].ordered_s - job.received_s > _CAPACITY_WAIT_S:
         return 'waited for room'
-    if any(run.how == 'failed' for run in job.runs):
+    if any(run.end_kind == 'failed' for run in job.runs):
         return 'runs failed'
     return 'ran too long' if last_s is not None else 'not ended'
 
 
-def _by_outcome(jobs: Iterable[JobHistory]) -> list[Loss]:
+def _losses_by_outcome(jobs: Iterable[JobHistory]) -> list[Loss]:
     core_s_by_cause: dict[str, float] = defaultdict(float)
     runs_by_cause: Counter[str] = Counter()
     for job in jobs:
         for run in job.runs:
-            cause = _outcome(job, run)
+            cause = _run_outcome(job, run)
             core_s_by_cause[cause] += job.core_s_of(run)
             runs_by_cause[cause] += 1
     found = [Loss(cause, runs_by_cause[cause], core_s) for cause, core_s in core_s_by_cause.items()]
     return sorted(found, key=lambda loss: -loss.core_s)
 
 
-def _outcome(job: JobHistory, run: RunHistory) -> str:
-    if run.how == 'done':
+def _run_outcome(job: JobHistory, run: RunHistory) -> str:
+    if run.end_kind == 'done':
         return 'done'
     if run.ended_s is None:
         return 'not ended'
-    return run.cause + (_SAVED if job.saves(run) else '')
+    return run.cause + (_SAVED_SUFFIX if job.resumes_from_checkpoint(run) else '')
 
 
-def _is_thrown_away(job: JobHistory, run: RunHistory) -> bool:
-    return run.ended_s is not None and run.how != 'done' and not job.saves(run)
+def _is_wasted(job: JobHistory, run: RunHistory) -> bool:
+    return run.ended_s is not None and run.end_kind != 'done' and not job.resumes_from_checkpoint(run)
 
 
-def _by_window(jobs: list[JobHistory], size_by_id: Mapping[str, float]) -> list[WindowRow]:
-    first_s = _first_s(jobs)
+def _window_rows(jobs: list[JobHistory], worth_by_id: Mapping[str, float]) -> list[WindowSummary]:
+    first_s = _first_submission_s(jobs)
     jobs_by_window: dict[int, list[JobHistory]] = defaultdict(list)
-    lost_by_window: dict[int, float] = defaultdict(float)
+    wasted_by_window: dict[int, float] = defaultdict(float)
     for job in jobs:
-        if job.is_owed or job.known_s is None:
-            jobs_by_window[_window(job.asked_s - first_s)].append(job)
+        if job.is_evaluated or job.received_s is None:
+            jobs_by_window[_window_index(job.submitted_s - first_s)].append(job)
         for run in job.runs:
-            if run.ended_s is not None and _is_thrown_away(job, run):
-                lost_by_window[_window(run.ended_s - first_s)] += job.core_s_of(run)
+            if run.ended_s is not None and _is_wasted(job, run):
+                wasted_by_window[_window_index(run.ended_s - first_s)] += job.core_s_of(run)
     rows = []
-    for window in sorted(jobs_by_window.keys() | lost_by_window.keys()):
-        came = jobs_by_window[window]
-        in_time = [job for job in came if job.is_in_time]
-        worth, worth_in_time = (sum(size_by_id[job.job_id] for job in group) for group in (came, in_time))
-        lost = lost_by_window[window]
-        rows.append(WindowRow(window * _WINDOW_S, len(came), len(in_time), worth, worth_in_time, lost))
+    for window in sorted(jobs_by_window.keys() | wasted_by_window.keys()):
+        submitted = jobs_by_window[window]
+        in_time = [job for job in submitted if job.is_in_time]
+        worth, worth_in_time = (sum(worth_by_id[job.job_id] for job in group) for group in (submitted, in_time))
+        wasted_core_s = wasted_by_window[window]
+        rows.append(
+            WindowSummary(window * _WINDOW_S, len(submitted), len(in_time), worth, worth_in_time, wasted_core_s)
+        )
     return rows
 
 
-def _first_s(jobs: list[JobHistory]) -> float:
-    """Return when the first job was asked for, seconds since 1970."""
-    return min((job.asked_s for job in jobs), default=0.0)
+def _first_submission_s(jobs: list[JobHistory]) -> float:
+    """Return the time of the first submission, in seconds since 1970."""
+    return min((job.submitted_s for job in jobs), default=0.0)
 
 
-def _window(after_s: float) -> int:
-    return int(after_s // _WINDOW_S)
+def _window_index(elapsed_s: float) -> int:
+    return int(elapsed_s // _WINDOW_S)
 
 
-def _costliest(jobs: list[JobHistory]) -> list[CostlyDecision]:
-    """Return the stops that threw most away; those for one reason count as one decision."""
-    first_s = _first_s(jobs)
+def _costliest_decisions(jobs: list[JobHistory]) -> list[CostlyDecision]:
+    """Return the stops that wasted the most work; stops for the same reason count as one decision."""
+    first_s = _first_submission_s(jobs)
     runs_by_reason: dict[str, list[tuple[JobHistory, RunHistory]]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stopped_why and _is_thrown_away(job, run):
-                reason = run.stopped_why if ' for ' in run.stopped_why else f'{run.stopped_why}: {job.job_id}'
+            if run.stop_reason and _is_wasted(job, run):
+                reason = run.stop_reason if ' for ' in run.stop_reason else f'{run.stop_reason}: {job.job_id}'
                 runs_by_reason[reason].append((job, run))
     found = [
         CostlyDecision(
-            min(run.stopped_s for _, run in pairs) - first_s,
+            min(run.stop_ordered_s for _, run in pairs) - first_s,
             why,
             len(pairs),
             sum(job.core_s_of(run) for job, run in pairs),
@@ -255,4 +259,4 @@
         )
         for why, pairs in runs_by_reason.items()
     ]
-    return sorted(found, key=lambda decision: -decision.core_s)[:_MOST_NAMED]
+    return sorted(found, key=lambda decision: -decision.core_s)[:_MAX_LISTED]
--- a/packages/cli/dahliaarch_cli/explaining.py
+++ b/packages/cli/dahliaarch_cli/explaining.py
@@ -1,4 +1,4 @@
-"""Tells from log lines what became of a job."""
+"""Explains the course of a job from log lines."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -12,13 +12,13 @@
     Parameters
     ----------
     at_s : float
-        When it was written, seconds since 1970.
+        Time at which the line was written, in seconds since 1970.
     instance : str
-        Which instance wrote it.
+        Instance that wrote the line.
     event : str
-        What it is about.
+        Name of the event.
     fields : dict
-        The whole line.
+        All fields of the line.
     """
 
     at_s: float
@@ -27,7 +27,7 @@
     fields: dict[str, Any]
 
 
-_SENTENCE_BY_EVENT = {
+_TEMPLATE_BY_EVENT = {
     'request_answered': "a caller's {operation} was answered {status} after {took_s} s (configuration {configuration})",
     'job_rejected': 'the job was refused as malformed: {why}',
     'job_known': 'the owner learnt of the job on queue {queue} (store revision {revision})',
@@ -58,11 +58,11 @@
 }
 
 
-_ENDS = frozenset(('run_ended', 'run_lost'))
+_RUN_END_EVENTS = frozenset(('run_ended', 'run_lost'))
 
 
-def read_lines(path: Path) -> Iterator[LogLine]:
-    """Yield the log lines of a file; other lines are passed over."""
+def read_log_lines(path: Path) -> Iterator[LogLine]:
+    """Yield the log lines of a file; lines that are not JSON log lines are skipped."""
     with path.open(encoding='utf-8') as lines:
         for text in lines:
             try:
@@ -74,25 +74,25 @@
 
 
 def explain_job(job_id: str, lines: Iterable[LogLine], *, as_json: bool = False) -> Iterator[str]:
-    """Yield what the lines say of a job, in order of time, and what they don't."""
-    about = sorted((line for line in lines if _is_about(line, job_id)), key=lambda line: line.at_s)
+    """Yield sentences on a job in chronological order, then those on information missing from the logs."""
+    relevant = sorted((line for line in lines if _concerns_job(line, job_id)), key=lambda line: line.at_s)
     if as_json:
-        for line in about:
+        for line in relevant:
             yield json.dumps(line.fields)
         return
-    for line in about:
-        yield f'{line.at_s:.3f} {line.instance}: {_sentence(line)}'
-    yield from _gaps(about)
+    for line in relevant:
+        yield f'{line.at_s:.3f} {line.instance}: {_describe(line)}'
+    yield from _missing_information(relevant)
 
 
-def _sentence(line: LogLine) -> str:
-    pattern = _SENTENCE_BY_EVENT.get(line.event)
-    if pattern is None:
+def _describe(line: LogLine) -> str:
+    template = _TEMPLATE_BY_EVENT.get(line.event)
+    if template is None:
         return f'{line.event} {json.dumps(line.fields)}'
-    return pattern.format_map(line.fields)
+    return template.format_map(line.fields)
 
 
-def _is_about(line: LogLine, job_id: str) -> bool:
+def _concerns_job(line: LogLine, job_id: str) -> bool:
     task = line.fields.get('task')
     if isinstance(task, list) and task and task[0] == job_id:
         return True
@@ -101,8 +101,8 @@
     return any(job_id in str(line.fields.get(name, '')) for name in ('target', 'key', 'why'))
 
 
-def _gaps(lines: list[LogLine]) -> Iterator[str]:
-    """Yield what the lines do not say."""
+def _missing_information(lines: list[LogLine]) -> Iterator[str]:
+    """Yield sentences on information about a job that the log lines do not contain."""
     events = {line.event for line in lines}
     if not lines:
         yield 'not known: no line names this job; it was never received, or the logs are of other instances or times'
@@ -112,15 +112,15 @@
     if 'job_known' not in events:
         yield 'not known: whether an owner learnt of the job; it was refused, or the log of the owner is missing'
     if 'job_known' in events and 'run_ordered' not in events:
-        yield f'nothing of it was started in this time: {_last_reason(lines)}'
+        yield f'nothing of it was started in this time: {_last_wait_reason(lines)}'
     ordered = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event == 'run_ordered'}
-    ended = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event in _ENDS}
+    ended = {(tuple(line.fields['task']), line.fields['run']) for line in lines if line.event in _RUN_END_EVENTS}
     for task, run in sorted(ordered - ended):
         yield f'not known: how run {run} of task {list(task)} ended'
 
 
-def _last_reason(lines: list[LogLine]) -> str:
-    """Return what last kept a step of a job from being started, as far as the lines tell."""
+def _last_wait_reason(lines: list[LogLine]) -> str:
+    """Return the last wait reason logged for a step of a job, or a hint where to look if none was logged."""
     waiting = [line for line in lines if line.event == 'step_waiting']
     if not waiting:
         return 'see its queue in the status, and what else ran'
--- a/packages/cli/dahliaarch_cli/printing.py
+++ b/packages/cli/dahliaarch_cli/printing.py
@@ -1,4 +1,4 @@
-"""Tables that are read at 80 columns."""
+"""Tables for terminals of 80 columns."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,7 +12,7 @@
 
 
 def print_table(name: str, rows: object) -> None:
-    """Print one row each; a plain value as it is."""
+    """Print a list of mappings as a table; any other value on one line."""
     if not isinstance(rows, list):
         _console.print(f'{name}: {rows}')
         return
@@ -21,44 +21,44 @@
     for column in columns:
         table.add_column(column.replace('_', ' '), overflow='fold')
     for row in rows:
-        table.add_row(*(_text(row[column]) for column in columns))
+        table.add_row(*(_format_cell(row[column]) for column in columns))
     _console.print(table)
 
 
-def print_columns(name: str, rows: Sequence[Mapping[str, object]], head: str) -> None:
-    """Print one column each, under what names it, for rows of many measures."""
-    table = Table('', *(_text(row[head]) for row in rows), title=name)
+def print_transposed(name: str, rows: Sequence[Mapping[str, object]], heading: str) -> None:
+    """Print a transposed table: one column per row, headed by its value for the key `heading`."""
+    table = Table('', *(_format_cell(row[heading]) for row in rows), title=name)
     for measure in rows[0]:
-        if measure != head:
-            table.add_row(measure, *(_text(row[measure]) for row in rows))
+        if measure != heading:
+            table.add_row(measure, *(_format_cell(row[measure]) for row in rows))
     _console.print(table)
 
 
 def print_gap(gap: Gap) -> None:
-    """Print what no scheduler could exceed, what was reached, and what each cause cost."""
+    """Print the upper bound for any scheduler, the value reached and the loss by cause."""
     table = Table('cause', 'worth lost', 'thrown away', title=f'bound {gap.bound:.3f}, reached {gap.net:.3f}')
     for loss in gap.losses:
-        table.add_row(loss.cause, _text(loss.worth), _text(loss.waste))
+        table.add_row(loss.cause, _format_cell(loss.worth), _format_cell(loss.waste))
     table.add_section()
     worth, waste = (sum(losses) for losses in zip(*((loss.worth, loss.waste) for loss in gap.losses), strict=True))
-    table.add_row('all', _text(worth), _text(waste))
-    table.add_row('beyond any scheduler', _text(gap.beyond_reach), '')
+    table.add_row('all', _format_cell(worth), _format_cell(waste))
+    table.add_row('beyond any scheduler', _format_cell(gap.beyond_reach), '')
     _console.print(table)
 
 
 def print_effects(effects: Sequence[Effect]) -> None:
-    """Print what each mechanism is worth, and the margin, by deployment."""
+    """Print the gain of each mechanism with its margin, by deployment."""
     deployments = list(dict.fromkeys(effect.deployment for effect in effects))
-    text_by_place = {
+    cell_by_key = {
         (effect.mechanism, effect.deployment): f'{effect.gain:+.3f}±{effect.margin:.3f}' for effect in effects
     }
     table = Table('worth of', *deployments, title=f'{effects[0].days} days each', box=box.SIMPLE)
     for mechanism in dict.fromkeys(effect.mechanism for effect in effects):
-        table.add_row(mechanism, *(text_by_place[mechanism, deployment] for deployment in deployments))
+        table.add_row(mechanism, *(cell_by_key[mechanism, deployment] for deployment in deployments))
     _console.print(table)
 
 
-def _text(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     if isinstance(cell, (tuple, list)):
         return ' '.join(str(part) for part in cell)
     return f'{cell:.3f}' if isinstance(cell, float) else str(cell)
