--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -15,11 +15,11 @@
 class _Session:
     def __init__(self, workers, address, worker_id, fence):
         self._workers = workers
-        self._whom = (address, worker_id)
+        self._address_and_id = (address, worker_id)
         self._fence = fence
 
     async def survey(self, *, cancellation=None, **options):
-        call = asyncio.ensure_future(self._workers.survey(*self._whom, fence=self._fence, **options))
+        call = asyncio.ensure_future(self._workers.survey(*self._address_and_id, fence=self._fence, **options))
         awaited = {call} if cancellation is None else {call, cancellation}
         try:
             await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
@@ -30,10 +30,10 @@
         raise WorkerUnansweredError('given up')
 
     async def start(self, order, *, timeout_s):
-        return await self._workers.start(*self._whom, order, fence=self._fence, timeout_s=timeout_s)
+        return await self._workers.start(*self._address_and_id, order, fence=self._fence, timeout_s=timeout_s)
 
     async def stop(self, key, run, *, timeout_s):
-        return await self._workers.stop(*self._whom, key, run, self._fence, timeout_s=timeout_s)
+        return await self._workers.stop(*self._address_and_id, key, run, self._fence, timeout_s=timeout_s)
 
     def close(self):
         """Nothing is kept."""
