--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -22,7 +22,7 @@
 from ..messages import AdviceFailed, AdviceGiven
 
 DECISION_S = 0.5
-PLAYED_S = 6.0
+DURATION_S = 6.0
 TERMS = AdviceTerms(decision_s=DECISION_S, per_worker_s=0.0, valid_s=1.5)
 
 
@@ -63,7 +63,7 @@
             tasks.start_soon(dispatcher.run)
             for number in range(10):
                 dispatcher.ask(AskAdvice(StepKey(f'{number:016x}', 0, 0), ('w0',), TERMS))
-            await anyio.sleep(PLAYED_S)
+            await anyio.sleep(DURATION_S)
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
