--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -31,7 +31,7 @@
 
     def __init__(self, tasks):
         self._tasks = tasks
-        self._is_free = anyio.Lock()
+        self._lock = anyio.Lock()
 
     async def ask(self, step, worker_ids, timeout_s):
         answered = anyio.Event()
@@ -42,7 +42,7 @@
         raise AdviceUnavailableError('no answer')
 
     async def _decide(self, answered):
-        async with self._is_free:
+        async with self._lock:
             await anyio.sleep(DECISION_S)
         answered.set()
 
