--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -48,14 +48,14 @@
 
 
 def test_an_owner_that_knows_one_way_to_ask_gets_an_answer_to_each_question():
-    found = []
+    outcomes = []
 
     async def scenario():
         async with anyio.create_task_group() as tasks:
             policy = Policy(tasks)
 
             def take(message):
-                found.append(message)
+                outcomes.append(message)
                 if isinstance(message, AdviceFailed):
                     dispatcher.ask(AskAdvice(message.step, ('w0',), TERMS))
 
@@ -68,5 +68,5 @@
 
     anyio.run(scenario)
     # It decides on twelve in this time.
-    assert sum(isinstance(message, AdviceGiven) for message in found) == 10
-    assert not any(isinstance(message, AdviceFailed) for message in found)
+    assert sum(isinstance(message, AdviceGiven) for message in outcomes) == 10
+    assert not any(isinstance(message, AdviceFailed) for message in outcomes)
