--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -54,12 +54,12 @@
         async with anyio.create_task_group() as tasks:
             policy = Policy(tasks)
 
-            def take(message):
+            def post(message):
                 outcomes.append(message)
                 if isinstance(message, AdviceFailed):
                     dispatcher.ask(AskAdvice(message.step, ('w0',), TERMS))
 
-            dispatcher = AdviceDispatcher(lambda: [policy.ask], take, str, time.monotonic)
+            dispatcher = AdviceDispatcher(lambda: [policy.ask], post, str, time.monotonic)
             tasks.start_soon(dispatcher.run)
             for number in range(10):
                 dispatcher.ask(AskAdvice(StepKey(f'{number:016x}', 0, 0), ('w0',), TERMS))
