--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -47,7 +47,7 @@
         answered.set()
 
 
-def test_an_owner_that_knows_one_way_to_ask_gets_an_answer_to_each_question():
+def test_an_owner_with_a_single_asker_gets_an_answer_to_every_question():
     outcomes = []
 
     async def scenario():
