--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -41,13 +41,13 @@
 TASK = TaskKey(LAST, 0, 0, 0)
 
 
-def key_of(job_id):
+def assignments_key_of(job_id):
     return assignments_key(AssignmentsPart(job_id, 0, 0, 0))
 
 
 def assigned(worker_id):
     kept = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
-    return Item(key_of(LAST), encode(kept), 3)
+    return Item(assignments_key_of(LAST), encode(kept), 3)
 
 
 def assigner(revision=4):
@@ -72,7 +72,7 @@
         ([assigner(), assigned('gone')], [('w1', TASK)]),
         ([assigned('w1')], []),
         ([assigner(1), assigned('w1')], []),
-        ([assigner(), assigned('w1'), Item(key_of(NEW), b'\xc1', 3)], []),
+        ([assigner(), assigned('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
     ],
     ids=[
         'assigned nowhere',
@@ -126,7 +126,7 @@
         for key in removals:
             self.item_by_key.pop(key, None)
         if any(write.key.startswith(ROSTER_PREFIX) for write in writes):
-            self.assigned_at_roster.append(key_of(NEW) in self.item_by_key)
+            self.assigned_at_roster.append(assignments_key_of(NEW) in self.item_by_key)
         return CommitResult(CommitStatus.DONE, self.revision)
 
     def claim(self, epoch):
@@ -142,7 +142,7 @@
         self.held = []
 
     async def start(self, address, incarnation, order, **options):
-        kept = self.store.item_by_key.get(key_of(order.key.job_id))
+        kept = self.store.item_by_key.get(assignments_key_of(order.key.job_id))
         runs = () if kept is None else decode(kept.value, StepAssignments, 'assignments').runs
         self.held.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
         self.held.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
@@ -221,7 +221,7 @@
 
     store, workers = play(scenario, [worker_entry('w0')])
     assert not workers.starts
-    assert key_of(NEW) not in store.item_by_key
+    assert assignments_key_of(NEW) not in store.item_by_key
 
 
 def test_an_owner_that_was_replaced_sends_no_start():
@@ -240,12 +240,12 @@
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await until(lambda: workers.starts, 2.0)
-        assert key_of(NEW) in store.item_by_key
+        assert assignments_key_of(NEW) in store.item_by_key
         owner.post(JobCancelled(NEW))
-        await until(lambda: key_of(NEW) not in store.item_by_key, 2.0)
+        await until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
 
     store, _ = play(scenario, [worker_entry('w0')])
-    assert key_of(NEW) not in store.item_by_key
+    assert assignments_key_of(NEW) not in store.item_by_key
 
 
 def test_a_worker_is_taken_off_the_roster_after_the_assignments_of_its_tasks():
