--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -45,7 +45,7 @@
     return assignments_key(AssignmentsPart(job_id, 0, 0, 0))
 
 
-def assigned(worker_id):
+def assignments_item(worker_id):
     kept = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
     return Item(assignments_key_of(LAST), encode(kept), 3)
 
@@ -67,12 +67,12 @@
     ('items', 'starts'),
     [
         ([assigner()], [('w1', TASK)]),
-        ([assigner(), assigned('w0')], []),
-        ([assigner(), assigned('w1')], [('w1', TASK)]),
-        ([assigner(), assigned('gone')], [('w1', TASK)]),
-        ([assigned('w1')], []),
-        ([assigner(1), assigned('w1')], []),
-        ([assigner(), assigned('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
+        ([assigner(), assignments_item('w0')], []),
+        ([assigner(), assignments_item('w1')], [('w1', TASK)]),
+        ([assigner(), assignments_item('gone')], [('w1', TASK)]),
+        ([assignments_item('w1')], []),
+        ([assigner(1), assignments_item('w1')], []),
+        ([assigner(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
     ],
     ids=[
         'assigned nowhere',
