--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -50,7 +50,7 @@
     return Item(assignments_key_of(LAST), encode(kept), 3)
 
 
-def assigner(revision=4):
+def assigner_item(revision=4):
     return Item(ASSIGNER_KEY, encode(EPOCH - 10), revision)
 
 
@@ -66,13 +66,13 @@
 @pytest.mark.parametrize(
     ('items', 'starts'),
     [
-        ([assigner()], [('w1', TASK)]),
-        ([assigner(), assignments_item('w0')], []),
-        ([assigner(), assignments_item('w1')], [('w1', TASK)]),
-        ([assigner(), assignments_item('gone')], [('w1', TASK)]),
+        ([assigner_item()], [('w1', TASK)]),
+        ([assigner_item(), assignments_item('w0')], []),
+        ([assigner_item(), assignments_item('w1')], [('w1', TASK)]),
+        ([assigner_item(), assignments_item('gone')], [('w1', TASK)]),
         ([assignments_item('w1')], []),
-        ([assigner(1), assignments_item('w1')], []),
-        ([assigner(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
+        ([assigner_item(1), assignments_item('w1')], []),
+        ([assigner_item(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
     ],
     ids=[
         'assigned nowhere',
