--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -60,7 +60,7 @@
     return workers
 
 
-KEPT = (roster('w0'), worker_entry('w0'), worker_entry('w1'))
+WORKER_ITEMS = (roster('w0'), worker_entry('w0'), worker_entry('w1'))
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
     # All jobs of previous owners waited for every silent worker: up to 8 s beside an idle pool.
     workers = silent_workers('w0')
-    store = KeptStore([kept_job(LAST, time.time()), *KEPT, *items])
+    store = KeptStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == starts
 
