--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -54,9 +54,9 @@
     return Item(ASSIGNER_KEY, encode(EPOCH - 10), revision)
 
 
-def silent_workers(*silent):
+def silent_workers(*silent_ids):
     workers = Workers()
-    workers.silent_until_s = dict.fromkeys(silent, float('inf'))
+    workers.silent_until_s = dict.fromkeys(silent_ids, float('inf'))
     return workers
 
 
