--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -99,7 +99,7 @@
         super().__init__(items)
         self.item_by_key = {item.key: item for item in items}
         self.revision = EPOCH + 1000
-        self.refuses = False
+        self.refuses_writes = False
         # What is assigned when a roster is written.
         self.assigned_at_roster = []
 
@@ -115,7 +115,7 @@
         return Page(tuple(item for item in self.items if item.key.startswith(prefix)), self.revision)
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
-        if self.refuses:
+        if self.refuses_writes:
             raise StoreRefusedError('down')
         present = {row.key: self.item_by_key[row.key] for row in conditions if row.key in self.item_by_key}
         if any((present[row.key].revision if row.key in present else 0) != row.revision for row in conditions):
@@ -195,11 +195,11 @@
     sent = []
 
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.5)
         sent.append(len(workers.starts))
-        store.refuses = False
+        store.refuses_writes = False
         await until(lambda: workers.starts, 2.0)
         await anyio.sleep(0.1)
         sent.append(len(workers.starts))
@@ -210,12 +210,12 @@
 
 def test_a_start_is_not_sent_once_its_job_was_cancelled_while_it_was_held():
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(JobCancelled(NEW))
         await anyio.sleep(0.1)
-        store.refuses = False
+        store.refuses_writes = False
         await until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
@@ -266,12 +266,12 @@
     crashes = []
 
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(WorkerOver('w0'))
         await anyio.sleep(0.1)
-        store.refuses = False
+        store.refuses_writes = False
         await anyio.sleep(0.5)
         step = owner.scheduler.job_by_id[NEW].step_by_key[0, 0]
         crashes.append((step.crashes_by_index, step.pending))
@@ -283,14 +283,14 @@
 
 def test_a_start_that_is_held_for_a_worker_that_falls_silent_goes_to_another():
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         (run,) = owner.scheduler.job_by_id[NEW].runs()
         workers.silent_until_s[run.worker_id] = float('inf')
         owner.post(WorkerSilent(run.worker_id))
         await anyio.sleep(0.1)
-        store.refuses = False
+        store.refuses_writes = False
         await until(lambda: workers.starts, 2.0)
         assert [worker for worker, _ in workers.starts] == [{'w0': 'w1', 'w1': 'w0'}[run.worker_id]]
 
