--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -101,7 +101,7 @@
         self.revision = EPOCH + 1000
         self.refuses_writes = False
         # What is assigned when a roster is written.
-        self.assigned_at_roster = []
+        self.has_assignments_at_roster_write = []
 
     @property
     def items(self):
@@ -126,7 +126,7 @@
         for key in removals:
             self.item_by_key.pop(key, None)
         if any(write.key.startswith(ROSTER_PREFIX) for write in writes):
-            self.assigned_at_roster.append(assignments_key_of(NEW) in self.item_by_key)
+            self.has_assignments_at_roster_write.append(assignments_key_of(NEW) in self.item_by_key)
         return CommitResult(CommitStatus.DONE, self.revision)
 
     def claim(self, epoch):
@@ -253,12 +253,12 @@
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await until(lambda: workers.starts, 2.0)
-        store.assigned_at_roster.clear()
+        store.has_assignments_at_roster_write.clear()
         owner.post(WorkerOver('w0'))
-        await until(lambda: store.assigned_at_roster, 2.0)
+        await until(lambda: store.has_assignments_at_roster_write, 2.0)
 
     store, _ = play(scenario, [worker_entry('w0')])
-    assert store.assigned_at_roster == [False]
+    assert store.has_assignments_at_roster_write == [False]
 
 
 def test_a_worker_does_not_crash_under_a_start_that_is_held():
