--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -117,9 +117,11 @@
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         if self.refuses_writes:
             raise StoreRefusedError('down')
-        present = {row.key: self.item_by_key[row.key] for row in conditions if row.key in self.item_by_key}
-        if any((present[row.key].revision if row.key in present else 0) != row.revision for row in conditions):
-            return CommitResult(CommitStatus.CONDITION_FAILED, current=tuple(present.values()))
+        current_by_key = {row.key: self.item_by_key[row.key] for row in conditions if row.key in self.item_by_key}
+        if any(
+            (current_by_key[row.key].revision if row.key in current_by_key else 0) != row.revision for row in conditions
+        ):
+            return CommitResult(CommitStatus.CONDITION_FAILED, current=tuple(current_by_key.values()))
         self.revision += 1
         for write in writes:
             self.item_by_key[write.key] = Item(write.key, write.value, self.revision)
