--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -135,7 +135,7 @@
         self.item_by_key[OWNER_KEY] = Item(OWNER_KEY, b'', epoch)
 
 
-class NotingWorkers(Workers):
+class RecordingWorkers(Workers):
     """Workers that note what the store held when a start came."""
 
     def __init__(self, store):
@@ -170,7 +170,7 @@
     """Run a scenario with an owner that has taken a pool over."""
     store = ConditionalStore(items)
     store.claim(EPOCH)
-    workers = NotingWorkers(store)
+    workers = RecordingWorkers(store)
 
     async def run():
         async with anyio.create_task_group() as tasks:
