--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -141,14 +141,14 @@
     def __init__(self, store):
         super().__init__()
         self.store = store
-        self.held = []
+        self.checks_at_start = []
 
     async def start(self, address, incarnation, order, **options):
         kept = self.store.item_by_key.get(assignments_key_of(order.key.job_id))
         runs = () if kept is None else decode(kept.value, StepAssignments, 'assignments').runs
-        self.held.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
-        self.held.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
-        self.held.append(ASSIGNER_KEY in self.store.item_by_key)
+        self.checks_at_start.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
+        self.checks_at_start.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
+        self.checks_at_start.append(ASSIGNER_KEY in self.store.item_by_key)
         return await super().start(address, incarnation, order, **options)
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
@@ -190,7 +190,7 @@
         await until(lambda: workers.starts, 2.0)
 
     _, workers = play(scenario, [worker_entry('w0')])
-    assert workers.held == [True, True, True]
+    assert workers.checks_at_start == [True, True, True]
 
 
 def test_no_start_is_sent_while_the_store_refuses_writes_and_each_is_once_it_takes_them():
