--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -155,7 +155,7 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-def owner_of(epoch, store, workers):
+def make_owner(epoch, store, workers):
     settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(retry_s=0.02))
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
@@ -174,7 +174,7 @@
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            owner = owner_of(EPOCH, store, workers)
+            owner = make_owner(EPOCH, store, workers)
             tasks.start_soon(owner.run)
             await until(lambda: owner.is_ready, 5.0)
             await scenario(owner, store, workers)
