--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -160,7 +160,7 @@
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
-async def until(holds, within_s):
+async def wait_until(holds, within_s):
     with anyio.move_on_after(within_s):
         while not holds():
             await anyio.sleep(0.01)
@@ -176,7 +176,7 @@
         async with anyio.create_task_group() as tasks:
             owner = make_owner(EPOCH, store, workers)
             tasks.start_soon(owner.run)
-            await until(lambda: owner.is_ready, 5.0)
+            await wait_until(lambda: owner.is_ready, 5.0)
             await scenario(owner, store, workers)
             tasks.cancel_scope.cancel()
 
@@ -187,7 +187,7 @@
 def test_a_start_is_sent_only_once_the_store_holds_its_assignment():
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
 
     _, workers = play(scenario, [worker_entry('w0')])
     assert workers.checks_at_start == [True, True, True]
@@ -202,7 +202,7 @@
         await anyio.sleep(0.5)
         sent.append(len(workers.starts))
         store.refuses_writes = False
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
         await anyio.sleep(0.1)
         sent.append(len(workers.starts))
 
@@ -218,7 +218,7 @@
         owner.post(JobCancelled(NEW))
         await anyio.sleep(0.1)
         store.refuses_writes = False
-        await until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
+        await wait_until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
     store, workers = play(scenario, [worker_entry('w0')])
@@ -231,7 +231,7 @@
     async def scenario(owner, store, workers):
         store.claim(EPOCH + 1)
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: owner.is_deposed, 2.0)
+        await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
     _, workers = play(scenario, [worker_entry('w0')])
@@ -241,10 +241,10 @@
 def test_the_assignments_of_a_job_are_removed_with_its_end():
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
         assert assignments_key_of(NEW) in store.item_by_key
         owner.post(JobCancelled(NEW))
-        await until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
+        await wait_until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
 
     store, _ = play(scenario, [worker_entry('w0')])
     assert assignments_key_of(NEW) not in store.item_by_key
@@ -254,10 +254,10 @@
     # Else a next owner finds a task assigned to a worker that nobody knows, and can not tell why.
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
         store.has_assignments_at_roster_write.clear()
         owner.post(WorkerOver('w0'))
-        await until(lambda: store.has_assignments_at_roster_write, 2.0)
+        await wait_until(lambda: store.has_assignments_at_roster_write, 2.0)
 
     store, _ = play(scenario, [worker_entry('w0')])
     assert store.has_assignments_at_roster_write == [False]
@@ -293,7 +293,7 @@
         owner.post(WorkerSilent(run.worker_id))
         await anyio.sleep(0.1)
         store.refuses_writes = False
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
         assert [worker for worker, _ in workers.starts] == [{'w0': 'w1', 'w1': 'w0'}[run.worker_id]]
 
     play(scenario, [worker_entry('w0'), worker_entry('w1')])
