--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -166,7 +166,7 @@
             await anyio.sleep(0.01)
 
 
-def play(scenario, items):
+def run_scenario(scenario, items):
     """Run a scenario with an owner that has taken a pool over."""
     store = ConditionalStore(items)
     store.claim(EPOCH)
@@ -189,7 +189,7 @@
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
 
-    _, workers = play(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
     assert workers.checks_at_start == [True, True, True]
 
 
@@ -206,7 +206,7 @@
         await anyio.sleep(0.1)
         sent.append(len(workers.starts))
 
-    play(scenario, [worker_entry('w0')])
+    run_scenario(scenario, [worker_entry('w0')])
     assert sent == [0, 1]
 
 
@@ -221,7 +221,7 @@
         await wait_until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
-    store, workers = play(scenario, [worker_entry('w0')])
+    store, workers = run_scenario(scenario, [worker_entry('w0')])
     assert not workers.starts
     assert assignments_key_of(NEW) not in store.item_by_key
 
@@ -234,7 +234,7 @@
         await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
-    _, workers = play(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
     assert not workers.starts
 
 
@@ -246,7 +246,7 @@
         owner.post(JobCancelled(NEW))
         await wait_until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
 
-    store, _ = play(scenario, [worker_entry('w0')])
+    store, _ = run_scenario(scenario, [worker_entry('w0')])
     assert assignments_key_of(NEW) not in store.item_by_key
 
 
@@ -259,7 +259,7 @@
         owner.post(WorkerOver('w0'))
         await wait_until(lambda: store.has_assignments_at_roster_write, 2.0)
 
-    store, _ = play(scenario, [worker_entry('w0')])
+    store, _ = run_scenario(scenario, [worker_entry('w0')])
     assert store.has_assignments_at_roster_write == [False]
 
 
@@ -278,7 +278,7 @@
         step = owner.scheduler.job_by_id[NEW].step_by_key[0, 0]
         crashes.append((step.crashes_by_index, step.pending))
 
-    _, workers = play(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
     assert crashes == [({}, {0})]
     assert not workers.starts
 
@@ -296,4 +296,4 @@
         await wait_until(lambda: workers.starts, 2.0)
         assert [worker for worker, _ in workers.starts] == [{'w0': 'w1', 'w1': 'w0'}[run.worker_id]]
 
-    play(scenario, [worker_entry('w0'), worker_entry('w1')])
+    run_scenario(scenario, [worker_entry('w0'), worker_entry('w1')])
