--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -160,9 +160,9 @@
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
-async def wait_until(holds, within_s):
+async def wait_until(condition, within_s):
     with anyio.move_on_after(within_s):
-        while not holds():
+        while not condition():
             await anyio.sleep(0.01)
 
 
