--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -46,8 +46,8 @@
 
 
 def assignments_item(worker_id):
-    kept = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
-    return Item(assignments_key_of(LAST), encode(kept), 3)
+    stored = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
+    return Item(assignments_key_of(LAST), encode(stored), 3)
 
 
 def assigner_item(revision=4):
@@ -144,8 +144,8 @@
         self.checks_at_start = []
 
     async def start(self, address, incarnation, order, **options):
-        kept = self.store.item_by_key.get(assignments_key_of(order.key.job_id))
-        runs = () if kept is None else decode(kept.value, StepAssignments, 'assignments').runs
+        stored = self.store.item_by_key.get(assignments_key_of(order.key.job_id))
+        runs = () if stored is None else decode(stored.value, StepAssignments, 'assignments').runs
         self.checks_at_start.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
         self.checks_at_start.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
         self.checks_at_start.append(ASSIGNER_KEY in self.store.item_by_key)
