--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -194,20 +194,20 @@
 
 
 def test_no_start_is_sent_while_the_store_refuses_writes_and_each_is_once_it_takes_them():
-    sent = []
+    start_counts = []
 
     async def scenario(owner, store, workers):
         store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.5)
-        sent.append(len(workers.starts))
+        start_counts.append(len(workers.starts))
         store.refuses_writes = False
         await wait_until(lambda: workers.starts, 2.0)
         await anyio.sleep(0.1)
-        sent.append(len(workers.starts))
+        start_counts.append(len(workers.starts))
 
     run_scenario(scenario, [worker_entry('w0')])
-    assert sent == [0, 1]
+    assert start_counts == [0, 1]
 
 
 def test_a_start_is_not_sent_once_its_job_was_cancelled_while_it_was_held():
