--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -117,9 +117,14 @@
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         if self.refuses_writes:
             raise StoreRefusedError('down')
-        current_by_key = {row.key: self.item_by_key[row.key] for row in conditions if row.key in self.item_by_key}
+        current_by_key = {
+            condition.key: self.item_by_key[condition.key]
+            for condition in conditions
+            if condition.key in self.item_by_key
+        }
         if any(
-            (current_by_key[row.key].revision if row.key in current_by_key else 0) != row.revision for row in conditions
+            (current_by_key[condition.key].revision if condition.key in current_by_key else 0) != condition.revision
+            for condition in conditions
         ):
             return CommitResult(CommitStatus.CONDITION_FAILED, current=tuple(current_by_key.values()))
         self.revision += 1
