--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -198,7 +198,7 @@
     assert workers.checks_at_start == [True, True, True]
 
 
-def test_no_start_is_sent_while_the_store_refuses_writes_and_each_is_once_it_takes_them():
+def test_starts_are_held_while_the_store_refuses_writes_and_sent_once_afterwards():
     start_counts = []
 
     async def scenario(owner, store, workers):
