--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -255,7 +255,7 @@
     assert assignments_key_of(NEW) not in store.item_by_key
 
 
-def test_a_worker_is_taken_off_the_roster_after_the_assignments_of_its_tasks():
+def test_a_worker_is_removed_from_the_roster_after_the_assignments_of_its_tasks():
     # Else a next owner finds a task assigned to a worker that nobody knows, and can not tell why.
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
