--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -268,7 +268,7 @@
     assert store.has_assignments_at_roster_write == [False]
 
 
-def test_a_worker_does_not_crash_under_a_start_that_is_held():
+def test_no_crash_is_counted_for_a_held_start():
     # A task that was never sent to three workers that crashed would be given up for it.
     crashes = []
 
