--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -288,7 +288,7 @@
     assert not workers.starts
 
 
-def test_a_start_that_is_held_for_a_worker_that_falls_silent_goes_to_another():
+def test_a_held_start_for_a_worker_that_falls_silent_moves_to_another():
     async def scenario(owner, store, workers):
         store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
