--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -63,11 +63,11 @@
         self.host = number
 
 
-def commit(own, *others):
+def commit(own_store, *others):
     peers = Peers(*others)
 
     async def run():
-        committer = Committer(own, lambda: relays(peers, peers))
+        committer = Committer(own_store, lambda: relays(peers, peers))
         return await committer.commit((CONDITION,), (WRITE,), ('gone',), timeout_s=0.6)
 
     return anyio.run(run)
