--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -63,8 +63,8 @@
         self.host = number
 
 
-def commit(own_store, *others):
-    peers = Peers(*others)
+def commit(own_store, *other_stores):
+    peers = Peers(*other_stores)
 
     async def run():
         committer = Committer(own_store, lambda: relays(peers, peers))
@@ -103,10 +103,10 @@
 
 
 def test_two_other_instances_are_tried_at_most():
-    others = [Store(StoreRefusedError('503')) for _ in range(5)]
+    other_stores = [Store(StoreRefusedError('503')) for _ in range(5)]
     with pytest.raises(StoreRefusedError):
-        commit(Store(StoreRefusedError('503')), *others)
-    assert sum(len(each.commits) for each in others) == 2
+        commit(Store(StoreRefusedError('503')), *other_stores)
+    assert sum(len(each.commits) for each in other_stores) == 2
 
 
 def test_an_instance_says_what_it_does_not_know():
