--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize('refusal', [StoreRefusedError('503'), StoreUnreachableError('reset')])
 @pytest.mark.parametrize('answer', [DONE, FAILED])
-def test_starts_are_not_held_while_the_store_turns_only_the_owner_away(refusal, answer):
+def test_a_transaction_is_relayed_while_the_store_refuses_only_the_owner(refusal, answer):
     # Until its lease had ended, 2.2 s later, nothing that it decided was kept, and nothing was started.
     other = Store(answer)
     assert commit(Store(refusal), other) == answer
