--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -82,7 +82,7 @@
     assert other.commits == [((CONDITION,), (WRITE,), ('gone',))]
 
 
-def test_a_transaction_without_an_answer_is_not_made_by_another_instance_as_well():
+def test_an_unanswered_transaction_is_not_relayed():
     other = Store(DONE)
     with pytest.raises(StoreUnansweredError):
         commit(Store(StoreUnansweredError('silence')), other)
