--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -97,7 +97,7 @@
         (Store(StoreUnansweredError('silence')), StoreUnansweredError),
     ],
 )
-def test_what_became_of_a_relayed_transaction_is_known_or_said_to_be_unknown(other, failure):
+def test_the_error_of_a_relayed_transaction_tells_whether_it_may_have_been_applied(other, failure):
     with pytest.raises(failure):
         commit(Store(StoreRefusedError('503')), other)
 
