--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -102,7 +102,7 @@
         commit(Store(StoreRefusedError('503')), other)
 
 
-def test_two_other_instances_are_tried_at_most():
+def test_a_transaction_is_relayed_through_at_most_two_instances():
     other_stores = [Store(StoreRefusedError('503')) for _ in range(5)]
     with pytest.raises(StoreRefusedError):
         commit(Store(StoreRefusedError('503')), *other_stores)
