--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -109,7 +109,7 @@
     assert sum(len(each.commits) for each in other_stores) == 2
 
 
-def test_an_instance_says_what_it_does_not_know():
+def test_a_relaying_instance_reports_an_unknown_outcome():
     async def run():
         message = CommitFor((CONDITION,), (WRITE,), (), 0.6)
         return (await make_for_peer(Store(StoreUnansweredError('silence')), message)).outcome
