--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -54,7 +54,7 @@
 TWO_STEPS = (StepSpec(1, DEMAND), StepSpec(1, DEMAND, after=(0,)))
 
 
-def replies_of(owner):
+def make_replies(owner):
     replies = PeerReplies(None, None, None, None)
     replies.owner = owner
     return replies
@@ -71,7 +71,7 @@
     found = []
 
     async def note():
-        found.append(await ask(replies_of(owner), wait_s))
+        found.append(await ask(make_replies(owner), wait_s))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(note)
@@ -97,7 +97,7 @@
     owner.start(0, 1)
     owner.end(0, 0)
     owner.end(0, 1)
-    phase, took_s = anyio.run(ask, replies_of(owner), 0.05)
+    phase, took_s = anyio.run(ask, make_replies(owner), 0.05)
     assert phase == 'running'
     assert took_s == pytest.approx(0.05, abs=0.04)
 
@@ -105,7 +105,7 @@
 def test_a_question_about_a_job_that_has_tasks_to_start_is_answered_at_once():
     owner = OwnerStandIn(TWO_STEPS)
     owner.start(0, 0)
-    _, took_s = anyio.run(ask, replies_of(owner))
+    _, took_s = anyio.run(ask, make_replies(owner))
     assert took_s < 0.1
 
 
@@ -114,7 +114,7 @@
     owner.start(0, 0)
     owner.end(0, 0)
     owner.keep()
-    phase, took_s = anyio.run(ask, replies_of(owner))
+    phase, took_s = anyio.run(ask, make_replies(owner))
     assert phase == 'succeeded'
     assert took_s < 0.1
 
@@ -124,12 +124,12 @@
     owner.start(0, 0)
 
     async def ask_twice():
-        await ask(replies_of(owner), 0.02)
+        await ask(make_replies(owner), 0.02)
         assert not owner.end_notifier._event_by_job
         found = []
 
         async def note():
-            found.append(await ask(replies_of(owner)))
+            found.append(await ask(make_replies(owner)))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(note)
