--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -66,7 +66,7 @@
     return reply.phase, time.monotonic() - begun_s
 
 
-async def ask_meanwhile(owner, *acts, wait_s=0.5):
+async def ask_during(owner, *acts, wait_s=0.5):
     """Ask, and let things happen 20 ms apart meanwhile."""
     found = []
 
@@ -86,7 +86,7 @@
     owner.start(0, 0)
     owner.start(0, 1)
     owner.end(0, 0)
-    phase, took_s = anyio.run(ask_meanwhile, owner, lambda: owner.end(0, 1), owner.keep)
+    phase, took_s = anyio.run(ask_during, owner, lambda: owner.end(0, 1), owner.keep)
     assert phase == 'succeeded'
     assert took_s < 0.3
 
