--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -66,7 +66,7 @@
     return reply.phase, time.monotonic() - begun_s
 
 
-async def ask_during(owner, *acts, wait_s=0.5):
+async def ask_during(owner, *actions, wait_s=0.5):
     """Ask, and let things happen 20 ms apart meanwhile."""
     found = []
 
@@ -75,7 +75,7 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(note)
-        for act in acts:
+        for act in actions:
             await anyio.sleep(0.02)
             act()
     return found[0]
