--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -75,9 +75,9 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(note)
-        for act in actions:
+        for action in actions:
             await anyio.sleep(0.02)
-            act()
+            action()
     return found[0]
 
 
