--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -70,11 +70,11 @@
     """Ask, and let things happen 20 ms apart meanwhile."""
     found = []
 
-    async def note():
+    async def record():
         found.append(await ask(make_replies(owner), wait_s))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(note)
+        tasks.start_soon(record)
         for action in actions:
             await anyio.sleep(0.02)
             action()
@@ -128,12 +128,12 @@
         assert not owner.end_notifier._event_by_job
         found = []
 
-        async def note():
+        async def record():
             found.append(await ask(make_replies(owner)))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(note)
-            tasks.start_soon(note)
+            tasks.start_soon(record)
+            tasks.start_soon(record)
             await anyio.sleep(0.02)
             owner.end(0, 0)
             owner.keep()
