--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -68,17 +68,17 @@
 
 async def ask_during(owner, *actions, wait_s=0.5):
     """Ask, and let things happen 20 ms apart meanwhile."""
-    found = []
+    answers = []
 
     async def record():
-        found.append(await ask(make_replies(owner), wait_s))
+        answers.append(await ask(make_replies(owner), wait_s))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(record)
         for action in actions:
             await anyio.sleep(0.02)
             action()
-    return found[0]
+    return answers[0]
 
 
 def test_a_question_waits_for_the_end_of_the_last_run_and_until_it_is_kept():
@@ -126,10 +126,10 @@
     async def ask_twice():
         await ask(make_replies(owner), 0.02)
         assert not owner.end_notifier._event_by_job
-        found = []
+        answers = []
 
         async def record():
-            found.append(await ask(make_replies(owner)))
+            answers.append(await ask(make_replies(owner)))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(record)
@@ -137,7 +137,7 @@
             await anyio.sleep(0.02)
             owner.end(0, 0)
             owner.keep()
-        return found
+        return answers
 
-    found = anyio.run(ask_twice)
-    assert [phase for phase, _ in found] == ['succeeded', 'succeeded']
+    answers = anyio.run(ask_twice)
+    assert [phase for phase, _ in answers] == ['succeeded', 'succeeded']
