--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -44,7 +44,7 @@
     def end(self, number, index):
         self.scheduler.run_ended(RunEnd('w', TaskKey(JOB, 0, number, index), 1, EndKind.DONE), Moment(1.0, 1.0))
 
-    def keep(self):
+    def save(self):
         self.scheduler.take_dirty_jobs()
         if self.scheduler.mark_saved(JOB):
             self.end_notifier.notify(JOB)
@@ -86,7 +86,7 @@
     owner.start(0, 0)
     owner.start(0, 1)
     owner.end(0, 0)
-    phase, took_s = anyio.run(ask_during, owner, lambda: owner.end(0, 1), owner.keep)
+    phase, took_s = anyio.run(ask_during, owner, lambda: owner.end(0, 1), owner.save)
     assert phase == 'succeeded'
     assert took_s < 0.3
 
@@ -113,7 +113,7 @@
     owner = OwnerStandIn((StepSpec(1, DEMAND),))
     owner.start(0, 0)
     owner.end(0, 0)
-    owner.keep()
+    owner.save()
     phase, took_s = anyio.run(ask, make_replies(owner))
     assert phase == 'succeeded'
     assert took_s < 0.1
@@ -136,7 +136,7 @@
             tasks.start_soon(record)
             await anyio.sleep(0.02)
             owner.end(0, 0)
-            owner.keep()
+            owner.save()
         return answers
 
     answers = anyio.run(ask_twice)
