--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -61,9 +61,9 @@
 
 
 async def ask(replies, wait_s=0.5):
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     reply = await replies.answer(AskState(JOB, wait_s))
-    return reply.phase, time.monotonic() - begun_s
+    return reply.phase, time.monotonic() - started_s
 
 
 async def ask_during(owner, *actions, wait_s=0.5):
