--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -81,7 +81,7 @@
     return answers[0]
 
 
-def test_a_question_waits_for_the_end_of_the_last_run_and_until_it_is_kept():
+def test_a_state_request_waits_until_the_end_of_the_last_run_is_saved():
     owner = OwnerStandIn(ONE_STEP)
     owner.start(0, 0)
     owner.start(0, 1)
