--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -91,7 +91,7 @@
     assert took_s < 0.3
 
 
-def test_an_end_that_is_not_kept_is_not_shown_however_long_it_takes():
+def test_an_unsaved_end_is_not_reported_even_when_the_wait_expires():
     owner = OwnerStandIn(ONE_STEP)
     owner.start(0, 0)
     owner.start(0, 1)
