--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -102,7 +102,7 @@
     assert took_s == pytest.approx(0.05, abs=0.04)
 
 
-def test_a_question_about_a_job_that_has_tasks_to_start_is_answered_at_once():
+def test_a_state_request_for_a_job_with_tasks_to_start_is_answered_at_once():
     owner = OwnerStandIn(TWO_STEPS)
     owner.start(0, 0)
     _, took_s = anyio.run(ask, make_replies(owner))
