--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -109,7 +109,7 @@
     assert took_s < 0.1
 
 
-def test_a_question_about_a_job_whose_end_is_shown_is_answered_at_once():
+def test_a_state_request_for_a_job_whose_end_is_saved_is_answered_at_once():
     owner = OwnerStandIn((StepSpec(1, DEMAND),))
     owner.start(0, 0)
     owner.end(0, 0)
