--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -119,7 +119,7 @@
     assert took_s < 0.1
 
 
-def test_all_who_ask_are_told_and_nothing_is_left_of_those_who_gave_up():
+def test_all_waiting_requests_are_notified_and_expired_ones_leave_no_event():
     owner = OwnerStandIn((StepSpec(1, DEMAND),))
     owner.start(0, 0)
 
