--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -39,7 +39,7 @@
     )
 
 
-def bad(worker_id):
+def malformed_entry(worker_id):
     return Item(WORKERS_PREFIX + worker_id, b'\xff', 1)
 
 
@@ -64,7 +64,7 @@
 
 def test_entries_that_can_not_be_read_leave_the_others():
     workers = Workers()
-    store = KeptStore([bad('b'), worker_entry('w'), bad('z'), kept_job(LAST, 1.0)])
+    store = KeptStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
     assert started(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
@@ -106,7 +106,7 @@
 def test_what_runs_on_a_worker_whose_entry_can_not_be_read_is_known_to_the_next_owner():
     """The previous owner knew the worker; without it the task would run a second time elsewhere."""
     workers = Workers({'w': ()})
-    store = KeptStore([bad('w'), in_roster('w'), worker_entry('x')])
+    store = KeptStore([malformed_entry('w'), in_roster('w'), worker_entry('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
     assert not owner.scheduler.worker_by_id['w'].takes_starts
