--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -43,7 +43,7 @@
     return Item(WORKERS_PREFIX + worker_id, b'\xff', 1)
 
 
-def of_service(worker_id, service):
+def entry_with_service(worker_id, service):
     item = worker_entry(worker_id)
     return item._replace(value=msgspec.json.encode(msgspec.json.decode(item.value) | {'Service': service}))
 
@@ -121,7 +121,7 @@
 
 def test_a_worker_of_a_service_that_nobody_configured_is_not_asked():
     workers = Workers()
-    store = KeptStore([of_service('w', 'foreign'), worker_entry('x')])
+    store = KeptStore([entry_with_service('w', 'foreign'), worker_entry('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'x'}
 
@@ -136,7 +136,7 @@
 def test_a_worker_of_a_service_that_was_dropped_is_asked_by_the_next_owner():
     """Tasks of jobs accepted before may run there."""
     workers = Workers()
-    store = KeptStore([of_service('w', 'dropped'), in_roster('w', 'dropped')])
+    store = KeptStore([entry_with_service('w', 'dropped'), in_roster('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'w'}
 
