--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -48,7 +48,7 @@
     return item._replace(value=msgspec.json.encode(msgspec.json.decode(item.value) | {'Service': service}))
 
 
-def in_roster(worker_id, service='svc', *, draining=False):
+def roster_item(worker_id, service='svc', *, draining=False):
     profile = WorkerProfile(worker_id, service, 'z', Resources(64_000, 262_144, 8), ('a', 'r0'), draining)
     return Item(f'{ROSTER_PREFIX}0', encode([RosterEntry(profile, Address('127.0.0.1', 1))]), 1)
 
@@ -106,7 +106,7 @@
 def test_what_runs_on_a_worker_whose_entry_can_not_be_read_is_known_to_the_next_owner():
     """The previous owner knew the worker; without it the task would run a second time elsewhere."""
     workers = Workers({'w': ()})
-    store = KeptStore([malformed_entry('w'), in_roster('w'), worker_entry('x')])
+    store = KeptStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
     assert not owner.scheduler.worker_by_id['w'].takes_starts
@@ -115,7 +115,9 @@
 def test_a_worker_that_leaves_and_whose_entry_is_gone_gets_short_leases_of_the_next_owner():
     """With the longest ones, what ran there would start elsewhere seconds later."""
     workers = Workers({'w': ()})
-    owner = run_takeover(KeptStore([in_roster('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3)
+    owner = run_takeover(
+        KeptStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
+    )
     assert owner._links.get('w').is_draining
 
 
@@ -136,7 +138,7 @@
 def test_a_worker_of_a_service_that_was_dropped_is_asked_by_the_next_owner():
     """Tasks of jobs accepted before may run there."""
     workers = Workers()
-    store = KeptStore([entry_with_service('w', 'dropped'), in_roster('w', 'dropped')])
+    store = KeptStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'w'}
 
