--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -53,7 +53,7 @@
     return Item(f'{ROSTER_PREFIX}0', encode([RosterEntry(profile, Address('127.0.0.1', 1))]), 1)
 
 
-def listed(worker_id, service):
+def worker_listed(worker_id, service):
     profile = WorkerProfile(worker_id, service, 'z', Resources(1, 1, 1), ())
     return WorkerListed(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id))
 
@@ -86,7 +86,7 @@
             owner.post(WorkerUnreadable('w'))
             for message in jobs(owner):
                 owner.post(message)
-            owner.post(listed('w', 'svc')._replace(profile=in_touch(owner)))
+            owner.post(worker_listed('w', 'svc')._replace(profile=in_touch(owner)))
         return workers.starts
 
     run_takeover(store, workers, suspended, within_s=0.8)
@@ -146,9 +146,9 @@
 def test_a_service_that_is_configured_later_brings_its_workers():
     unserved = UnservedWorkers()
     assert not unserved.set_services({'a'})
-    assert not unserved.set_aside(listed('w', 'a'))
-    assert unserved.set_aside(listed('v', 'b'))
-    assert unserved.set_aside(listed('u', 'c'))
+    assert not unserved.set_aside(worker_listed('w', 'a'))
+    assert unserved.set_aside(worker_listed('v', 'b'))
+    assert unserved.set_aside(worker_listed('u', 'c'))
     unserved.forget('u')
     assert [message.profile.worker_id for message in unserved.set_services({'b', 'c'})] == ['v']
     assert not unserved.set_services({'b', 'c'})
