--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -58,7 +58,7 @@
     return WorkerListed(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id))
 
 
-def started(workers):
+def started_workers(workers):
     return {incarnation for incarnation, _ in workers.starts}
 
 
@@ -66,7 +66,7 @@
     workers = Workers()
     store = KeptStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
-    assert started(workers) == {'w'}
+    assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
 
 
@@ -92,7 +92,7 @@
     run_takeover(store, workers, suspended, within_s=0.8)
     assert not workers.starts
     run_takeover(store, workers, resumed, within_s=3)
-    assert started(workers) == {'w'}
+    assert started_workers(workers) == {'w'}
 
 
 def in_touch(owner):
@@ -167,4 +167,4 @@
         return workers.starts
 
     run_takeover(store, workers, removed, within_s=3)
-    assert started(workers) == {'w'}
+    assert started_workers(workers) == {'w'}
