--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -86,7 +86,7 @@
             owner.post(WorkerUnreadable('w'))
             for message in jobs(owner):
                 owner.post(message)
-            owner.post(worker_listed('w', 'svc')._replace(profile=in_touch(owner)))
+            owner.post(worker_listed('w', 'svc')._replace(profile=current_profile(owner)))
         return workers.starts
 
     run_takeover(store, workers, suspended, within_s=0.8)
@@ -95,7 +95,7 @@
     assert started_workers(workers) == {'w'}
 
 
-def in_touch(owner):
+def current_profile(owner):
     return owner.scheduler.worker_by_id['w'].profile
 
 
