--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -77,14 +77,14 @@
     def suspended(owner):
         if 'w' in workers.surveys and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
         return False
 
     def resumed(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
             owner.post(worker_listed('w', 'svc')._replace(profile=current_profile(owner)))
         return workers.starts
@@ -99,7 +99,7 @@
     return owner.scheduler.worker_by_id['w'].profile
 
 
-def jobs(owner):
+def new_job_messages(owner):
     return job_messages(kept_job(LAST, 1.0)._replace(revision=owner.epoch + 1))
 
 
@@ -162,7 +162,7 @@
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
             owner.post(WorkerUnlisted('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
         return workers.starts
 
