--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -130,8 +130,10 @@
 
 def test_a_worker_of_a_service_that_only_a_queue_names_is_asked():
     workers = Workers()
-    named = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
-    run_takeover(KeptStore([worker_entry('w')]), workers, lambda owner: False, within_s=0.6, configuration=named)
+    queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
+    run_takeover(
+        KeptStore([worker_entry('w')]), workers, lambda owner: False, within_s=0.6, configuration=queue_configuration
+    )
     assert set(workers.surveys) == {'w'}
 
 
