--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -29,8 +29,8 @@
 KEY = TaskKey(LAST, 0, 0, 0)
 
 
-def run_takeover(store, workers, holds, **options):
-    return anyio.run(partial(take_over, store, workers, holds, **options))
+def run_takeover(store, workers, condition, **options):
+    return anyio.run(partial(take_over, store, workers, condition, **options))
 
 
 def configuration(*services):
