--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -74,7 +74,7 @@
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
-    def suspended(owner):
+    def suspend(owner):
         if 'w' in workers.surveys and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
             for message in new_job_messages(owner):
@@ -89,7 +89,7 @@
             owner.post(worker_listed('w', 'svc')._replace(profile=current_profile(owner)))
         return workers.starts
 
-    run_takeover(store, workers, suspended, within_s=0.8)
+    run_takeover(store, workers, suspend, within_s=0.8)
     assert not workers.starts
     run_takeover(store, workers, resumed, within_s=3)
     assert started_workers(workers) == {'w'}
