--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -81,7 +81,7 @@
                 owner.post(message)
         return False
 
-    def resumed(owner):
+    def suspend_and_resume(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
             for message in new_job_messages(owner):
@@ -91,7 +91,7 @@
 
     run_takeover(store, workers, suspend, within_s=0.8)
     assert not workers.starts
-    run_takeover(store, workers, resumed, within_s=3)
+    run_takeover(store, workers, suspend_and_resume, within_s=3)
     assert started_workers(workers) == {'w'}
 
 
