--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -160,7 +160,7 @@
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
-    def removed(owner):
+    def suspend_and_remove(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
             owner.post(WorkerUnlisted('w'))
@@ -168,5 +168,5 @@
                 owner.post(message)
         return workers.starts
 
-    run_takeover(store, workers, removed, within_s=3)
+    run_takeover(store, workers, suspend_and_remove, within_s=3)
     assert started_workers(workers) == {'w'}
