--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -62,7 +62,7 @@
     return {incarnation for incarnation, _ in workers.starts}
 
 
-def test_entries_that_can_not_be_read_leave_the_others():
+def test_malformed_entries_do_not_affect_other_workers():
     workers = Workers()
     store = KeptStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
