--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -70,7 +70,7 @@
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_worker_whose_entry_can_not_be_read_any_more_gets_nothing_new_until_it_can():
+def test_a_worker_whose_entry_becomes_unreadable_gets_no_starts_until_it_is_readable_again():
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
