--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -103,7 +103,7 @@
     return job_messages(kept_job(LAST, 1.0)._replace(revision=owner.epoch + 1))
 
 
-def test_what_runs_on_a_worker_whose_entry_can_not_be_read_is_known_to_the_next_owner():
+def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
     """The previous owner knew the worker; without it the task would run a second time elsewhere."""
     workers = Workers({'w': ()})
     store = KeptStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
