--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -112,7 +112,7 @@
     assert not owner.scheduler.worker_by_id['w'].takes_starts
 
 
-def test_a_worker_that_leaves_and_whose_entry_is_gone_gets_short_leases_of_the_next_owner():
+def test_the_next_owner_grants_short_leases_to_a_draining_worker_without_an_entry():
     """With the longest ones, what ran there would start elsewhere seconds later."""
     workers = Workers({'w': ()})
     owner = run_takeover(
