--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -121,7 +121,7 @@
     assert owner._links.get('w').is_draining
 
 
-def test_a_worker_of_a_service_that_nobody_configured_is_not_asked():
+def test_a_worker_of_an_unconfigured_service_is_not_surveyed():
     workers = Workers()
     store = KeptStore([entry_with_service('w', 'foreign'), worker_entry('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
