--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -128,7 +128,7 @@
     assert set(workers.surveys) == {'x'}
 
 
-def test_a_worker_of_a_service_that_only_a_queue_names_is_asked():
+def test_a_worker_of_a_service_that_only_a_queue_names_is_surveyed():
     workers = Workers()
     queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
     run_takeover(
