--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -137,7 +137,7 @@
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_worker_of_a_service_that_was_dropped_is_asked_by_the_next_owner():
+def test_a_worker_of_a_removed_service_is_surveyed_by_the_next_owner():
     """Tasks of jobs accepted before may run there."""
     workers = Workers()
     store = KeptStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
