--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -145,7 +145,7 @@
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_service_that_is_configured_later_brings_its_workers():
+def test_workers_are_accepted_once_their_service_is_configured():
     unserved = UnservedWorkers()
     assert not unserved.set_services({'a'})
     assert not unserved.set_aside(worker_listed('w', 'a'))
