--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -156,7 +156,7 @@
     assert not unserved.set_services({'b', 'c'})
 
 
-def test_an_entry_that_is_removed_after_it_could_not_be_read_is_like_any_that_lapsed():
+def test_an_entry_that_is_removed_after_it_became_unreadable_counts_as_lapsed():
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
