--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -9,7 +9,7 @@
 from ..heap import GarbageCollectionTuner
 from .test_takeover import KeptStore, MANY, many_jobs, take_over, Workers
 
-OLDEST = 2
+OLDEST_GENERATION = 2
 # Container objects that a job takes, at least.
 OBJECTS_OF_A_JOB = 10
 
@@ -20,7 +20,7 @@
     walked = []
 
     def note(phase, info):
-        if phase == 'start' and info['generation'] == OLDEST:
+        if phase == 'start' and info['generation'] == OLDEST_GENERATION:
             walked.append(len(gc.get_objects()))
 
     gc.callbacks.append(note)
