--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -11,7 +11,7 @@
 
 OLDEST_GENERATION = 2
 # Container objects that a job takes, at least.
-OBJECTS_OF_A_JOB = 10
+MIN_OBJECTS_PER_JOB = 10
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
     full_collections.clear()
     anyio.run(take_over, store, Workers(), collect_once_ready, 30.0)
     assert full_collections
-    assert max(full_collections) < MANY * OBJECTS_OF_A_JOB
+    assert max(full_collections) < MANY * MIN_OBJECTS_PER_JOB
 
 
 def cycle():
