--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -17,14 +17,14 @@
 @pytest.fixture
 def full_collections():
     """How many objects each full collection walks."""
-    walked = []
+    object_counts = []
 
     def note(phase, info):
         if phase == 'start' and info['generation'] == OLDEST_GENERATION:
-            walked.append(len(gc.get_objects()))
+            object_counts.append(len(gc.get_objects()))
 
     gc.callbacks.append(note)
-    yield walked
+    yield object_counts
     gc.callbacks.remove(note)
 
 
