--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -19,13 +19,13 @@
     """How many objects each full collection walks."""
     object_counts = []
 
-    def note(phase, info):
+    def record(phase, info):
         if phase == 'start' and info['generation'] == OLDEST_GENERATION:
             object_counts.append(len(gc.get_objects()))
 
-    gc.callbacks.append(note)
+    gc.callbacks.append(record)
     yield object_counts
-    gc.callbacks.remove(note)
+    gc.callbacks.remove(record)
 
 
 def test_no_full_collection_walks_many_jobs_while_they_are_read_or_after(full_collections):
