--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -41,7 +41,7 @@
     assert max(full_collections) < MANY * MIN_OBJECTS_PER_JOB
 
 
-def cycle():
+def make_cycle():
     """Return something that reference counts do not free."""
     found = []
     found.append(found)
@@ -52,7 +52,7 @@
     with GarbageCollectionTuner(Metrics()) as heap:
         heap.finish_loading()
         in_use = gc.get_freeze_count()
-        cycles = [cycle() for _ in range(in_use + 1)]
+        cycles = [make_cycle() for _ in range(in_use + 1)]
         gc.collect()
         del cycles
         gc.collect()
