--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -43,9 +43,9 @@
 
 def make_cycle():
     """Return something that reference counts do not free."""
-    found = []
-    found.append(found)
-    return found
+    cyclic = []
+    cyclic.append(cyclic)
+    return cyclic
 
 
 def test_cycles_among_frozen_objects_are_found_once_twice_as_many_are_frozen():
