--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -49,8 +49,8 @@
 
 
 def test_cycles_among_frozen_objects_are_found_once_twice_as_many_are_frozen():
-    with GarbageCollectionTuner(Metrics()) as heap:
-        heap.finish_loading()
+    with GarbageCollectionTuner(Metrics()) as tuner:
+        tuner.finish_loading()
         in_use = gc.get_freeze_count()
         cycles = [make_cycle() for _ in range(in_use + 1)]
         gc.collect()
@@ -61,8 +61,8 @@
 
 def test_collections_are_the_interpreters_again_once_an_owner_is_replaced():
     thresholds = gc.get_threshold()
-    with GarbageCollectionTuner(Metrics()) as heap:
-        heap.finish_loading()
+    with GarbageCollectionTuner(Metrics()) as tuner:
+        tuner.finish_loading()
         assert gc.get_threshold() != thresholds
     assert gc.get_threshold() == thresholds
     assert not gc.get_freeze_count()
