--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -28,7 +28,7 @@
     gc.callbacks.remove(record)
 
 
-def test_no_full_collection_walks_many_jobs_while_they_are_read_or_after(full_collections):
+def test_no_full_collection_traverses_many_jobs_during_or_after_loading(full_collections):
     def collect_once_ready(owner):
         if owner.is_ready:
             gc.collect()
