--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -59,7 +59,7 @@
         assert gc.get_freeze_count() < in_use * 1.1
 
 
-def test_collections_are_the_interpreters_again_once_an_owner_is_replaced():
+def test_collection_thresholds_are_restored_when_an_owner_is_replaced():
     thresholds = gc.get_threshold()
     with GarbageCollectionTuner(Metrics()) as tuner:
         tuner.finish_loading()
