--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -35,8 +35,8 @@
 from .sessions import Sessions
 from .test_takeover import decode_job_record, is_ready, kept_job, KeptStore, LAST, NEW, take_over, worker_entry
 
-BIRTHS = (1_000, 2_000, 3_000)
-FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in BIRTHS)
+START_TIMES_MS = (1_000, 2_000, 3_000)
+FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
 TASK = TaskKey(LAST, 0, 0, 0)
 
 
