--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -47,7 +47,7 @@
         self.incarnation = FIRST
         self.running = ()
         self.ends = []
-        self.counted = 0
+        self.end_count = 0
         self.starts = []
         self.fences = []
         self.acknowledged = []
@@ -71,7 +71,7 @@
         self.started_at_s = 0.0
 
     def start_again(self, incarnation, running=(), held=0):
-        self.incarnation, self.running, self.ends, self.counted, self.held = incarnation, running, [], 0, held
+        self.incarnation, self.running, self.ends, self.end_count, self.held = incarnation, running, [], 0, held
 
     def end(self, kind):
         """End what runs; ends are numbered from one in each incarnation."""
@@ -79,12 +79,12 @@
             self._end(run, kind)
 
     def _end(self, run, kind):
-        self.counted += 1
+        self.end_count += 1
         self.running = tuple(each for each in self.running if each is not run)
         if kind is EndKind.DONE:
             self.done.append(run.key)
-        if self.counted > self.held:
-            self.ends.append(ListedEnd(self.counted, RunEnd(self.incarnation.worker_id, run.key, run.run, kind)))
+        if self.end_count > self.held:
+            self.ends.append(ListedEnd(self.end_count, RunEnd(self.incarnation.worker_id, run.key, run.run, kind)))
 
     async def survey(self, address, worker_id, *, fence, acknowledged, wait_s, **options):
         self._meet(worker_id)
