--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -52,7 +52,7 @@
         self.fences = []
         self.acknowledged = []
         # How long it takes to tell what runs there, and until when it is cut off.
-        self.list_s = 0.0
+        self.survey_delay_s = 0.0
         self.silent_until_s = 0.0
         # What comes of acknowledgements, if they fail, and how long that takes.
         self.acknowledging_fails = None
@@ -95,7 +95,7 @@
         if acknowledged and self.acknowledging_fails:
             raise self.acknowledging_fails
         self.ends = [each for each in self.ends if each.number > acknowledged]
-        await anyio.sleep(max(min(wait_s, 0.02), self.list_s))
+        await anyio.sleep(max(min(wait_s, 0.02), self.survey_delay_s))
         self._meet(worker_id)
         return Survey(time.monotonic(), self.running, tuple(self.ends), self.incarnation.born_ms)
 
@@ -390,7 +390,7 @@
     def start_again(owner):
         (run,) = worker.running
         worker.start_again(SECOND, (run,))
-        worker.list_s = 0.6
+        worker.survey_delay_s = 0.6
         owner.post(listed(idle.incarnation))
 
     play(
@@ -514,7 +514,7 @@
     """Its name was contacted as soon as the incarnation before was over, and the task ran a second time elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
     worker.start_again(SECOND, (ListedRun(TASK, 1, '', 10.0),))
-    worker.list_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
+    worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
     class Both(Sessions):
