--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -55,7 +55,7 @@
         self.survey_delay_s = 0.0
         self.silent_until_s = 0.0
         # What comes of acknowledgements, if they fail, and how long that takes.
-        self.acknowledging_fails = None
+        self.acknowledgement_error = None
         self.acknowledging_s = 0.0
         # Tries of starts that get no answer, and are not carried out at once.
         self.unanswered_tries = 0
@@ -92,8 +92,8 @@
         self.acknowledged.append((worker_id, acknowledged))
         if acknowledged:
             await anyio.sleep(self.acknowledging_s)
-        if acknowledged and self.acknowledging_fails:
-            raise self.acknowledging_fails
+        if acknowledged and self.acknowledgement_error:
+            raise self.acknowledgement_error
         self.ends = [each for each in self.ends if each.number > acknowledged]
         await anyio.sleep(max(min(wait_s, 0.02), self.survey_delay_s))
         self._meet(worker_id)
@@ -253,7 +253,7 @@
 def test_an_incarnation_is_tried_while_it_may_have_been_told_to_forget_ends_of_its_own(failure, is_unacknowledged):
     """An acknowledgement to the incarnation before got no answer; one that was never sent costs the next nothing."""
     worker = RestartingWorker()
-    worker.acknowledging_fails = failure
+    worker.acknowledgement_error = failure
     play(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
@@ -295,12 +295,12 @@
 ):
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', late_s)
     worker = RestartingWorker()
-    worker.acknowledging_fails = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('silence')
     play(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: setattr(worker, 'acknowledging_fails', None), contacted_for(0.6)),
+        (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
         (lambda owner: worker.start_again(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
@@ -310,7 +310,7 @@
 
 def test_a_start_that_an_incarnation_refuses_while_it_is_tried_is_not_stopped():
     worker = RestartingWorker()
-    worker.acknowledging_fails = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('silence')
 
     def start_again(owner):
         worker.start_again(SECOND)
@@ -330,7 +330,7 @@
 
 def test_an_incarnation_gets_one_start_at_a_time_and_no_gang_member_before_it_lists_an_end():
     worker = RestartingWorker()
-    worker.acknowledging_fails = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('silence')
     gang = kept_job('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
     many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
@@ -344,7 +344,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (post, knows(SECOND)),
-        (lambda owner: setattr(worker, 'acknowledging_fails', None), lambda owner: True),
+        (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: len(worker.running) == 6),
     )
     assert {key.job_id for _, key in worker.starts[1:4]} == {LAST}
@@ -361,13 +361,13 @@
     """
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', 0.5)
     worker = RestartingWorker()
-    worker.acknowledging_fails = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('silence')
     play(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.start_again(SECOND, held=held), knows(SECOND)),
-        (lambda owner: setattr(worker, 'acknowledging_fails', None), lambda owner: True),
+        (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
@@ -549,7 +549,7 @@
 
 def test_an_incarnation_that_has_not_listed_an_end_yet_is_told_to_the_next_owner_as_one_that_follows_another():
     worker = RestartingWorker()
-    worker.acknowledging_fails = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('silence')
     told = []
 
     def note_roster(owner):
