--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -56,7 +56,7 @@
         self.silent_until_s = 0.0
         # What comes of acknowledgements, if they fail, and how long that takes.
         self.acknowledgement_error = None
-        self.acknowledging_s = 0.0
+        self.acknowledgement_delay_s = 0.0
         # Tries of starts that get no answer, and are not carried out at once.
         self.unanswered_tries = 0
         # Starts that are refused for want of room.
@@ -91,7 +91,7 @@
         self.fences.append((worker_id, fence))
         self.acknowledged.append((worker_id, acknowledged))
         if acknowledged:
-            await anyio.sleep(self.acknowledging_s)
+            await anyio.sleep(self.acknowledgement_delay_s)
         if acknowledged and self.acknowledgement_error:
             raise self.acknowledgement_error
         self.ends = [each for each in self.ends if each.number > acknowledged]
@@ -269,14 +269,14 @@
 def test_an_incarnation_is_tried_for_an_acknowledgement_that_is_under_way_when_another_call_meets_it():
     """The link was closed with the call, which did not count as one without an answer."""
     worker = RestartingWorker()
-    worker.acknowledging_s = 60.0
+    worker.acknowledgement_delay_s = 60.0
 
     def start_again(owner):
         worker.start_again(SECOND)
         owner.post(job())
 
     def recover(owner):
-        worker.acknowledging_s = 0.0
+        worker.acknowledgement_delay_s = 0.0
         owner.post(listed(SECOND))
 
     play(
