--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -58,7 +58,7 @@
         self.acknowledgement_error = None
         self.acknowledgement_delay_s = 0.0
         # Tries of starts that get no answer, and are not carried out at once.
-        self.unanswered_tries = 0
+        self.unanswered_start_count = 0
         # Starts that are refused for want of room.
         self.refusals = 0
         # The acknowledgement that it holds on to: ends up to it are never listed.
@@ -101,8 +101,8 @@
 
     async def start(self, address, worker_id, order, **options):
         self._meet(worker_id)
-        if self.unanswered_tries:
-            self.unanswered_tries -= 1
+        if self.unanswered_start_count:
+            self.unanswered_start_count -= 1
             raise WorkerUnansweredError('silence')
         if self.refusals:
             self.refusals -= 1
@@ -380,7 +380,7 @@
 def test_a_task_whose_first_try_got_no_answer_waits_for_the_list_of_the_next_incarnation(unanswered, is_awaited):
     """The second was answered; the next incarnation may carry out the first, and the task had started elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
-    worker.unanswered_tries = unanswered
+    worker.unanswered_start_count = unanswered
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
     class Both(Sessions):
