--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -60,7 +60,7 @@
         # Tries of starts that get no answer, and are not carried out at once.
         self.unanswered_start_count = 0
         # Starts that are refused for want of room.
-        self.refusals = 0
+        self.refused_start_count = 0
         # The acknowledgement that it holds on to: ends up to it are never listed.
         self.held = 0
         self.done = []
@@ -104,8 +104,8 @@
         if self.unanswered_start_count:
             self.unanswered_start_count -= 1
             raise WorkerUnansweredError('silence')
-        if self.refusals:
-            self.refusals -= 1
+        if self.refused_start_count:
+            self.refused_start_count -= 1
             return OrderReply(OrderStatus.NO_ROOM, time.monotonic())
         self.starts.append((worker_id, order.key))
         self.started_at_s = time.monotonic()
@@ -314,7 +314,7 @@
 
     def start_again(owner):
         worker.start_again(SECOND)
-        worker.refusals = 1
+        worker.refused_start_count = 1
         owner.post(job())
 
     play(
@@ -324,7 +324,7 @@
         (start_again, knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), runs_on(worker)),
     )
-    assert not worker.refusals
+    assert not worker.refused_start_count
     assert worker.stop_orders == len(worker.stopped) == 1
 
 
