--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -62,7 +62,7 @@
         # Starts that are refused for want of room.
         self.refused_start_count = 0
         # The acknowledgement that it holds on to: ends up to it are never listed.
-        self.held = 0
+        self.late_acknowledgement = 0
         self.done = []
         self.stopped = []
         self.stop_orders = 0
@@ -70,8 +70,14 @@
         self.most_before_a_stop = 0
         self.started_at_s = 0.0
 
-    def start_again(self, incarnation, running=(), held=0):
-        self.incarnation, self.running, self.ends, self.end_count, self.held = incarnation, running, [], 0, held
+    def start_again(self, incarnation, running=(), late_acknowledgement=0):
+        self.incarnation, self.running, self.ends, self.end_count, self.late_acknowledgement = (
+            incarnation,
+            running,
+            [],
+            0,
+            late_acknowledgement,
+        )
 
     def end(self, kind):
         """End what runs; ends are numbered from one in each incarnation."""
@@ -83,7 +89,7 @@
         self.running = tuple(each for each in self.running if each is not run)
         if kind is EndKind.DONE:
             self.done.append(run.key)
-        if self.end_count > self.held:
+        if self.end_count > self.late_acknowledgement:
             self.ends.append(ListedEnd(self.end_count, RunEnd(self.incarnation.worker_id, run.key, run.run, kind)))
 
     async def survey(self, address, worker_id, *, fence, acknowledged, wait_s, **options):
@@ -335,7 +341,7 @@
     many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
     def post(owner):
-        worker.start_again(SECOND, held=2)
+        worker.start_again(SECOND, late_acknowledgement=2)
         owner.post(decode_job_record(gang))
         owner.post(decode_job_record(many))
 
@@ -352,8 +358,8 @@
     assert worker.most_before_a_stop == 1
 
 
-@pytest.mark.parametrize('held', [0, 1, 3])
-def test_a_task_does_not_end_on_an_incarnation_that_never_tells_of_that(held, monkeypatch):
+@pytest.mark.parametrize('late_acknowledgement', [0, 1, 3])
+def test_a_task_does_not_end_on_an_incarnation_that_never_tells_of_that(late_acknowledgement, monkeypatch):
     """The incarnation had carried out a late acknowledgement before it answered, and held on to it for good.
 
     Waiting until no such acknowledgement can come any more did not help: its ends were hidden all the same, and tasks
@@ -366,7 +372,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.start_again(SECOND, held=held), knows(SECOND)),
+        (lambda owner: worker.start_again(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
@@ -529,11 +535,13 @@
     assert not idle.starts
 
 
-@pytest.mark.parametrize('held', [0, 2])
-def test_an_incarnation_that_began_before_a_takeover_may_hold_on_to_an_acknowledgement_of_the_owner_before(held):
+@pytest.mark.parametrize('late_acknowledgement', [0, 2])
+def test_an_incarnation_that_began_before_a_takeover_may_hold_on_to_an_acknowledgement_of_the_owner_before(
+    late_acknowledgement,
+):
     """The new owner does not know what the one before acknowledged without an answer."""
     worker = RestartingWorker()
-    worker.start_again(SECOND, held=held)
+    worker.start_again(SECOND, late_acknowledgement=late_acknowledgement)
     play(
         worker,
         (lambda owner: None, knows(SECOND)),
@@ -544,7 +552,7 @@
         within_s=8.0,
     )
     assert worker.done.count(TASK) == 1
-    assert len(worker.stopped) == held + 1
+    assert len(worker.stopped) == late_acknowledgement + 1
 
 
 def test_an_incarnation_that_has_not_listed_an_end_yet_is_told_to_the_next_owner_as_one_that_follows_another():
