--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -65,7 +65,7 @@
         self.late_acknowledgement = 0
         self.done = []
         self.stopped = []
-        self.stop_orders = 0
+        self.stop_order_count = 0
         # Most runs at a time in an incarnation that was told to stop one.
         self.most_before_a_stop = 0
         self.started_at_s = 0.0
@@ -120,7 +120,7 @@
 
     async def stop(self, address, worker_id, key, run, fence, *, timeout_s):
         self._meet(worker_id)
-        self.stop_orders += 1
+        self.stop_order_count += 1
         for each in self.running:
             if each.run == run:
                 self.stopped.append(key)
@@ -331,7 +331,7 @@
         (lambda owner: owner.post(listed(SECOND)), runs_on(worker)),
     )
     assert not worker.refused_start_count
-    assert worker.stop_orders == len(worker.stopped) == 1
+    assert worker.stop_order_count == len(worker.stopped) == 1
 
 
 def test_an_incarnation_gets_one_start_at_a_time_and_no_gang_member_before_it_lists_an_end():
