--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -67,7 +67,7 @@
         self.stopped = []
         self.stop_order_count = 0
         # Most runs at a time in an incarnation that was told to stop one.
-        self.most_before_a_stop = 0
+        self.max_runs_at_stop = 0
         self.started_at_s = 0.0
 
     def start_again(self, incarnation, running=(), late_acknowledgement=0):
@@ -124,7 +124,7 @@
         for each in self.running:
             if each.run == run:
                 self.stopped.append(key)
-                self.most_before_a_stop = max(self.most_before_a_stop, len(self.running))
+                self.max_runs_at_stop = max(self.max_runs_at_stop, len(self.running))
                 self._end(each, EndKind.STOPPED)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
@@ -355,7 +355,7 @@
     )
     assert {key.job_id for _, key in worker.starts[1:4]} == {LAST}
     assert len(worker.stopped) == 3
-    assert worker.most_before_a_stop == 1
+    assert worker.max_runs_at_stop == 1
 
 
 @pytest.mark.parametrize('late_acknowledgement', [0, 1, 3])
