--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -68,7 +68,7 @@
         self.stop_order_count = 0
         # Most runs at a time in an incarnation that was told to stop one.
         self.max_runs_at_stop = 0
-        self.started_at_s = 0.0
+        self.last_start_s = 0.0
 
     def start_again(self, incarnation, running=(), late_acknowledgement=0):
         self.incarnation, self.running, self.ends, self.end_count, self.late_acknowledgement = (
@@ -114,7 +114,7 @@
             self.refused_start_count -= 1
             return OrderReply(OrderStatus.NO_ROOM, time.monotonic())
         self.starts.append((worker_id, order.key))
-        self.started_at_s = time.monotonic()
+        self.last_start_s = time.monotonic()
         self.running += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
@@ -194,7 +194,7 @@
 
 def runs_on(worker):
     """Return whether a run has gone on for longer than one that is stopped at once."""
-    return lambda owner: worker.running and time.monotonic() - worker.started_at_s > 0.5
+    return lambda owner: worker.running and time.monotonic() - worker.last_start_s > 0.5
 
 
 def contacted_for(seconds):
