--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -70,7 +70,7 @@
         self.max_runs_at_stop = 0
         self.last_start_s = 0.0
 
-    def start_again(self, incarnation, running=(), late_acknowledgement=0):
+    def restart(self, incarnation, running=(), late_acknowledgement=0):
         self.incarnation, self.running, self.ends, self.end_count, self.late_acknowledgement = (
             incarnation,
             running,
@@ -215,7 +215,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), started(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
@@ -232,7 +232,7 @@
         (lambda owner: owner.post(job()), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         (lambda owner: None, lambda owner: (FIRST.worker_id, 1) in worker.acknowledged),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (
             lambda owner: None,
             lambda owner: sum(incarnation == SECOND.worker_id for incarnation, _ in worker.acknowledged) > 5,
@@ -264,7 +264,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
@@ -277,8 +277,8 @@
     worker = RestartingWorker()
     worker.acknowledgement_delay_s = 60.0
 
-    def start_again(owner):
-        worker.start_again(SECOND)
+    def restart(owner):
+        worker.restart(SECOND)
         owner.post(job())
 
     def recover(owner):
@@ -289,7 +289,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (start_again, knows(SECOND)),
+        (restart, knows(SECOND)),
         (recover, runs_on(worker)),
     )
     assert worker.stopped == [TASK]
@@ -307,7 +307,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
@@ -318,8 +318,8 @@
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
 
-    def start_again(owner):
-        worker.start_again(SECOND)
+    def restart(owner):
+        worker.restart(SECOND)
         worker.refused_start_count = 1
         owner.post(job())
 
@@ -327,7 +327,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (start_again, knows(SECOND)),
+        (restart, knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), runs_on(worker)),
     )
     assert not worker.refused_start_count
@@ -341,7 +341,7 @@
     many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
     def post(owner):
-        worker.start_again(SECOND, late_acknowledgement=2)
+        worker.restart(SECOND, late_acknowledgement=2)
         owner.post(decode_job_record(gang))
         owner.post(decode_job_record(many))
 
@@ -372,7 +372,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.start_again(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
@@ -393,16 +393,16 @@
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
-    def start_again(owner):
+    def restart(owner):
         (run,) = worker.running
-        worker.start_again(SECOND, (run,))
+        worker.restart(SECOND, (run,))
         worker.survey_delay_s = 0.6
         owner.post(listed(idle.incarnation))
 
     play(
         Both(),
         (lambda owner: owner.post(job()), started(worker, 1)),
-        (start_again, runs_one(SECOND) if is_awaited else started(idle, 1)),
+        (restart, runs_one(SECOND) if is_awaited else started(idle, 1)),
         (lambda owner: None, contacted_for(1.0)),
     )
     assert bool(idle.starts) is not is_awaited
@@ -414,7 +414,7 @@
     owner = play(
         worker,
         (lambda owner: owner.post(job()), started(worker, 1)),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), started(worker, 2)),
         within_s=2.0,
     )
@@ -427,7 +427,7 @@
     worker = RestartingWorker()
     play(
         worker,
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
         (lambda owner: owner.post(WorkerUnlisted('w')), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
@@ -439,7 +439,7 @@
     worker = RestartingWorker()
     owner = play(
         worker,
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(listed(FIRST, accelerators=0)), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(job()), started(worker, 1)),
@@ -454,7 +454,7 @@
     worker.incarnation = THIRD
     play(
         worker,
-        (lambda owner: worker.start_again(FIRST), knows(FIRST)),
+        (lambda owner: worker.restart(FIRST), knows(FIRST)),
         (lambda owner: owner.post(listed(FIRST)), lambda owner: True),
         (lambda owner: owner.post(job()), started(worker, 1)),
         items=[entry_of(THIRD)],
@@ -467,7 +467,7 @@
     owner = play(
         worker,
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
-        (lambda owner: worker.start_again(THIRD), knows(THIRD)),
+        (lambda owner: worker.restart(THIRD), knows(THIRD)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
         (lambda owner: owner.post(listed(THIRD)), started(worker, 1)),
     )
@@ -482,7 +482,7 @@
         worker,
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.scheduler.worker_by_id.pop(FIRST.worker_id), lambda owner: True),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(job()), started(worker, 1)),
     )
     assert worker.starts == [(SECOND.worker_id, TASK)]
@@ -491,7 +491,7 @@
 def test_orders_to_a_later_incarnation_outrank_late_ones_to_the_earlier():
     """A later incarnation remembers no stop and no fence: what was meant for the one before would be carried out."""
     worker = RestartingWorker()
-    play(worker, (lambda owner: worker.start_again(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
+    play(worker, (lambda owner: worker.restart(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
     fence_by_incarnation = dict(worker.fences)
     assert fence_by_incarnation[SECOND.worker_id] > fence_by_incarnation[FIRST.worker_id]
 
@@ -505,7 +505,7 @@
 def test_a_new_owner_contacts_the_incarnation_that_answers_before_it_starts_previous_work(entries):
     """The previous owner had started a task there, and its list of workers names the incarnation before."""
     worker = RestartingWorker()
-    worker.start_again(SECOND, (ListedRun(TASK, 1, '', 10.0),))
+    worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     play(
         worker,
         (lambda owner: None, runs_one(SECOND)),
@@ -519,7 +519,7 @@
 def test_previous_work_waits_for_the_list_of_an_incarnation_that_replaces_one():
     """Its name was contacted as soon as the incarnation before was over, and the task ran a second time elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
-    worker.start_again(SECOND, (ListedRun(TASK, 1, '', 10.0),))
+    worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
@@ -541,7 +541,7 @@
 ):
     """The new owner does not know what the one before acknowledged without an answer."""
     worker = RestartingWorker()
-    worker.start_again(SECOND, late_acknowledgement=late_acknowledgement)
+    worker.restart(SECOND, late_acknowledgement=late_acknowledgement)
     play(
         worker,
         (lambda owner: None, knows(SECOND)),
@@ -568,7 +568,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.start_again(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(listed(SECOND)), contacted_for(0.5)),
         (lambda owner: None, note_roster),
         (lambda owner: owner.post(job()), runs_on(worker)),
