--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -93,7 +93,7 @@
             self.ends.append(ListedEnd(self.end_count, RunEnd(self.incarnation.worker_id, run.key, run.run, kind)))
 
     async def survey(self, address, worker_id, *, fence, acknowledged, wait_s, **options):
-        self._meet(worker_id)
+        self._check_incarnation(worker_id)
         self.fences.append((worker_id, fence))
         self.acknowledged.append((worker_id, acknowledged))
         if acknowledged:
@@ -102,11 +102,11 @@
             raise self.acknowledgement_error
         self.ends = [each for each in self.ends if each.number > acknowledged]
         await anyio.sleep(max(min(wait_s, 0.02), self.survey_delay_s))
-        self._meet(worker_id)
+        self._check_incarnation(worker_id)
         return Survey(time.monotonic(), self.running, tuple(self.ends), self.incarnation.born_ms)
 
     async def start(self, address, worker_id, order, **options):
-        self._meet(worker_id)
+        self._check_incarnation(worker_id)
         if self.unanswered_start_count:
             self.unanswered_start_count -= 1
             raise WorkerUnansweredError('silence')
@@ -119,7 +119,7 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
     async def stop(self, address, worker_id, key, run, fence, *, timeout_s):
-        self._meet(worker_id)
+        self._check_incarnation(worker_id)
         self.stop_order_count += 1
         for each in self.running:
             if each.run == run:
@@ -128,7 +128,7 @@
                 self._end(each, EndKind.STOPPED)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
-    def _meet(self, worker_id):
+    def _check_incarnation(self, worker_id):
         if time.monotonic() < self.silent_until_s:
             raise WorkerUnreachableError('cut off')
         if worker_id != self.incarnation.worker_id:
