--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -135,7 +135,7 @@
             raise WorkerReplacedError(worker_id, self.incarnation)
 
 
-def entry_of(incarnation, **changes):
+def entry_item(incarnation, **changes):
     fields = msgspec.json.decode(worker_entry(incarnation.name).value) | {'born': incarnation.born_ms} | changes
     return worker_entry(incarnation.name)._replace(value=msgspec.json.encode(fields))
 
@@ -168,7 +168,7 @@
             is_begun = False
         return not left
 
-    store = KeptStore([entry_of(FIRST)] if items is None else items)
+    store = KeptStore([entry_item(FIRST)] if items is None else items)
     owner = anyio.run(take_over, store, worker, advance, within_s)
     assert not left, f'{len(left)} acts were not over'
     return owner
@@ -457,7 +457,7 @@
         (lambda owner: worker.restart(FIRST), knows(FIRST)),
         (lambda owner: owner.post(listed(FIRST)), lambda owner: True),
         (lambda owner: owner.post(job()), started(worker, 1)),
-        items=[entry_of(THIRD)],
+        items=[entry_item(THIRD)],
     )
     assert worker.starts == [(FIRST.worker_id, TASK)]
 
@@ -501,7 +501,7 @@
     return Item(f'{ROSTER_PREFIX}/0', encode([entry]), 1)
 
 
-@pytest.mark.parametrize('entries', [(), (entry_of(FIRST),), (entry_of(SECOND),)], ids=['none', 'earlier', 'later'])
+@pytest.mark.parametrize('entries', [(), (entry_item(FIRST),), (entry_item(SECOND),)], ids=['none', 'earlier', 'later'])
 def test_a_new_owner_contacts_the_incarnation_that_answers_before_it_starts_previous_work(entries):
     """The previous owner had started a task there, and its list of workers names the incarnation before."""
     worker = RestartingWorker()
@@ -530,7 +530,7 @@
     play(
         Both(),
         (lambda owner: None, runs_one(SECOND)),
-        items=[kept_job(LAST, time.time()), roster(FIRST), entry_of(idle.incarnation)],
+        items=[kept_job(LAST, time.time()), roster(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
 
@@ -548,7 +548,7 @@
         (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
-        items=[roster(FIRST), entry_of(SECOND)],
+        items=[roster(FIRST), entry_item(SECOND)],
         within_s=8.0,
     )
     assert worker.done.count(TASK) == 1
