--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -140,7 +140,7 @@
     return worker_entry(incarnation.name)._replace(value=msgspec.json.encode(fields))
 
 
-def listed(incarnation, accelerators=8):
+def worker_listed(incarnation, accelerators=8):
     profile = WorkerProfile(incarnation.worker_id, 'svc', 'z', Resources(64_000, 262_144, accelerators), ('a', 'r0'))
     return WorkerListed(profile, Address('127.0.0.1', 1), incarnation)
 
@@ -216,7 +216,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), started(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
     )
@@ -265,7 +265,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
     assert len(worker.starts) == (3 if is_unacknowledged else 2)
@@ -283,7 +283,7 @@
 
     def recover(owner):
         worker.acknowledgement_delay_s = 0.0
-        owner.post(listed(SECOND))
+        owner.post(worker_listed(SECOND))
 
     play(
         worker,
@@ -308,7 +308,7 @@
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
     assert len(worker.stopped) == is_unacknowledged
@@ -328,7 +328,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), runs_on(worker)),
+        (lambda owner: owner.post(worker_listed(SECOND)), runs_on(worker)),
     )
     assert not worker.refused_start_count
     assert worker.stop_order_count == len(worker.stopped) == 1
@@ -351,7 +351,7 @@
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (post, knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: len(worker.running) == 6),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.running) == 6),
     )
     assert {key.job_id for _, key in worker.starts[1:4]} == {LAST}
     assert len(worker.stopped) == 3
@@ -374,7 +374,7 @@
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         within_s=8.0,
@@ -397,7 +397,7 @@
         (run,) = worker.running
         worker.restart(SECOND, (run,))
         worker.survey_delay_s = 0.6
-        owner.post(listed(idle.incarnation))
+        owner.post(worker_listed(idle.incarnation))
 
     play(
         Both(),
@@ -415,7 +415,7 @@
         worker,
         (lambda owner: owner.post(job()), started(worker, 1)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), started(worker, 2)),
+        (lambda owner: owner.post(worker_listed(SECOND)), started(worker, 2)),
         within_s=2.0,
     )
     assert worker.starts == [(FIRST.worker_id, TASK), (SECOND.worker_id, TASK)]
@@ -430,7 +430,7 @@
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
         (lambda owner: owner.post(WorkerUnlisted('w')), lambda owner: len(worker.fences) > 8),
-        (lambda owner: owner.post(listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
+        (lambda owner: owner.post(worker_listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
     )
     assert not worker.starts
 
@@ -440,8 +440,8 @@
     owner = play(
         worker,
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(listed(FIRST, accelerators=0)), lambda owner: len(worker.fences) > 8),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(FIRST, accelerators=0)), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(job()), started(worker, 1)),
     )
     assert worker.starts == [(SECOND.worker_id, TASK)]
@@ -455,7 +455,7 @@
     play(
         worker,
         (lambda owner: worker.restart(FIRST), knows(FIRST)),
-        (lambda owner: owner.post(listed(FIRST)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(FIRST)), lambda owner: True),
         (lambda owner: owner.post(job()), started(worker, 1)),
         items=[entry_item(THIRD)],
     )
@@ -466,10 +466,10 @@
     worker = RestartingWorker()
     owner = play(
         worker,
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: worker.restart(THIRD), knows(THIRD)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
-        (lambda owner: owner.post(listed(THIRD)), started(worker, 1)),
+        (lambda owner: owner.post(worker_listed(THIRD)), started(worker, 1)),
     )
     assert worker.starts == [(THIRD.worker_id, TASK)]
     assert list(owner.scheduler.worker_by_id) == [THIRD.worker_id]
@@ -480,7 +480,7 @@
     worker = RestartingWorker()
     play(
         worker,
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.scheduler.worker_by_id.pop(FIRST.worker_id), lambda owner: True),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(job()), started(worker, 1)),
@@ -497,7 +497,7 @@
 
 
 def roster(incarnation):
-    entry = RosterEntry(listed(incarnation).profile, Address('127.0.0.1', 1), incarnation)
+    entry = RosterEntry(worker_listed(incarnation).profile, Address('127.0.0.1', 1), incarnation)
     return Item(f'{ROSTER_PREFIX}/0', encode([entry]), 1)
 
 
@@ -509,7 +509,7 @@
     play(
         worker,
         (lambda owner: None, runs_one(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: len(worker.fences) > 8),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
         items=[kept_job(LAST, time.time()), roster(FIRST), *entries],
     )
     assert not worker.starts
@@ -545,7 +545,7 @@
     play(
         worker,
         (lambda owner: None, knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), lambda owner: True),
+        (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         items=[roster(FIRST), entry_item(SECOND)],
@@ -569,7 +569,7 @@
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(listed(SECOND)), contacted_for(0.5)),
+        (lambda owner: owner.post(worker_listed(SECOND)), contacted_for(0.5)),
         (lambda owner: None, note_roster),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: None, note_roster),
@@ -578,7 +578,7 @@
 
 
 def test_the_list_of_an_earlier_version_names_workers_alone():
-    profile = listed(WorkerIncarnation('w')).profile
+    profile = worker_listed(WorkerIncarnation('w')).profile
     earlier = Item(f'{ROSTER_PREFIX}/0', encode([(profile, Address('127.0.0.1', 1))]), 1)
     worker = RestartingWorker()
-    play(worker, (lambda owner: owner.post(listed(FIRST)), knows(FIRST)), items=[earlier])
+    play(worker, (lambda owner: owner.post(worker_listed(FIRST)), knows(FIRST)), items=[earlier])
