--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -149,7 +149,7 @@
     return decode_job_record(kept_job(job_id, time.time()))
 
 
-def play(worker, *acts, items=None, within_s=4.0):
+def run_actions(worker, *acts, items=None, within_s=4.0):
     """Run an owner, and let each act begin once what the one before waits for holds.
 
     An act is a pair of what happens and what is waited for then.
@@ -211,7 +211,7 @@
 @pytest.mark.parametrize(('kind', 'phase'), [(EndKind.DONE, 'succeeded'), (EndKind.FAILED, 'running')])
 def test_ends_of_a_later_incarnation_are_taken_in_once_each(kind, phase):
     worker = RestartingWorker()
-    owner = play(
+    owner = run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
@@ -227,7 +227,7 @@
 
 def test_nothing_is_acknowledged_to_an_incarnation_that_it_has_not_told():
     worker = RestartingWorker()
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job()), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
@@ -243,7 +243,7 @@
 
 def test_what_was_acknowledged_is_not_acknowledged_again():
     worker = RestartingWorker()
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job()), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
@@ -260,7 +260,7 @@
     """An acknowledgement to the incarnation before got no answer; one that was never sent costs the next nothing."""
     worker = RestartingWorker()
     worker.acknowledgement_error = failure
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -285,7 +285,7 @@
         worker.acknowledgement_delay_s = 0.0
         owner.post(worker_listed(SECOND))
 
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -302,7 +302,7 @@
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', late_s)
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -323,7 +323,7 @@
         worker.refused_start_count = 1
         owner.post(job())
 
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -345,7 +345,7 @@
         owner.post(decode_job_record(gang))
         owner.post(decode_job_record(many))
 
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -368,7 +368,7 @@
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', 0.5)
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -399,7 +399,7 @@
         worker.survey_delay_s = 0.6
         owner.post(worker_listed(idle.incarnation))
 
-    play(
+    run_actions(
         Both(),
         (lambda owner: owner.post(job()), started(worker, 1)),
         (restart, runs_one(SECOND) if is_awaited else started(idle, 1)),
@@ -411,7 +411,7 @@
 def test_what_ran_in_an_earlier_incarnation_is_over_at_once():
     """No lease is waited for: nothing of it can run on."""
     worker = RestartingWorker()
-    owner = play(
+    owner = run_actions(
         worker,
         (lambda owner: owner.post(job()), started(worker, 1)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
@@ -425,7 +425,7 @@
 def test_an_incarnation_gets_nothing_before_what_it_has_is_known():
     """The one before had eight accelerators; this one has none."""
     worker = RestartingWorker()
-    play(
+    run_actions(
         worker,
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
@@ -437,7 +437,7 @@
 
 def test_a_late_entry_of_an_earlier_incarnation_is_no_update_of_the_later_one():
     worker = RestartingWorker()
-    owner = play(
+    owner = run_actions(
         worker,
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
@@ -452,7 +452,7 @@
     """What has answered last is the later incarnation, whatever time it gives for its start."""
     worker = RestartingWorker()
     worker.incarnation = THIRD
-    play(
+    run_actions(
         worker,
         (lambda owner: worker.restart(FIRST), knows(FIRST)),
         (lambda owner: owner.post(worker_listed(FIRST)), lambda owner: True),
@@ -464,7 +464,7 @@
 
 def test_an_incarnation_that_nobody_saw_changes_nothing():
     worker = RestartingWorker()
-    owner = play(
+    owner = run_actions(
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: worker.restart(THIRD), knows(THIRD)),
@@ -478,7 +478,7 @@
 def test_an_entry_is_enough_where_the_incarnation_before_answers_no_more():
     """It fell silent and was given up; its entry is not written again once it has changed."""
     worker = RestartingWorker()
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.scheduler.worker_by_id.pop(FIRST.worker_id), lambda owner: True),
@@ -491,7 +491,7 @@
 def test_orders_to_a_later_incarnation_outrank_late_ones_to_the_earlier():
     """A later incarnation remembers no stop and no fence: what was meant for the one before would be carried out."""
     worker = RestartingWorker()
-    play(worker, (lambda owner: worker.restart(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
+    run_actions(worker, (lambda owner: worker.restart(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
     fence_by_incarnation = dict(worker.fences)
     assert fence_by_incarnation[SECOND.worker_id] > fence_by_incarnation[FIRST.worker_id]
 
@@ -506,7 +506,7 @@
     """The previous owner had started a task there, and its list of workers names the incarnation before."""
     worker = RestartingWorker()
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
-    play(
+    run_actions(
         worker,
         (lambda owner: None, runs_one(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
@@ -527,7 +527,7 @@
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
-    play(
+    run_actions(
         Both(),
         (lambda owner: None, runs_one(SECOND)),
         items=[kept_job(LAST, time.time()), roster(FIRST), entry_item(idle.incarnation)],
@@ -542,7 +542,7 @@
     """The new owner does not know what the one before acknowledged without an answer."""
     worker = RestartingWorker()
     worker.restart(SECOND, late_acknowledgement=late_acknowledgement)
-    play(
+    run_actions(
         worker,
         (lambda owner: None, knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
@@ -564,7 +564,7 @@
         told.append([entry.known_incarnation for entry in owner._recorder.roster])
         return True
 
-    play(
+    run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), started(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
@@ -581,4 +581,4 @@
     profile = worker_listed(WorkerIncarnation('w')).profile
     earlier = Item(f'{ROSTER_PREFIX}/0', encode([(profile, Address('127.0.0.1', 1))]), 1)
     worker = RestartingWorker()
-    play(worker, (lambda owner: owner.post(worker_listed(FIRST)), knows(FIRST)), items=[earlier])
+    run_actions(worker, (lambda owner: owner.post(worker_listed(FIRST)), knows(FIRST)), items=[earlier])
