--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -149,12 +149,12 @@
     return decode_job_record(kept_job(job_id, time.time()))
 
 
-def run_actions(worker, *acts, items=None, within_s=4.0):
+def run_actions(worker, *actions, items=None, within_s=4.0):
     """Run an owner, and let each act begin once what the one before waits for holds.
 
     An act is a pair of what happens and what is waited for then.
     """
-    left = [(lambda owner: None, is_ready), *acts]
+    left = [(lambda owner: None, is_ready), *actions]
     is_begun = False
 
     def advance(owner):
