--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -154,23 +154,23 @@
 
     An act is a pair of what happens and what is waited for then.
     """
-    left = [(lambda owner: None, is_ready), *actions]
+    remaining = [(lambda owner: None, is_ready), *actions]
     is_begun = False
 
     def advance(owner):
         nonlocal is_begun
-        happens, holds = left[0]
+        happens, holds = remaining[0]
         if not is_begun:
             happens(owner)
             is_begun = True
         if holds(owner):
-            left.pop(0)
+            remaining.pop(0)
             is_begun = False
-        return not left
+        return not remaining
 
     store = KeptStore([entry_item(FIRST)] if items is None else items)
     owner = anyio.run(take_over, store, worker, advance, within_s)
-    assert not left, f'{len(left)} acts were not over'
+    assert not remaining, f'{len(remaining)} acts were not over'
     return owner
 
 
