--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -155,17 +155,17 @@
     An act is a pair of what happens and what is waited for then.
     """
     remaining = [(lambda owner: None, is_ready), *actions]
-    is_begun = False
+    is_action_started = False
 
     def advance(owner):
-        nonlocal is_begun
+        nonlocal is_action_started
         happens, holds = remaining[0]
-        if not is_begun:
+        if not is_action_started:
             happens(owner)
-            is_begun = True
+            is_action_started = True
         if holds(owner):
             remaining.pop(0)
-            is_begun = False
+            is_action_started = False
         return not remaining
 
     store = KeptStore([entry_item(FIRST)] if items is None else items)
