--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -159,9 +159,9 @@
 
     def advance(owner):
         nonlocal is_action_started
-        happens, holds = remaining[0]
+        action, holds = remaining[0]
         if not is_action_started:
-            happens(owner)
+            action(owner)
             is_action_started = True
         if holds(owner):
             remaining.pop(0)
