--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -159,11 +159,11 @@
 
     def advance(owner):
         nonlocal is_action_started
-        action, holds = remaining[0]
+        action, condition = remaining[0]
         if not is_action_started:
             action(owner)
             is_action_started = True
-        if holds(owner):
+        if condition(owner):
             remaining.pop(0)
             is_action_started = False
         return not remaining
@@ -201,11 +201,11 @@
     """Return whether so long has passed since it was first looked at; the worker answers meanwhile."""
     begun_s = []
 
-    def holds(owner):
+    def condition(owner):
         begun_s.append(time.monotonic())
         return begun_s[-1] - begun_s[0] > seconds
 
-    return holds
+    return condition
 
 
 @pytest.mark.parametrize(('kind', 'phase'), [(EndKind.DONE, 'succeeded'), (EndKind.FAILED, 'running')])
