--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -174,7 +174,7 @@
     return owner
 
 
-def started(worker, count):
+def start_count_is(worker, count):
     return lambda owner: len(worker.starts) == count
 
 
@@ -213,11 +213,11 @@
     worker = RestartingWorker()
     owner = run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(job()), started(worker, 2)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
     )
     step = owner.scheduler.job_by_id[LAST].step_by_key[0, 0]
@@ -229,7 +229,7 @@
     worker = RestartingWorker()
     run_actions(
         worker,
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         (lambda owner: None, lambda owner: (FIRST.worker_id, 1) in worker.acknowledged),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
@@ -245,7 +245,7 @@
     worker = RestartingWorker()
     run_actions(
         worker,
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         (lambda owner: worker.acknowledged.clear(), lambda owner: len(worker.acknowledged) > 10),
     )
@@ -262,7 +262,7 @@
     worker.acknowledgement_error = failure
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
@@ -287,7 +287,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, knows(SECOND)),
         (recover, runs_on(worker)),
@@ -304,7 +304,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('silence')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
@@ -325,7 +325,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), runs_on(worker)),
@@ -347,7 +347,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (post, knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
@@ -370,7 +370,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('silence')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
@@ -401,8 +401,8 @@
 
     run_actions(
         Both(),
-        (lambda owner: owner.post(job()), started(worker, 1)),
-        (restart, runs_one(SECOND) if is_awaited else started(idle, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
+        (restart, runs_one(SECOND) if is_awaited else start_count_is(idle, 1)),
         (lambda owner: None, contacted_for(1.0)),
     )
     assert bool(idle.starts) is not is_awaited
@@ -413,9 +413,9 @@
     worker = RestartingWorker()
     owner = run_actions(
         worker,
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(worker_listed(SECOND)), started(worker, 2)),
+        (lambda owner: owner.post(worker_listed(SECOND)), start_count_is(worker, 2)),
         within_s=2.0,
     )
     assert worker.starts == [(FIRST.worker_id, TASK), (SECOND.worker_id, TASK)]
@@ -442,7 +442,7 @@
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(worker_listed(FIRST, accelerators=0)), lambda owner: len(worker.fences) > 8),
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
     )
     assert worker.starts == [(SECOND.worker_id, TASK)]
     assert list(owner.scheduler.worker_by_id) == [SECOND.worker_id]
@@ -456,7 +456,7 @@
         worker,
         (lambda owner: worker.restart(FIRST), knows(FIRST)),
         (lambda owner: owner.post(worker_listed(FIRST)), lambda owner: True),
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         items=[entry_item(THIRD)],
     )
     assert worker.starts == [(FIRST.worker_id, TASK)]
@@ -469,7 +469,7 @@
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: worker.restart(THIRD), knows(THIRD)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
-        (lambda owner: owner.post(worker_listed(THIRD)), started(worker, 1)),
+        (lambda owner: owner.post(worker_listed(THIRD)), start_count_is(worker, 1)),
     )
     assert worker.starts == [(THIRD.worker_id, TASK)]
     assert list(owner.scheduler.worker_by_id) == [THIRD.worker_id]
@@ -483,7 +483,7 @@
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.scheduler.worker_by_id.pop(FIRST.worker_id), lambda owner: True),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
-        (lambda owner: owner.post(job()), started(worker, 1)),
+        (lambda owner: owner.post(job()), start_count_is(worker, 1)),
     )
     assert worker.starts == [(SECOND.worker_id, TASK)]
 
@@ -566,7 +566,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), started(worker, 1)),
+        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), knows(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), contacted_for(0.5)),
