--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -182,13 +182,13 @@
     return lambda owner: owner.scheduler.job_by_id[job_id].phase == phase
 
 
-def knows(incarnation):
+def tracks(incarnation):
     return lambda owner: incarnation.worker_id in owner.scheduler.worker_by_id
 
 
 def runs_one(incarnation):
     return lambda owner: (
-        knows(incarnation)(owner) and len(owner.scheduler.worker_by_id[incarnation.worker_id].run_by_key) == 1
+        tracks(incarnation)(owner) and len(owner.scheduler.worker_by_id[incarnation.worker_id].run_by_key) == 1
     )
 
 
@@ -215,7 +215,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), start_count_is(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
@@ -232,7 +232,7 @@
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         (lambda owner: None, lambda owner: (FIRST.worker_id, 1) in worker.acknowledged),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (
             lambda owner: None,
             lambda owner: sum(incarnation == SECOND.worker_id for incarnation, _ in worker.acknowledged) > 5,
@@ -264,7 +264,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
@@ -289,7 +289,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (restart, knows(SECOND)),
+        (restart, tracks(SECOND)),
         (recover, runs_on(worker)),
     )
     assert worker.stopped == [TASK]
@@ -307,7 +307,7 @@
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
     )
@@ -327,7 +327,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (restart, knows(SECOND)),
+        (restart, tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), runs_on(worker)),
     )
     assert not worker.refused_start_count
@@ -349,7 +349,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (post, knows(SECOND)),
+        (post, tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.running) == 6),
     )
@@ -372,7 +372,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
@@ -414,7 +414,7 @@
     owner = run_actions(
         worker,
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), start_count_is(worker, 2)),
         within_s=2.0,
     )
@@ -427,7 +427,7 @@
     worker = RestartingWorker()
     run_actions(
         worker,
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
         (lambda owner: owner.post(WorkerUnlisted('w')), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(worker_listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
@@ -439,7 +439,7 @@
     worker = RestartingWorker()
     owner = run_actions(
         worker,
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(worker_listed(FIRST, accelerators=0)), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
@@ -454,7 +454,7 @@
     worker.incarnation = THIRD
     run_actions(
         worker,
-        (lambda owner: worker.restart(FIRST), knows(FIRST)),
+        (lambda owner: worker.restart(FIRST), tracks(FIRST)),
         (lambda owner: owner.post(worker_listed(FIRST)), lambda owner: True),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         items=[entry_item(THIRD)],
@@ -467,7 +467,7 @@
     owner = run_actions(
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: worker.restart(THIRD), knows(THIRD)),
+        (lambda owner: worker.restart(THIRD), tracks(THIRD)),
         (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
         (lambda owner: owner.post(worker_listed(THIRD)), start_count_is(worker, 1)),
     )
@@ -482,7 +482,7 @@
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.scheduler.worker_by_id.pop(FIRST.worker_id), lambda owner: True),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
     )
     assert worker.starts == [(SECOND.worker_id, TASK)]
@@ -544,7 +544,7 @@
     worker.restart(SECOND, late_acknowledgement=late_acknowledgement)
     run_actions(
         worker,
-        (lambda owner: None, knows(SECOND)),
+        (lambda owner: None, tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), runs_on(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
@@ -568,7 +568,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: worker.restart(SECOND), knows(SECOND)),
+        (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), contacted_for(0.5)),
         (lambda owner: None, note_roster),
         (lambda owner: owner.post(job()), runs_on(worker)),
@@ -581,4 +581,4 @@
     profile = worker_listed(WorkerIncarnation('w')).profile
     earlier = Item(f'{ROSTER_PREFIX}/0', encode([(profile, Address('127.0.0.1', 1))]), 1)
     worker = RestartingWorker()
-    run_actions(worker, (lambda owner: owner.post(worker_listed(FIRST)), knows(FIRST)), items=[earlier])
+    run_actions(worker, (lambda owner: owner.post(worker_listed(FIRST)), tracks(FIRST)), items=[earlier])
