--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -186,7 +186,7 @@
     return lambda owner: incarnation.worker_id in owner.scheduler.worker_by_id
 
 
-def runs_one(incarnation):
+def tracks_one_run(incarnation):
     return lambda owner: (
         tracks(incarnation)(owner) and len(owner.scheduler.worker_by_id[incarnation.worker_id].run_by_key) == 1
     )
@@ -402,7 +402,7 @@
     run_actions(
         Both(),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
-        (restart, runs_one(SECOND) if is_awaited else start_count_is(idle, 1)),
+        (restart, tracks_one_run(SECOND) if is_awaited else start_count_is(idle, 1)),
         (lambda owner: None, contacted_for(1.0)),
     )
     assert bool(idle.starts) is not is_awaited
@@ -508,7 +508,7 @@
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     run_actions(
         worker,
-        (lambda owner: None, runs_one(SECOND)),
+        (lambda owner: None, tracks_one_run(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
         items=[kept_job(LAST, time.time()), roster(FIRST), *entries],
     )
@@ -529,7 +529,7 @@
 
     run_actions(
         Both(),
-        (lambda owner: None, runs_one(SECOND)),
+        (lambda owner: None, tracks_one_run(SECOND)),
         items=[kept_job(LAST, time.time()), roster(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
