--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -192,7 +192,7 @@
     )
 
 
-def runs_on(worker):
+def keeps_running(worker):
     """Return whether a run has gone on for longer than one that is stopped at once."""
     return lambda owner: worker.running and time.monotonic() - worker.last_start_s > 0.5
 
@@ -266,7 +266,7 @@
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(job()), runs_on(worker)),
+        (lambda owner: owner.post(job()), keeps_running(worker)),
     )
     assert len(worker.starts) == (3 if is_unacknowledged else 2)
     assert len(worker.stopped) == is_unacknowledged
@@ -290,7 +290,7 @@
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
-        (recover, runs_on(worker)),
+        (recover, keeps_running(worker)),
     )
     assert worker.stopped == [TASK]
 
@@ -309,7 +309,7 @@
         (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(job()), runs_on(worker)),
+        (lambda owner: owner.post(job()), keeps_running(worker)),
     )
     assert len(worker.stopped) == is_unacknowledged
 
@@ -328,7 +328,7 @@
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
-        (lambda owner: owner.post(worker_listed(SECOND)), runs_on(worker)),
+        (lambda owner: owner.post(worker_listed(SECOND)), keeps_running(worker)),
     )
     assert not worker.refused_start_count
     assert worker.stop_order_count == len(worker.stopped) == 1
@@ -375,7 +375,7 @@
         (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(job()), runs_on(worker)),
+        (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         within_s=8.0,
     )
@@ -546,7 +546,7 @@
         worker,
         (lambda owner: None, tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
-        (lambda owner: owner.post(job()), runs_on(worker)),
+        (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
         items=[roster(FIRST), entry_item(SECOND)],
         within_s=8.0,
@@ -571,7 +571,7 @@
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), contacted_for(0.5)),
         (lambda owner: None, note_roster),
-        (lambda owner: owner.post(job()), runs_on(worker)),
+        (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: None, note_roster),
     )
     assert told == [[FIRST], [SECOND]]
