--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -197,7 +197,7 @@
     return lambda owner: worker.running and time.monotonic() - worker.last_start_s > 0.5
 
 
-def contacted_for(seconds):
+def time_has_passed(seconds):
     """Return whether so long has passed since it was first looked at; the worker answers meanwhile."""
     begun_s = []
 
@@ -306,7 +306,7 @@
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
-        (lambda owner: setattr(worker, 'acknowledgement_error', None), contacted_for(0.6)),
+        (lambda owner: setattr(worker, 'acknowledgement_error', None), time_has_passed(0.6)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), keeps_running(worker)),
@@ -403,7 +403,7 @@
         Both(),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (restart, tracks_one_run(SECOND) if is_awaited else start_count_is(idle, 1)),
-        (lambda owner: None, contacted_for(1.0)),
+        (lambda owner: None, time_has_passed(1.0)),
     )
     assert bool(idle.starts) is not is_awaited
 
@@ -569,7 +569,7 @@
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
-        (lambda owner: owner.post(worker_listed(SECOND)), contacted_for(0.5)),
+        (lambda owner: owner.post(worker_listed(SECOND)), time_has_passed(0.5)),
         (lambda owner: None, note_roster),
         (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: None, note_roster),
