--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -199,11 +199,11 @@
 
 def time_has_passed(seconds):
     """Return whether so long has passed since it was first looked at; the worker answers meanwhile."""
-    begun_s = []
+    times_s = []
 
     def condition(owner):
-        begun_s.append(time.monotonic())
-        return begun_s[-1] - begun_s[0] > seconds
+        times_s.append(time.monotonic())
+        return times_s[-1] - times_s[0] > seconds
 
     return condition
 
