--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -389,7 +389,7 @@
     worker.unanswered_start_count = unanswered
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class Both(Sessions):
+    class TwoWorkers(Sessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
@@ -400,7 +400,7 @@
         owner.post(worker_listed(idle.incarnation))
 
     run_actions(
-        Both(),
+        TwoWorkers(),
         (lambda owner: owner.post(job()), start_count_is(worker, 1)),
         (restart, tracks_one_run(SECOND) if is_awaited else start_count_is(idle, 1)),
         (lambda owner: None, time_has_passed(1.0)),
@@ -523,12 +523,12 @@
     worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class Both(Sessions):
+    class TwoWorkers(Sessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
     run_actions(
-        Both(),
+        TwoWorkers(),
         (lambda owner: None, tracks_one_run(SECOND)),
         items=[kept_job(LAST, time.time()), roster(FIRST), entry_item(idle.incarnation)],
     )
