--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -558,10 +558,10 @@
 def test_an_incarnation_that_has_not_listed_an_end_yet_is_told_to_the_next_owner_as_one_that_follows_another():
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
-    told = []
+    roster_incarnations = []
 
     def note_roster(owner):
-        told.append([entry.known_incarnation for entry in owner._recorder.roster])
+        roster_incarnations.append([entry.known_incarnation for entry in owner._recorder.roster])
         return True
 
     run_actions(
@@ -574,7 +574,7 @@
         (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: None, note_roster),
     )
-    assert told == [[FIRST], [SECOND]]
+    assert roster_incarnations == [[FIRST], [SECOND]]
 
 
 def test_the_list_of_an_earlier_version_names_workers_alone():
