--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -560,7 +560,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('silence')
     roster_incarnations = []
 
-    def note_roster(owner):
+    def record_roster(owner):
         roster_incarnations.append([entry.known_incarnation for entry in owner._recorder.roster])
         return True
 
@@ -570,9 +570,9 @@
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), time_has_passed(0.5)),
-        (lambda owner: None, note_roster),
+        (lambda owner: None, record_roster),
         (lambda owner: owner.post(job()), keeps_running(worker)),
-        (lambda owner: None, note_roster),
+        (lambda owner: None, record_roster),
     )
     assert roster_incarnations == [[FIRST], [SECOND]]
 
