--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -496,7 +496,7 @@
     assert fence_by_incarnation[SECOND.worker_id] > fence_by_incarnation[FIRST.worker_id]
 
 
-def roster(incarnation):
+def roster_item(incarnation):
     entry = RosterEntry(worker_listed(incarnation).profile, Address('127.0.0.1', 1), incarnation)
     return Item(f'{ROSTER_PREFIX}/0', encode([entry]), 1)
 
@@ -510,7 +510,7 @@
         worker,
         (lambda owner: None, tracks_one_run(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
-        items=[kept_job(LAST, time.time()), roster(FIRST), *entries],
+        items=[kept_job(LAST, time.time()), roster_item(FIRST), *entries],
     )
     assert not worker.starts
     assert worker.running
@@ -530,7 +530,7 @@
     run_actions(
         TwoWorkers(),
         (lambda owner: None, tracks_one_run(SECOND)),
-        items=[kept_job(LAST, time.time()), roster(FIRST), entry_item(idle.incarnation)],
+        items=[kept_job(LAST, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
 
@@ -548,7 +548,7 @@
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), keeps_running(worker)),
         (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded')),
-        items=[roster(FIRST), entry_item(SECOND)],
+        items=[roster_item(FIRST), entry_item(SECOND)],
         within_s=8.0,
     )
     assert worker.done.count(TASK) == 1
