--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize(('kind', 'phase'), [(EndKind.DONE, 'succeeded'), (EndKind.FAILED, 'running')])
-def test_ends_of_a_later_incarnation_are_taken_in_once_each(kind, phase):
+def test_each_end_of_a_later_incarnation_is_processed_once(kind, phase):
     worker = RestartingWorker()
     owner = run_actions(
         worker,
