--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -225,7 +225,7 @@
     assert (step.done, len(step.failed_runs_by_index)) in [({0}, 0), (set(), 0), (set(), 1)]
 
 
-def test_nothing_is_acknowledged_to_an_incarnation_that_it_has_not_told():
+def test_an_incarnation_gets_no_acknowledgement_of_ends_that_it_has_not_listed():
     worker = RestartingWorker()
     run_actions(
         worker,
