--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -241,7 +241,7 @@
     assert {number for incarnation, number in worker.acknowledged if incarnation == SECOND.worker_id} == {0}
 
 
-def test_what_was_acknowledged_is_not_acknowledged_again():
+def test_an_end_is_acknowledged_only_once():
     worker = RestartingWorker()
     run_actions(
         worker,
