--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -256,7 +256,9 @@
     ('failure', 'is_unacknowledged'),
     [(WorkerUnansweredError('silence'), True), (WorkerUnreachableError('cut off'), False), (None, False)],
 )
-def test_an_incarnation_is_tried_while_it_may_have_been_told_to_forget_ends_of_its_own(failure, is_unacknowledged):
+def test_an_incarnation_is_probed_if_it_may_have_processed_an_acknowledgement_to_its_predecessor(
+    failure, is_unacknowledged
+):
     """An acknowledgement to the incarnation before got no answer; one that was never sent costs the next nothing."""
     worker = RestartingWorker()
     worker.acknowledgement_error = failure
