--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -274,7 +274,7 @@
     assert len(worker.stopped) == is_unacknowledged
 
 
-def test_an_incarnation_is_tried_for_an_acknowledgement_that_is_under_way_when_another_call_meets_it():
+def test_an_incarnation_is_probed_if_it_is_detected_while_an_acknowledgement_is_pending():
     """The link was closed with the call, which did not count as one without an answer."""
     worker = RestartingWorker()
     worker.acknowledgement_delay_s = 60.0
