--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize(('late_s', 'is_unacknowledged'), [(5.0, True), (0.3, False)])
-def test_an_incarnation_is_not_tried_where_the_one_before_was_contacted_until_no_acknowledgement_may_come(
+def test_an_incarnation_is_not_probed_if_its_predecessor_answered_until_the_acknowledgement_expired(
     late_s, is_unacknowledged, monkeypatch
 ):
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', late_s)
