--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -316,7 +316,7 @@
     assert len(worker.stopped) == is_unacknowledged
 
 
-def test_a_start_that_an_incarnation_refuses_while_it_is_tried_is_not_stopped():
+def test_a_start_that_an_incarnation_refuses_while_it_is_probed_is_not_stopped():
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
 
