--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -385,7 +385,9 @@
 
 
 @pytest.mark.parametrize(('unanswered', 'is_awaited'), [(1, True), (0, False)])
-def test_a_task_whose_first_try_got_no_answer_waits_for_the_list_of_the_next_incarnation(unanswered, is_awaited):
+def test_a_task_whose_first_start_attempt_was_unanswered_waits_for_the_survey_of_the_next_incarnation(
+    unanswered, is_awaited
+):
     """The second was answered; the next incarnation may carry out the first, and the task had started elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
     worker.unanswered_start_count = unanswered
