--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -412,7 +412,7 @@
     assert bool(idle.starts) is not is_awaited
 
 
-def test_what_ran_in_an_earlier_incarnation_is_over_at_once():
+def test_runs_of_an_earlier_incarnation_are_over_at_once():
     """No lease is waited for: nothing of it can run on."""
     worker = RestartingWorker()
     owner = run_actions(
