--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -426,7 +426,7 @@
     assert FIRST.worker_id not in owner.scheduler.worker_by_id
 
 
-def test_an_incarnation_gets_nothing_before_what_it_has_is_known():
+def test_an_incarnation_gets_no_starts_before_its_capacity_is_known():
     """The one before had eight accelerators; this one has none."""
     worker = RestartingWorker()
     run_actions(
