--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -439,7 +439,7 @@
     assert not worker.starts
 
 
-def test_a_late_entry_of_an_earlier_incarnation_is_no_update_of_the_later_one():
+def test_a_late_entry_of_an_earlier_incarnation_does_not_update_the_later_one():
     worker = RestartingWorker()
     owner = run_actions(
         worker,
