--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -452,7 +452,7 @@
     assert list(owner.scheduler.worker_by_id) == [SECOND.worker_id]
 
 
-def test_an_incarnation_whose_clock_was_behind_when_it_began_is_the_later_one():
+def test_the_incarnation_that_answered_last_is_the_later_one_even_if_its_start_time_is_earlier():
     """What has answered last is the later incarnation, whatever time it gives for its start."""
     worker = RestartingWorker()
     worker.incarnation = THIRD
