--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -466,7 +466,7 @@
     assert worker.starts == [(FIRST.worker_id, TASK)]
 
 
-def test_an_incarnation_that_nobody_saw_changes_nothing():
+def test_an_incarnation_that_never_answered_is_skipped():
     worker = RestartingWorker()
     owner = run_actions(
         worker,
