--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -479,7 +479,7 @@
     assert list(owner.scheduler.worker_by_id) == [THIRD.worker_id]
 
 
-def test_an_entry_is_enough_where_the_incarnation_before_answers_no_more():
+def test_a_pending_entry_is_used_once_the_earlier_incarnation_is_given_up():
     """It fell silent and was given up; its entry is not written again once it has changed."""
     worker = RestartingWorker()
     run_actions(
