--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -492,7 +492,7 @@
     assert worker.starts == [(SECOND.worker_id, TASK)]
 
 
-def test_orders_to_a_later_incarnation_outrank_late_ones_to_the_earlier():
+def test_orders_to_a_later_incarnation_carry_a_higher_fence_than_those_to_an_earlier_one():
     """A later incarnation remembers no stop and no fence: what was meant for the one before would be carried out."""
     worker = RestartingWorker()
     run_actions(worker, (lambda owner: worker.restart(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
