--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -506,7 +506,7 @@
 
 
 @pytest.mark.parametrize('entries', [(), (entry_item(FIRST),), (entry_item(SECOND),)], ids=['none', 'earlier', 'later'])
-def test_a_new_owner_contacts_the_incarnation_that_answers_before_it_starts_previous_work(entries):
+def test_a_new_owner_surveys_the_current_incarnation_before_it_starts_inherited_jobs(entries):
     """The previous owner had started a task there, and its list of workers names the incarnation before."""
     worker = RestartingWorker()
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
