--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -520,7 +520,7 @@
     assert worker.running
 
 
-def test_previous_work_waits_for_the_list_of_an_incarnation_that_replaces_one():
+def test_inherited_jobs_wait_for_the_survey_of_an_incarnation_that_replaces_another():
     """Its name was contacted as soon as the incarnation before was over, and the task ran a second time elsewhere."""
     worker, idle = RestartingWorker(), RestartingWorker()
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
