--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -540,7 +540,7 @@
 
 
 @pytest.mark.parametrize('late_acknowledgement', [0, 2])
-def test_an_incarnation_that_began_before_a_takeover_may_hold_on_to_an_acknowledgement_of_the_owner_before(
+def test_an_incarnation_that_started_before_a_takeover_is_probed_by_the_new_owner(
     late_acknowledgement,
 ):
     """The new owner does not know what the one before acknowledged without an answer."""
