--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -559,7 +559,7 @@
     assert len(worker.stopped) == late_acknowledgement + 1
 
 
-def test_an_incarnation_that_has_not_listed_an_end_yet_is_told_to_the_next_owner_as_one_that_follows_another():
+def test_the_roster_names_the_earlier_incarnation_until_its_successor_has_listed_an_end():
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('silence')
     roster_incarnations = []
