--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -581,7 +581,7 @@
     assert roster_incarnations == [[FIRST], [SECOND]]
 
 
-def test_the_list_of_an_earlier_version_names_workers_alone():
+def test_a_roster_of_an_earlier_version_without_incarnations_is_read():
     profile = worker_listed(WorkerIncarnation('w')).profile
     earlier = Item(f'{ROSTER_PREFIX}/0', encode([(profile, Address('127.0.0.1', 1))]), 1)
     worker = RestartingWorker()
