--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with workers in memory."""
+"""Sessions with in-memory workers."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class Sessions:
-    """What a worker in memory needs for sessions with it: calls name the incarnation and the fence."""
+    """Mixin that gives an in-memory worker sessions, whose calls carry its incarnation and a fence."""
 
     def session(self, address, incarnation, fence):
         return _Session(self, address, incarnation.worker_id, fence)
@@ -27,7 +27,7 @@
                 return call.result()
         finally:
             call.cancel()
-        raise WorkerUnansweredError('given up')
+        raise WorkerUnansweredError('survey cancelled')
 
     async def start(self, order, *, timeout_s):
         return await self._workers.start(*self._address_and_id, order, fence=self._fence, timeout_s=timeout_s)
@@ -36,4 +36,4 @@
         return await self._workers.stop(*self._address_and_id, key, run, self._fence, timeout_s=timeout_s)
 
     def close(self):
-        """Nothing is kept."""
+        """Do nothing, since no resources are held."""
