--- a/packages/node/dahliaarch_node/owner/tests/test_advising.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_advising.py
@@ -1,12 +1,11 @@
-"""Questions to an outside policy that works on one call of an instance at a time.
-
-What happens: an owner that knows few peers gets no answer from the policy any more, and nothing on its queues starts.
-
-The sequence: the owner had up to eight questions under way, whoever could ask: with one way to ask, right after a
-takeover, all eight waited for their turn at the policy. Each waits for as long as one takes and 1.0 s more; those
-behind the third were given up, were worked on all the same, and were asked again behind the others.
-
-The cause: a wait that knows nothing of the queue ahead, and repeats that lengthen it.
+"""Tests of questions to an external policy that processes one call per instance at a time.
+
+An owner sent up to eight questions concurrently, regardless of the number of askers. With
+a single asker, right after a takeover, all eight queued at the policy. Each timed out 1.0 s
+after the duration of one decision, so those behind the third were abandoned, but still
+processed by the policy, and were asked again behind the others. The timeout ignored the
+queue and the repeated questions lengthened it, until the owner got no answer any more and
+nothing on its queues started.
 """
 
 import time
@@ -27,7 +26,7 @@
 
 
 class Policy:
-    """Works on one call at a time, also on those that were given up."""
+    """An external policy that processes calls one at a time, including those that have timed out."""
 
     def __init__(self, tasks):
         self._tasks = tasks
@@ -67,6 +66,6 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    # It decides on twelve in this time.
+    # The policy makes twelve decisions within DURATION_S.
     assert sum(isinstance(message, AdviceGiven) for message in outcomes) == 10
     assert not any(isinstance(message, AdviceFailed) for message in outcomes)
