--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""Assignments are kept before starts are sent, and read by the next owner."""
+"""Tests that assignments are stored before starts are sent, and read by the next owner."""
 
 import time
 
@@ -75,17 +75,17 @@
         ([assigner_item(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
     ],
     ids=[
-        'assigned nowhere',
+        'not assigned',
         'assigned to the silent worker',
-        'assigned to one that lists nothing',
-        'assigned to one that was taken off the roster',
-        'by an owner that kept no assignments',
-        'with a roster that such an owner kept later',
-        'beside an assignment that can not be read',
+        'assigned to a worker that lists no runs',
+        'assigned to a worker that was removed from the roster',
+        'assigned by an owner that stores no assignments',
+        'roster stored later by an owner that stores no assignments',
+        'with an unreadable assignment of another job',
     ],
 )
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
-    # All jobs of previous owners waited for every silent worker: up to 8 s beside an idle pool.
+    # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
     store = KeptStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
@@ -93,14 +93,14 @@
 
 
 class ConditionalStore(KeptStore):
-    """A store of several owners, which keeps revisions and conditions; and can refuse all writes."""
+    """A store that tracks revisions, checks conditions and can refuse all writes."""
 
     def __init__(self, items):
         super().__init__(items)
         self.item_by_key = {item.key: item for item in items}
         self.revision = EPOCH + 1000
         self.refuses_writes = False
-        # What is assigned when a roster is written.
+        # For each write of the roster, whether the job NEW has stored assignments then.
         self.has_assignments_at_roster_write = []
 
     @property
@@ -116,7 +116,7 @@
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         if self.refuses_writes:
-            raise StoreRefusedError('down')
+            raise StoreRefusedError('503')
         current_by_key = {
             condition.key: self.item_by_key[condition.key]
             for condition in conditions
@@ -141,7 +141,7 @@
 
 
 class RecordingWorkers(Workers):
-    """Workers that note what the store held when a start came."""
+    """Workers that record whether the assignment, a roster and the assigner were stored when a start arrived."""
 
     def __init__(self, store):
         super().__init__()
@@ -172,7 +172,7 @@
 
 
 def run_scenario(scenario, items):
-    """Run a scenario with an owner that has taken a pool over."""
+    """Run a scenario with an owner that has completed its takeover."""
     store = ConditionalStore(items)
     store.claim(EPOCH)
     workers = RecordingWorkers(store)
@@ -232,7 +232,7 @@
 
 
 def test_an_owner_that_was_replaced_sends_no_start():
-    # It started jobs that it was told of until it knew its successor, which could not know.
+    # An owner continued to start new jobs until it knew its successor, which could not know of these starts.
     async def scenario(owner, store, workers):
         store.claim(EPOCH + 1)
         owner.post(decode_job_record(kept_job(NEW, time.time())))
@@ -256,7 +256,7 @@
 
 
 def test_a_worker_is_removed_from_the_roster_after_the_assignments_of_its_tasks():
-    # Else a next owner finds a task assigned to a worker that nobody knows, and can not tell why.
+    # Otherwise the next owner finds a task assigned to an unknown worker and cannot tell the reason.
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
@@ -269,7 +269,7 @@
 
 
 def test_no_crash_is_counted_for_a_held_start():
-    # A task that was never sent to three workers that crashed would be given up for it.
+    # A task would be given up if three workers crashed to which its start had not even been sent.
     crashes = []
 
     async def scenario(owner, store, workers):
