--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -1,4 +1,4 @@
-"""An owner that the store turns away makes its transactions through instances that the store serves."""
+"""Tests that an owner that the store refuses relays its transactions through other instances."""
 
 import anyio
 import pytest
@@ -25,7 +25,7 @@
 
 
 class Store:
-    """A store that answers each transaction alike."""
+    """A store that gives every transaction the same answer."""
 
     def __init__(self, answer, *, is_suspect=False):
         self.answer = answer
@@ -40,7 +40,7 @@
 
 
 class Peers:
-    """Instances of which each has its own way to the store."""
+    """Other instances, each with its own connection to the store."""
 
     def __init__(self, *stores):
         self.stores = stores
@@ -54,7 +54,7 @@
 
 
 class Peer:
-    """One of them."""
+    """Address of one of the other instances."""
 
     port = 1
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize('refusal', [StoreRefusedError('503'), StoreUnreachableError('reset')])
 @pytest.mark.parametrize('answer', [DONE, FAILED])
 def test_a_transaction_is_relayed_while_the_store_refuses_only_the_owner(refusal, answer):
-    # Until its lease had ended, 2.2 s later, nothing that it decided was kept, and nothing was started.
+    # Until its lease ended, 2.2 s later, no decision of the owner was stored and no run was started.
     other = Store(answer)
     assert commit(Store(refusal), other) == answer
     assert other.commits == [((CONDITION,), (WRITE,), ('gone',))]
@@ -85,7 +85,7 @@
 def test_an_unanswered_transaction_is_not_relayed():
     other = Store(DONE)
     with pytest.raises(StoreUnansweredError):
-        commit(Store(StoreUnansweredError('silence')), other)
+        commit(Store(StoreUnansweredError('no answer')), other)
     assert not other.commits
 
 
@@ -94,7 +94,7 @@
     [
         (Store(StoreRefusedError('503')), StoreRefusedError),
         (Store(DONE, is_suspect=True), StoreRefusedError),
-        (Store(StoreUnansweredError('silence')), StoreUnansweredError),
+        (Store(StoreUnansweredError('no answer')), StoreUnansweredError),
     ],
 )
 def test_the_error_of_a_relayed_transaction_tells_whether_it_may_have_been_applied(other, failure):
@@ -112,6 +112,6 @@
 def test_a_relaying_instance_reports_an_unknown_outcome():
     async def run():
         message = CommitFor((CONDITION,), (WRITE,), (), 0.6)
-        return (await make_for_peer(Store(StoreUnansweredError('silence')), message)).outcome
+        return (await make_for_peer(Store(StoreUnansweredError('no answer')), message)).outcome
 
     assert anyio.run(run) is CommitOutcome.UNKNOWN
