--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -1,8 +1,8 @@
-"""A caller asks for a state just as the job ends, and is to be told of the end.
+"""Tests of requests for the state of a job that is about to end.
 
-Callers ask as their last task ends. The end is known to the owner some
-milliseconds later and kept 40 ms later; told that the job runs, they come again
-after 0.25 s, and urgent jobs that ended in time were shown too late.
+Callers ask when their last task ends. The owner learns of the end some milliseconds
+later and has saved it 40 ms after that. Callers that were told that the job is running
+asked again only after 0.25 s, so urgent jobs that ended in time were reported too late.
 """
 
 import time
@@ -25,7 +25,7 @@
 
 
 class OwnerStandIn:
-    """What replies need of the owner."""
+    """The part of an owner that `PeerReplies` uses."""
 
     def __init__(self, steps):
         self.scheduler = Scheduler(SchedulerSettings(), 1)
@@ -67,7 +67,7 @@
 
 
 async def ask_during(owner, *actions, wait_s=0.5):
-    """Ask, and let things happen 20 ms apart meanwhile."""
+    """Ask, and call the actions 20 ms apart while the request is pending."""
     answers = []
 
     async def record():
