--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -1,10 +1,8 @@
-"""Entries of workers that another writer made, as the owner of the pool takes them.
+"""Tests of worker entries in the store that were written by another program.
 
-What happened: an entry that could not be read any more left its worker in use as it was, and one of a service that
-nobody had configured had the owner ask at its address again and again.
-
-The cause: what can't be read was passed over, as if nothing had been written; and each entry that could be read was
-taken for a worker of the pool.
+An entry that became unreadable was ignored, so its worker stayed in use as before.
+Every readable entry counted as a worker of the pool, so the owner repeatedly surveyed
+the address of an entry whose service was not configured.
 """
 
 from functools import partial
@@ -104,7 +102,7 @@
 
 
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
-    """The previous owner knew the worker; without it the task would run a second time elsewhere."""
+    """The previous owner used the worker; unless it is surveyed, its task is started a second time elsewhere."""
     workers = Workers({'w': ()})
     store = KeptStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
@@ -113,7 +111,7 @@
 
 
 def test_the_next_owner_grants_short_leases_to_a_draining_worker_without_an_entry():
-    """With the longest ones, what ran there would start elsewhere seconds later."""
+    """With the longest leases, its runs would be restarted elsewhere seconds later."""
     workers = Workers({'w': ()})
     owner = run_takeover(
         KeptStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
@@ -138,7 +136,7 @@
 
 
 def test_a_worker_of_a_removed_service_is_surveyed_by_the_next_owner():
-    """Tasks of jobs accepted before may run there."""
+    """Tasks of jobs that were accepted before the removal may be running on it."""
     workers = Workers()
     store = KeptStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
