--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -1,4 +1,8 @@
-"""Full garbage collections stopped an owner with many jobs for tenths of a second, takeover and heartbeats included."""
+"""Tests that full garbage collections of an owner with many jobs stay short.
+
+Full collections blocked such an owner, including its takeover and its heartbeats, for
+tenths of a second.
+"""
 
 import gc
 
@@ -10,13 +14,13 @@
 from .test_takeover import KeptStore, MANY, many_jobs, take_over, Workers
 
 OLDEST_GENERATION = 2
-# Container objects that a job takes, at least.
+# Minimum number of container objects that a job consists of.
 MIN_OBJECTS_PER_JOB = 10
 
 
 @pytest.fixture
 def full_collections():
-    """How many objects each full collection walks."""
+    """Number of objects that each full collection traverses."""
     object_counts = []
 
     def record(phase, info):
@@ -42,7 +46,7 @@
 
 
 def make_cycle():
-    """Return something that reference counts do not free."""
+    """Return an object that reference counting does not free."""
     cyclic = []
     cyclic.append(cyclic)
     return cyclic
