--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -1,9 +1,10 @@
-"""What an owner makes of workers that start again under their names.
+"""Tests of workers that restart under the same name.
 
-A worker that crashed came back under the name that it had, before its entry lapsed. It counted its ends from one again,
-and the owner took in only those above the last number that it had read: a task that had ended ran again. What rests on
-a worker's memory (numbers of ends, orders that were taken, the highest fence, its clock) holds for an incarnation, not
-for a name, and which incarnation answers is told by its answers alone.
+A worker crashed and restarted under its name before its entry lapsed. It numbered its
+run ends from one again, but the owner processed only ends above the last number that it
+had read, so a task that had ended was run again. All state in a worker's memory (end
+numbers, accepted orders, the highest fence, its clock) therefore belongs to an
+incarnation, not to a name, and only the worker's answers tell which incarnation answers.
 """
 
 import time
@@ -41,7 +42,7 @@
 
 
 class RestartingWorker(Sessions):
-    """A worker whose incarnations answer one after the other; starts of a task are listed until it ends."""
+    """A worker whose incarnations answer one after another; each lists a started run until it ends."""
 
     def __init__(self):
         self.incarnation = FIRST
@@ -51,22 +52,22 @@
         self.starts = []
         self.fences = []
         self.acknowledged = []
-        # How long it takes to tell what runs there, and until when it is cut off.
+        # Duration of a survey, and time until which the worker is unreachable.
         self.survey_delay_s = 0.0
         self.silent_until_s = 0.0
-        # What comes of acknowledgements, if they fail, and how long that takes.
+        # Error that surveys with an acknowledgement raise, if any, and the delay of such surveys.
         self.acknowledgement_error = None
         self.acknowledgement_delay_s = 0.0
-        # Tries of starts that get no answer, and are not carried out at once.
+        # Number of further start attempts that are neither answered nor carried out.
         self.unanswered_start_count = 0
-        # Starts that are refused for want of room.
+        # Number of further starts that are refused for lack of capacity.
         self.refused_start_count = 0
-        # The acknowledgement that it holds on to: ends up to it are never listed.
+        # Acknowledgement to the previous incarnation that this one has carried out: it never lists ends up to it.
         self.late_acknowledgement = 0
         self.done = []
         self.stopped = []
         self.stop_order_count = 0
-        # Most runs at a time in an incarnation that was told to stop one.
+        # Maximum number of runs at the time of a stop order that was carried out.
         self.max_runs_at_stop = 0
         self.last_start_s = 0.0
 
@@ -80,7 +81,7 @@
         )
 
     def end(self, kind):
-        """End what runs; ends are numbered from one in each incarnation."""
+        """End all runs; each incarnation numbers its ends from one."""
         for run in self.running:
             self._end(run, kind)
 
@@ -109,7 +110,7 @@
         self._check_incarnation(worker_id)
         if self.unanswered_start_count:
             self.unanswered_start_count -= 1
-            raise WorkerUnansweredError('silence')
+            raise WorkerUnansweredError('no answer')
         if self.refused_start_count:
             self.refused_start_count -= 1
             return OrderReply(OrderStatus.NO_ROOM, time.monotonic())
@@ -130,7 +131,7 @@
 
     def _check_incarnation(self, worker_id):
         if time.monotonic() < self.silent_until_s:
-            raise WorkerUnreachableError('cut off')
+            raise WorkerUnreachableError('unreachable')
         if worker_id != self.incarnation.worker_id:
             raise WorkerReplacedError(worker_id, self.incarnation)
 
@@ -150,9 +151,9 @@
 
 
 def run_actions(worker, *actions, items=None, within_s=4.0):
-    """Run an owner, and let each act begin once what the one before waits for holds.
+    """Run an owner and execute the actions in order.
 
-    An act is a pair of what happens and what is waited for then.
+    Each is a pair of a function to call and a condition that must hold before the next one.
     """
     remaining = [(lambda owner: None, is_ready), *actions]
     is_action_started = False
@@ -170,7 +171,7 @@
 
     store = KeptStore([entry_item(FIRST)] if items is None else items)
     owner = anyio.run(take_over, store, worker, advance, within_s)
-    assert not remaining, f'{len(remaining)} acts were not over'
+    assert not remaining, f'{len(remaining)} actions did not complete'
     return owner
 
 
@@ -193,12 +194,12 @@
 
 
 def keeps_running(worker):
-    """Return whether a run has gone on for longer than one that is stopped at once."""
+    """Return a condition: a run has lasted longer than a probe, which is stopped at once."""
     return lambda owner: worker.running and time.monotonic() - worker.last_start_s > 0.5
 
 
 def time_has_passed(seconds):
-    """Return whether so long has passed since it was first looked at; the worker answers meanwhile."""
+    """Return a condition: a duration has passed since its first check, during which the worker answers."""
     times_s = []
 
     def condition(owner):
@@ -254,12 +255,12 @@
 
 @pytest.mark.parametrize(
     ('failure', 'is_unacknowledged'),
-    [(WorkerUnansweredError('silence'), True), (WorkerUnreachableError('cut off'), False), (None, False)],
+    [(WorkerUnansweredError('no answer'), True), (WorkerUnreachableError('unreachable'), False), (None, False)],
 )
 def test_an_incarnation_is_probed_if_it_may_have_processed_an_acknowledgement_to_its_predecessor(
     failure, is_unacknowledged
 ):
-    """An acknowledgement to the incarnation before got no answer; one that was never sent costs the next nothing."""
+    """A probe is needed after an unanswered acknowledgement, but not after one that was never sent."""
     worker = RestartingWorker()
     worker.acknowledgement_error = failure
     run_actions(
@@ -275,7 +276,7 @@
 
 
 def test_an_incarnation_is_probed_if_it_is_detected_while_an_acknowledgement_is_pending():
-    """The link was closed with the call, which did not count as one without an answer."""
+    """The other call closed the link, and the pending acknowledgement was not counted as unanswered."""
     worker = RestartingWorker()
     worker.acknowledgement_delay_s = 60.0
 
@@ -303,7 +304,7 @@
 ):
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', late_s)
     worker = RestartingWorker()
-    worker.acknowledgement_error = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
@@ -318,7 +319,7 @@
 
 def test_a_start_that_an_incarnation_refuses_while_it_is_probed_is_not_stopped():
     worker = RestartingWorker()
-    worker.acknowledgement_error = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('no answer')
 
     def restart(owner):
         worker.restart(SECOND)
@@ -338,7 +339,7 @@
 
 def test_an_incarnation_gets_one_start_at_a_time_and_no_gang_member_before_it_lists_an_end():
     worker = RestartingWorker()
-    worker.acknowledgement_error = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('no answer')
     gang = kept_job('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
     many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
@@ -362,14 +363,14 @@
 
 @pytest.mark.parametrize('late_acknowledgement', [0, 1, 3])
 def test_a_task_does_not_end_on_an_incarnation_that_never_tells_of_that(late_acknowledgement, monkeypatch):
-    """The incarnation had carried out a late acknowledgement before it answered, and held on to it for good.
+    """The incarnation had carried out a late acknowledgement before its first answer, and applied it from then on.
 
-    Waiting until no such acknowledgement can come any more did not help: its ends were hidden all the same, and tasks
-    that had ended well ran again.
+    Waiting until no such acknowledgement can arrive any more did not help: the incarnation still did not list
+    its ends, and tasks that had succeeded ran again.
     """
     monkeypatch.setattr(registry, '_MAX_ORDER_DELAY_S', 0.5)
     worker = RestartingWorker()
-    worker.acknowledgement_error = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
         (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
@@ -388,7 +389,10 @@
 def test_a_task_whose_first_start_attempt_was_unanswered_waits_for_the_survey_of_the_next_incarnation(
     unanswered, is_awaited
 ):
-    """The second was answered; the next incarnation may carry out the first, and the task had started elsewhere."""
+    """The next incarnation may carry out the first attempt, but the task was started on another worker.
+
+    Only the second attempt had been acknowledged.
+    """
     worker, idle = RestartingWorker(), RestartingWorker()
     worker.unanswered_start_count = unanswered
     idle.incarnation = WorkerIncarnation('x', 1_000)
@@ -413,7 +417,7 @@
 
 
 def test_runs_of_an_earlier_incarnation_are_over_at_once():
-    """No lease is waited for: nothing of it can run on."""
+    """The owner does not wait for the lease to expire, since no run survives its incarnation."""
     worker = RestartingWorker()
     owner = run_actions(
         worker,
@@ -427,7 +431,7 @@
 
 
 def test_an_incarnation_gets_no_starts_before_its_capacity_is_known():
-    """The one before had eight accelerators; this one has none."""
+    """The earlier incarnation has eight accelerators, the later one none."""
     worker = RestartingWorker()
     run_actions(
         worker,
@@ -453,7 +457,7 @@
 
 
 def test_the_incarnation_that_answered_last_is_the_later_one_even_if_its_start_time_is_earlier():
-    """What has answered last is the later incarnation, whatever time it gives for its start."""
+    """The clock of the later incarnation was behind when it started."""
     worker = RestartingWorker()
     worker.incarnation = THIRD
     run_actions(
@@ -480,7 +484,7 @@
 
 
 def test_a_pending_entry_is_used_once_the_earlier_incarnation_is_given_up():
-    """It fell silent and was given up; its entry is not written again once it has changed."""
+    """The earlier incarnation fell silent and was given up; the changed entry is not written again."""
     worker = RestartingWorker()
     run_actions(
         worker,
@@ -493,7 +497,7 @@
 
 
 def test_orders_to_a_later_incarnation_carry_a_higher_fence_than_those_to_an_earlier_one():
-    """A later incarnation remembers no stop and no fence: what was meant for the one before would be carried out."""
+    """A later incarnation knows no earlier stops or fences, and would carry out orders to its predecessor."""
     worker = RestartingWorker()
     run_actions(worker, (lambda owner: worker.restart(SECOND), lambda owner: SECOND.worker_id in dict(worker.fences)))
     fence_by_incarnation = dict(worker.fences)
@@ -507,7 +511,7 @@
 
 @pytest.mark.parametrize('entries', [(), (entry_item(FIRST),), (entry_item(SECOND),)], ids=['none', 'earlier', 'later'])
 def test_a_new_owner_surveys_the_current_incarnation_before_it_starts_inherited_jobs(entries):
-    """The previous owner had started a task there, and its list of workers names the incarnation before."""
+    """The previous owner started a task on it, but the roster still names the earlier incarnation."""
     worker = RestartingWorker()
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     run_actions(
@@ -521,7 +525,7 @@
 
 
 def test_inherited_jobs_wait_for_the_survey_of_an_incarnation_that_replaces_another():
-    """Its name was contacted as soon as the incarnation before was over, and the task ran a second time elsewhere."""
+    """The worker counted as contacted once the earlier incarnation ended, and its task was started elsewhere too."""
     worker, idle = RestartingWorker(), RestartingWorker()
     worker.restart(SECOND, (ListedRun(TASK, 1, '', 10.0),))
     worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
@@ -540,10 +544,8 @@
 
 
 @pytest.mark.parametrize('late_acknowledgement', [0, 2])
-def test_an_incarnation_that_started_before_a_takeover_is_probed_by_the_new_owner(
-    late_acknowledgement,
-):
-    """The new owner does not know what the one before acknowledged without an answer."""
+def test_an_incarnation_that_started_before_a_takeover_is_probed_by_the_new_owner(late_acknowledgement):
+    """The new owner does not know which acknowledgements of the previous owner were unanswered."""
     worker = RestartingWorker()
     worker.restart(SECOND, late_acknowledgement=late_acknowledgement)
     run_actions(
@@ -561,7 +563,7 @@
 
 def test_the_roster_names_the_earlier_incarnation_until_its_successor_has_listed_an_end():
     worker = RestartingWorker()
-    worker.acknowledgement_error = WorkerUnansweredError('silence')
+    worker.acknowledgement_error = WorkerUnansweredError('no answer')
     roster_incarnations = []
 
     def record_roster(owner):
