--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""Assignments are kept before starts are sent, and read by the next owner."""
+"""Tests that assignments are stored before starts are sent, and read by the next owner."""
 
 import time
 
@@ -41,67 +41,67 @@
 TASK = TaskKey(LAST, 0, 0, 0)
 
 
-def key_of(job_id):
+def assignments_key_of(job_id):
     return assignments_key(AssignmentsPart(job_id, 0, 0, 0))
 
 
-def assigned(worker_id):
-    kept = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
-    return Item(key_of(LAST), encode(kept), 3)
+def assignments_item(worker_id):
+    stored = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
+    return Item(assignments_key_of(LAST), encode(stored), 3)
 
 
-def assigner(revision=4):
+def assigner_item(revision=4):
     return Item(ASSIGNER_KEY, encode(EPOCH - 10), revision)
 
 
-def silent_workers(*silent):
+def silent_workers(*silent_ids):
     workers = Workers()
-    workers.silent_until_s = dict.fromkeys(silent, float('inf'))
+    workers.silent_until_s = dict.fromkeys(silent_ids, float('inf'))
     return workers
 
 
-KEPT = (roster('w0'), worker_entry('w0'), worker_entry('w1'))
+WORKER_ITEMS = (roster('w0'), worker_entry('w0'), worker_entry('w1'))
 
 
 @pytest.mark.parametrize(
     ('items', 'starts'),
     [
-        ([assigner()], [('w1', TASK)]),
-        ([assigner(), assigned('w0')], []),
-        ([assigner(), assigned('w1')], [('w1', TASK)]),
-        ([assigner(), assigned('gone')], [('w1', TASK)]),
-        ([assigned('w1')], []),
-        ([assigner(1), assigned('w1')], []),
-        ([assigner(), assigned('w1'), Item(key_of(NEW), b'\xc1', 3)], []),
+        ([assigner_item()], [('w1', TASK)]),
+        ([assigner_item(), assignments_item('w0')], []),
+        ([assigner_item(), assignments_item('w1')], [('w1', TASK)]),
+        ([assigner_item(), assignments_item('gone')], [('w1', TASK)]),
+        ([assignments_item('w1')], []),
+        ([assigner_item(1), assignments_item('w1')], []),
+        ([assigner_item(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
     ],
     ids=[
-        'assigned nowhere',
+        'not assigned',
         'assigned to the silent worker',
-        'assigned to one that lists nothing',
-        'assigned to one that was taken off the roster',
-        'by an owner that kept no assignments',
-        'with a roster that such an owner kept later',
-        'beside an assignment that can not be read',
+        'assigned to a worker that lists no runs',
+        'assigned to a worker that was removed from the roster',
+        'assigned by an owner that stores no assignments',
+        'roster stored later by an owner that stores no assignments',
+        'with an unreadable assignment of another job',
     ],
 )
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
-    # All jobs of previous owners waited for every silent worker: up to 8 s beside an idle pool.
+    # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
-    store = KeptStore([kept_job(LAST, time.time()), *KEPT, *items])
+    store = KeptStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == starts
 
 
 class ConditionalStore(KeptStore):
-    """A store of several owners, which keeps revisions and conditions; and can refuse all writes."""
+    """A store that tracks revisions, checks conditions and can refuse all writes."""
 
     def __init__(self, items):
         super().__init__(items)
         self.item_by_key = {item.key: item for item in items}
         self.revision = EPOCH + 1000
-        self.refuses = False
-        # What is assigned when a roster is written.
-        self.assigned_at_roster = []
+        self.refuses_writes = False
+        # For each write of the roster, whether the job NEW has stored assignments then.
+        self.has_assignments_at_roster_write = []
 
     @property
     def items(self):
@@ -115,66 +115,73 @@
         return Page(tuple(item for item in self.items if item.key.startswith(prefix)), self.revision)
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
-        if self.refuses:
-            raise StoreRefusedError('down')
-        present = {row.key: self.item_by_key[row.key] for row in conditions if row.key in self.item_by_key}
-        if any((present[row.key].revision if row.key in present else 0) != row.revision for row in conditions):
-            return CommitResult(CommitStatus.CONDITION_FAILED, current=tuple(present.values()))
+        if self.refuses_writes:
+            raise StoreRefusedError('503')
+        current_by_key = {
+            condition.key: self.item_by_key[condition.key]
+            for condition in conditions
+            if condition.key in self.item_by_key
+        }
+        if any(
+            (current_by_key[condition.key].revision if condition.key in current_by_key else 0) != condition.revision
+            for condition in conditions
+        ):
+            return CommitResult(CommitStatus.CONDITION_FAILED, current=tuple(current_by_key.values()))
         self.revision += 1
         for write in writes:
             self.item_by_key[write.key] = Item(write.key, write.value, self.revision)
         for key in removals:
             self.item_by_key.pop(key, None)
         if any(write.key.startswith(ROSTER_PREFIX) for write in writes):
-            self.assigned_at_roster.append(key_of(NEW) in self.item_by_key)
+            self.has_assignments_at_roster_write.append(assignments_key_of(NEW) in self.item_by_key)
         return CommitResult(CommitStatus.DONE, self.revision)
 
     def claim(self, epoch):
         self.item_by_key[OWNER_KEY] = Item(OWNER_KEY, b'', epoch)
 
 
-class NotingWorkers(Workers):
-    """Workers that note what the store held when a start came."""
+class RecordingWorkers(Workers):
+    """Workers that record whether the assignment, a roster and the assigner were stored when a start arrived."""
 
     def __init__(self, store):
         super().__init__()
         self.store = store
-        self.held = []
+        self.checks_at_start = []
 
     async def start(self, address, incarnation, order, **options):
-        kept = self.store.item_by_key.get(key_of(order.key.job_id))
-        runs = () if kept is None else decode(kept.value, StepAssignments, 'assignments').runs
-        self.held.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
-        self.held.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
-        self.held.append(ASSIGNER_KEY in self.store.item_by_key)
+        stored = self.store.item_by_key.get(assignments_key_of(order.key.job_id))
+        runs = () if stored is None else decode(stored.value, StepAssignments, 'assignments').runs
+        self.checks_at_start.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
+        self.checks_at_start.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
+        self.checks_at_start.append(ASSIGNER_KEY in self.store.item_by_key)
         return await super().start(address, incarnation, order, **options)
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-def owner_of(epoch, store, workers):
+def make_owner(epoch, store, workers):
     settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(retry_s=0.02))
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
-async def until(holds, within_s):
+async def wait_until(condition, within_s):
     with anyio.move_on_after(within_s):
-        while not holds():
+        while not condition():
             await anyio.sleep(0.01)
 
 
-def play(scenario, items):
-    """Run a scenario with an owner that has taken a pool over."""
+def run_scenario(scenario, items):
+    """Run a scenario with an owner that has completed its takeover."""
     store = ConditionalStore(items)
     store.claim(EPOCH)
-    workers = NotingWorkers(store)
+    workers = RecordingWorkers(store)
 
     async def run():
         async with anyio.create_task_group() as tasks:
-            owner = owner_of(EPOCH, store, workers)
+            owner = make_owner(EPOCH, store, workers)
             tasks.start_soon(owner.run)
-            await until(lambda: owner.is_ready, 5.0)
+            await wait_until(lambda: owner.is_ready, 5.0)
             await scenario(owner, store, workers)
             tasks.cancel_scope.cancel()
 
@@ -185,113 +192,113 @@
 def test_a_start_is_sent_only_once_the_store_holds_its_assignment():
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
+        await wait_until(lambda: workers.starts, 2.0)
 
-    _, workers = play(scenario, [worker_entry('w0')])
-    assert workers.held == [True, True, True]
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
+    assert workers.checks_at_start == [True, True, True]
 
 
-def test_no_start_is_sent_while_the_store_refuses_writes_and_each_is_once_it_takes_them():
-    sent = []
+def test_starts_are_held_while_the_store_refuses_writes_and_sent_once_afterwards():
+    start_counts = []
 
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.5)
-        sent.append(len(workers.starts))
-        store.refuses = False
-        await until(lambda: workers.starts, 2.0)
+        start_counts.append(len(workers.starts))
+        store.refuses_writes = False
+        await wait_until(lambda: workers.starts, 2.0)
         await anyio.sleep(0.1)
-        sent.append(len(workers.starts))
+        start_counts.append(len(workers.starts))
 
-    play(scenario, [worker_entry('w0')])
-    assert sent == [0, 1]
+    run_scenario(scenario, [worker_entry('w0')])
+    assert start_counts == [0, 1]
 
 
 def test_a_start_is_not_sent_once_its_job_was_cancelled_while_it_was_held():
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(JobCancelled(NEW))
         await anyio.sleep(0.1)
-        store.refuses = False
-        await until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
+        store.refuses_writes = False
+        await wait_until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
-    store, workers = play(scenario, [worker_entry('w0')])
+    store, workers = run_scenario(scenario, [worker_entry('w0')])
     assert not workers.starts
-    assert key_of(NEW) not in store.item_by_key
+    assert assignments_key_of(NEW) not in store.item_by_key
 
 
 def test_an_owner_that_was_replaced_sends_no_start():
-    # It started jobs that it was told of until it knew its successor, which could not know.
+    # An owner continued to start new jobs until it knew its successor, which could not know of these starts.
     async def scenario(owner, store, workers):
         store.claim(EPOCH + 1)
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: owner.is_deposed, 2.0)
+        await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
-    _, workers = play(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
     assert not workers.starts
 
 
 def test_the_assignments_of_a_job_are_removed_with_its_end():
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
-        assert key_of(NEW) in store.item_by_key
+        await wait_until(lambda: workers.starts, 2.0)
+        assert assignments_key_of(NEW) in store.item_by_key
         owner.post(JobCancelled(NEW))
-        await until(lambda: key_of(NEW) not in store.item_by_key, 2.0)
+        await wait_until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
 
-    store, _ = play(scenario, [worker_entry('w0')])
-    assert key_of(NEW) not in store.item_by_key
+    store, _ = run_scenario(scenario, [worker_entry('w0')])
+    assert assignments_key_of(NEW) not in store.item_by_key
 
 
-def test_a_worker_is_taken_off_the_roster_after_the_assignments_of_its_tasks():
-    # Else a next owner finds a task assigned to a worker that nobody knows, and can not tell why.
+def test_a_worker_is_removed_from_the_roster_after_the_assignments_of_its_tasks():
+    # Otherwise the next owner finds a task assigned to an unknown worker and cannot tell the reason.
     async def scenario(owner, store, workers):
         owner.post(decode_job_record(kept_job(NEW, time.time())))
-        await until(lambda: workers.starts, 2.0)
-        store.assigned_at_roster.clear()
+        await wait_until(lambda: workers.starts, 2.0)
+        store.has_assignments_at_roster_write.clear()
         owner.post(WorkerOver('w0'))
-        await until(lambda: store.assigned_at_roster, 2.0)
+        await wait_until(lambda: store.has_assignments_at_roster_write, 2.0)
 
-    store, _ = play(scenario, [worker_entry('w0')])
-    assert store.assigned_at_roster == [False]
+    store, _ = run_scenario(scenario, [worker_entry('w0')])
+    assert store.has_assignments_at_roster_write == [False]
 
 
-def test_a_worker_does_not_crash_under_a_start_that_is_held():
-    # A task that was never sent to three workers that crashed would be given up for it.
+def test_no_crash_is_counted_for_a_held_start():
+    # A task would be given up if three workers crashed to which its start had not even been sent.
     crashes = []
 
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(WorkerOver('w0'))
         await anyio.sleep(0.1)
-        store.refuses = False
+        store.refuses_writes = False
         await anyio.sleep(0.5)
         step = owner.scheduler.job_by_id[NEW].step_by_key[0, 0]
         crashes.append((step.crashes_by_index, step.pending))
 
-    _, workers = play(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry('w0')])
     assert crashes == [({}, {0})]
     assert not workers.starts
 
 
-def test_a_start_that_is_held_for_a_worker_that_falls_silent_goes_to_another():
+def test_a_held_start_for_a_worker_that_falls_silent_moves_to_another():
     async def scenario(owner, store, workers):
-        store.refuses = True
+        store.refuses_writes = True
         owner.post(decode_job_record(kept_job(NEW, time.time())))
         await anyio.sleep(0.1)
         (run,) = owner.scheduler.job_by_id[NEW].runs()
         workers.silent_until_s[run.worker_id] = float('inf')
         owner.post(WorkerSilent(run.worker_id))
         await anyio.sleep(0.1)
-        store.refuses = False
-        await until(lambda: workers.starts, 2.0)
+        store.refuses_writes = False
+        await wait_until(lambda: workers.starts, 2.0)
         assert [worker for worker, _ in workers.starts] == [{'w0': 'w1', 'w1': 'w0'}[run.worker_id]]
 
-    play(scenario, [worker_entry('w0'), worker_entry('w1')])
+    run_scenario(scenario, [worker_entry('w0'), worker_entry('w1')])
--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -1,4 +1,4 @@
-"""An owner that the store turns away makes its transactions through instances that the store serves."""
+"""Tests that an owner that the store refuses relays its transactions through other instances."""
 
 import anyio
 import pytest
@@ -25,7 +25,7 @@
 
 
 class Store:
-    """A store that answers each transaction alike."""
+    """A store that gives every transaction the same answer."""
 
     def __init__(self, answer, *, is_suspect=False):
         self.answer = answer
@@ -40,7 +40,7 @@
 
 
 class Peers:
-    """Instances of which each has its own way to the store."""
+    """Other instances, each with its own connection to the store."""
 
     def __init__(self, *stores):
         self.stores = stores
@@ -54,7 +54,7 @@
 
 
 class Peer:
-    """One of them."""
+    """Address of one of the other instances."""
 
     port = 1
 
@@ -63,11 +63,11 @@
         self.host = number
 
 
-def commit(own, *others):
-    peers = Peers(*others)
+def commit(own_store, *other_stores):
+    peers = Peers(*other_stores)
 
     async def run():
-        committer = Committer(own, lambda: available_relays(peers, peers))
+        committer = Committer(own_store, lambda: available_relays(peers, peers))
         return await committer.commit((CONDITION,), (WRITE,), ('gone',), timeout_s=0.6)
 
     return anyio.run(run)
@@ -75,17 +75,17 @@
 
 @pytest.mark.parametrize('refusal', [StoreRefusedError('503'), StoreUnreachableError('reset')])
 @pytest.mark.parametrize('answer', [DONE, FAILED])
-def test_starts_are_not_held_while_the_store_turns_only_the_owner_away(refusal, answer):
-    # Until its lease had ended, 2.2 s later, nothing that it decided was kept, and nothing was started.
+def test_a_transaction_is_relayed_while_the_store_refuses_only_the_owner(refusal, answer):
+    # Until its lease ended, 2.2 s later, no decision of the owner was stored and no run was started.
     other = Store(answer)
     assert commit(Store(refusal), other) == answer
     assert other.commits == [((CONDITION,), (WRITE,), ('gone',))]
 
 
-def test_a_transaction_without_an_answer_is_not_made_by_another_instance_as_well():
+def test_an_unanswered_transaction_is_not_relayed():
     other = Store(DONE)
     with pytest.raises(StoreUnansweredError):
-        commit(Store(StoreUnansweredError('silence')), other)
+        commit(Store(StoreUnansweredError('no answer')), other)
     assert not other.commits
 
 
@@ -94,24 +94,24 @@
     [
         (Store(StoreRefusedError('503')), StoreRefusedError),
         (Store(DONE, is_suspect=True), StoreRefusedError),
-        (Store(StoreUnansweredError('silence')), StoreUnansweredError),
+        (Store(StoreUnansweredError('no answer')), StoreUnansweredError),
     ],
 )
-def test_what_became_of_a_relayed_transaction_is_known_or_said_to_be_unknown(other, failure):
+def test_the_error_of_a_relayed_transaction_tells_whether_it_may_have_been_applied(other, failure):
     with pytest.raises(failure):
         commit(Store(StoreRefusedError('503')), other)
 
 
-def test_two_other_instances_are_tried_at_most():
-    others = [Store(StoreRefusedError('503')) for _ in range(5)]
+def test_a_transaction_is_relayed_through_at_most_two_instances():
+    other_stores = [Store(StoreRefusedError('503')) for _ in range(5)]
     with pytest.raises(StoreRefusedError):
-        commit(Store(StoreRefusedError('503')), *others)
-    assert sum(len(each.commits) for each in others) == 2
+        commit(Store(StoreRefusedError('503')), *other_stores)
+    assert sum(len(each.commits) for each in other_stores) == 2
 
 
-def test_an_instance_says_what_it_does_not_know():
+def test_a_relaying_instance_reports_an_unknown_outcome():
     async def run():
         message = CommitFor((CONDITION,), (WRITE,), (), 0.6)
-        return (await commit_for_peer(Store(StoreUnansweredError('silence')), message)).outcome
+        return (await commit_for_peer(Store(StoreUnansweredError('no answer')), message)).outcome
 
     assert anyio.run(run) is CommitOutcome.UNKNOWN
--- a/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_end_notifier.py
@@ -1,8 +1,8 @@
-"""A caller asks for a state just as the job ends, and is to be told of the end.
+"""Tests of requests for the state of a job that is about to end.
 
-Callers ask as their last task ends. The end is known to the owner some
-milliseconds later and kept 40 ms later; told that the job runs, they come again
-after 0.25 s, and urgent jobs that ended in time were shown too late.
+Callers ask when their last task ends. The owner learns of the end some milliseconds
+later and has saved it 40 ms after that. Callers that were told that the job is running
+asked again only after 0.25 s, so urgent jobs that ended in time were reported too late.
 """
 
 import time
@@ -25,7 +25,7 @@
 
 
 class OwnerStandIn:
-    """What replies need of the owner."""
+    """The part of an owner that `PeerReplies` uses."""
 
     def __init__(self, steps):
         self.scheduler = Scheduler(SchedulerSettings(), 1)
@@ -44,7 +44,7 @@
     def end(self, number, index):
         self.scheduler.run_ended(RunEnd('w', TaskKey(JOB, 0, number, index), 1, EndKind.DONE), Moment(1.0, 1.0))
 
-    def keep(self):
+    def save(self):
         self.scheduler.take_dirty_jobs()
         if self.scheduler.mark_saved(JOB):
             self.end_notifier.notify(JOB)
@@ -54,90 +54,90 @@
 TWO_STEPS = (StepSpec(1, DEMAND), StepSpec(1, DEMAND, after=(0,)))
 
 
-def replies_of(owner):
+def make_replies(owner):
     replies = PeerReplies(None, None, None, None)
     replies.owner = owner
     return replies
 
 
 async def ask(replies, wait_s=0.5):
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     reply = await replies.answer(AskState(JOB, wait_s))
-    return reply.phase, time.monotonic() - begun_s
+    return reply.phase, time.monotonic() - started_s
 
 
-async def ask_meanwhile(owner, *acts, wait_s=0.5):
-    """Ask, and let things happen 20 ms apart meanwhile."""
-    found = []
+async def ask_during(owner, *actions, wait_s=0.5):
+    """Ask, and call the actions 20 ms apart while the request is pending."""
+    answers = []
 
-    async def note():
-        found.append(await ask(replies_of(owner), wait_s))
+    async def record():
+        answers.append(await ask(make_replies(owner), wait_s))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(note)
-        for act in acts:
+        tasks.start_soon(record)
+        for action in actions:
             await anyio.sleep(0.02)
-            act()
-    return found[0]
+            action()
+    return answers[0]
 
 
-def test_a_question_waits_for_the_end_of_the_last_run_and_until_it_is_kept():
+def test_a_state_request_waits_until_the_end_of_the_last_run_is_saved():
     owner = OwnerStandIn(ONE_STEP)
     owner.start(0, 0)
     owner.start(0, 1)
     owner.end(0, 0)
-    phase, took_s = anyio.run(ask_meanwhile, owner, lambda: owner.end(0, 1), owner.keep)
+    phase, took_s = anyio.run(ask_during, owner, lambda: owner.end(0, 1), owner.save)
     assert phase == 'succeeded'
     assert took_s < 0.3
 
 
-def test_an_end_that_is_not_kept_is_not_shown_however_long_it_takes():
+def test_an_unsaved_end_is_not_reported_even_when_the_wait_expires():
     owner = OwnerStandIn(ONE_STEP)
     owner.start(0, 0)
     owner.start(0, 1)
     owner.end(0, 0)
     owner.end(0, 1)
-    phase, took_s = anyio.run(ask, replies_of(owner), 0.05)
+    phase, took_s = anyio.run(ask, make_replies(owner), 0.05)
     assert phase == 'running'
     assert took_s == pytest.approx(0.05, abs=0.04)
 
 
-def test_a_question_about_a_job_that_has_tasks_to_start_is_answered_at_once():
+def test_a_state_request_for_a_job_with_tasks_to_start_is_answered_at_once():
     owner = OwnerStandIn(TWO_STEPS)
     owner.start(0, 0)
-    _, took_s = anyio.run(ask, replies_of(owner))
+    _, took_s = anyio.run(ask, make_replies(owner))
     assert took_s < 0.1
 
 
-def test_a_question_about_a_job_whose_end_is_shown_is_answered_at_once():
+def test_a_state_request_for_a_job_whose_end_is_saved_is_answered_at_once():
     owner = OwnerStandIn((StepSpec(1, DEMAND),))
     owner.start(0, 0)
     owner.end(0, 0)
-    owner.keep()
-    phase, took_s = anyio.run(ask, replies_of(owner))
+    owner.save()
+    phase, took_s = anyio.run(ask, make_replies(owner))
     assert phase == 'succeeded'
     assert took_s < 0.1
 
 
-def test_all_who_ask_are_told_and_nothing_is_left_of_those_who_gave_up():
+def test_all_waiting_requests_are_notified_and_expired_ones_leave_no_event():
     owner = OwnerStandIn((StepSpec(1, DEMAND),))
     owner.start(0, 0)
 
     async def ask_twice():
-        await ask(replies_of(owner), 0.02)
+        await ask(make_replies(owner), 0.02)
         assert not owner.end_notifier._event_by_job
-        found = []
+        answers = []
 
-        async def note():
-            found.append(await ask(replies_of(owner)))
+        async def record():
+            answers.append(await ask(make_replies(owner)))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(note)
-            tasks.start_soon(note)
+            tasks.start_soon(record)
+            tasks.start_soon(record)
             await anyio.sleep(0.02)
             owner.end(0, 0)
-            owner.keep()
-        return found
+            owner.save()
+        return answers
 
-    found = anyio.run(ask_twice)
-    assert [phase for phase, _ in found] == ['succeeded', 'succeeded']
+    answers = anyio.run(ask_twice)
+    assert [phase for phase, _ in answers] == ['succeeded', 'succeeded']
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -1,10 +1,8 @@
-"""Entries of workers that another writer made, as the owner of the pool takes them.
+"""Tests of worker entries in the store that were written by another program.
 
-What happened: an entry that could not be read any more left its worker in use as it was, and one of a service that
-nobody had configured had the owner ask at its address again and again.
-
-The cause: what can't be read was passed over, as if nothing had been written; and each entry that could be read was
-taken for a worker of the pool.
+An entry that became unreadable was ignored, so its worker stayed in use as before.
+Every readable entry counted as a worker of the pool, so the owner repeatedly surveyed
+the address of an entry whose service was not configured.
 """
 
 from functools import partial
@@ -29,8 +27,8 @@
 KEY = TaskKey(LAST, 0, 0, 0)
 
 
-def run_takeover(store, workers, holds, **options):
-    return anyio.run(partial(take_over, store, workers, holds, **options))
+def run_takeover(store, workers, condition, **options):
+    return anyio.run(partial(take_over, store, workers, condition, **options))
 
 
 def configuration(*services):
@@ -39,130 +37,134 @@
     )
 
 
-def bad(worker_id):
+def malformed_entry(worker_id):
     return Item(WORKERS_PREFIX + worker_id, b'\xff', 1)
 
 
-def of_service(worker_id, service):
+def entry_with_service(worker_id, service):
     item = worker_entry(worker_id)
     return item._replace(value=msgspec.json.encode(msgspec.json.decode(item.value) | {'Service': service}))
 
 
-def in_roster(worker_id, service='svc', *, draining=False):
+def roster_item(worker_id, service='svc', *, draining=False):
     profile = WorkerProfile(worker_id, service, 'z', Resources(64_000, 262_144, 8), ('a', 'r0'), draining)
     return Item(f'{ROSTER_PREFIX}0', encode([RosterEntry(profile, Address('127.0.0.1', 1))]), 1)
 
 
-def listed(worker_id, service):
+def worker_listed(worker_id, service):
     profile = WorkerProfile(worker_id, service, 'z', Resources(1, 1, 1), ())
     return WorkerListed(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id))
 
 
-def started(workers):
+def started_workers(workers):
     return {incarnation for incarnation, _ in workers.starts}
 
 
-def test_entries_that_can_not_be_read_leave_the_others():
+def test_malformed_entries_do_not_affect_other_workers():
     workers = Workers()
-    store = KeptStore([bad('b'), worker_entry('w'), bad('z'), kept_job(LAST, 1.0)])
+    store = KeptStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
-    assert started(workers) == {'w'}
+    assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_worker_whose_entry_can_not_be_read_any_more_gets_nothing_new_until_it_can():
+def test_a_worker_whose_entry_becomes_unreadable_gets_no_starts_until_it_is_readable_again():
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
-    def suspended(owner):
+    def suspend(owner):
         if 'w' in workers.surveys and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
         return False
 
-    def resumed(owner):
+    def suspend_and_resume(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
-            owner.post(listed('w', 'svc')._replace(profile=in_touch(owner)))
+            owner.post(worker_listed('w', 'svc')._replace(profile=current_profile(owner)))
         return workers.starts
 
-    run_takeover(store, workers, suspended, within_s=0.8)
+    run_takeover(store, workers, suspend, within_s=0.8)
     assert not workers.starts
-    run_takeover(store, workers, resumed, within_s=3)
-    assert started(workers) == {'w'}
+    run_takeover(store, workers, suspend_and_resume, within_s=3)
+    assert started_workers(workers) == {'w'}
 
 
-def in_touch(owner):
+def current_profile(owner):
     return owner.scheduler.worker_by_id['w'].profile
 
 
-def jobs(owner):
+def new_job_messages(owner):
     return job_messages(kept_job(LAST, 1.0)._replace(revision=owner.epoch + 1))
 
 
-def test_what_runs_on_a_worker_whose_entry_can_not_be_read_is_known_to_the_next_owner():
-    """The previous owner knew the worker; without it the task would run a second time elsewhere."""
+def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
+    """The previous owner used the worker; unless it is surveyed, its task is started a second time elsewhere."""
     workers = Workers({'w': ()})
-    store = KeptStore([bad('w'), in_roster('w'), worker_entry('x')])
+    store = KeptStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
     assert not owner.scheduler.worker_by_id['w'].takes_starts
 
 
-def test_a_worker_that_leaves_and_whose_entry_is_gone_gets_short_leases_of_the_next_owner():
-    """With the longest ones, what ran there would start elsewhere seconds later."""
+def test_the_next_owner_grants_short_leases_to_a_draining_worker_without_an_entry():
+    """With the longest leases, its runs would be restarted elsewhere seconds later."""
     workers = Workers({'w': ()})
-    owner = run_takeover(KeptStore([in_roster('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3)
+    owner = run_takeover(
+        KeptStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
+    )
     assert owner._links.get('w').is_draining
 
 
-def test_a_worker_of_a_service_that_nobody_configured_is_not_asked():
+def test_a_worker_of_an_unconfigured_service_is_not_surveyed():
     workers = Workers()
-    store = KeptStore([of_service('w', 'foreign'), worker_entry('x')])
+    store = KeptStore([entry_with_service('w', 'foreign'), worker_entry('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'x'}
 
 
-def test_a_worker_of_a_service_that_only_a_queue_names_is_asked():
+def test_a_worker_of_a_service_that_only_a_queue_names_is_surveyed():
     workers = Workers()
-    named = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
-    run_takeover(KeptStore([worker_entry('w')]), workers, lambda owner: False, within_s=0.6, configuration=named)
+    queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
+    run_takeover(
+        KeptStore([worker_entry('w')]), workers, lambda owner: False, within_s=0.6, configuration=queue_configuration
+    )
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_worker_of_a_service_that_was_dropped_is_asked_by_the_next_owner():
-    """Tasks of jobs accepted before may run there."""
+def test_a_worker_of_a_removed_service_is_surveyed_by_the_next_owner():
+    """Tasks of jobs that were accepted before the removal may be running on it."""
     workers = Workers()
-    store = KeptStore([of_service('w', 'dropped'), in_roster('w', 'dropped')])
+    store = KeptStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'w'}
 
 
-def test_a_service_that_is_configured_later_brings_its_workers():
+def test_workers_are_accepted_once_their_service_is_configured():
     unserved = UnservedWorkers()
     assert not unserved.set_services({'a'})
-    assert not unserved.set_aside(listed('w', 'a'))
-    assert unserved.set_aside(listed('v', 'b'))
-    assert unserved.set_aside(listed('u', 'c'))
+    assert not unserved.set_aside(worker_listed('w', 'a'))
+    assert unserved.set_aside(worker_listed('v', 'b'))
+    assert unserved.set_aside(worker_listed('u', 'c'))
     unserved.forget('u')
     assert [message.profile.worker_id for message in unserved.set_services({'b', 'c'})] == ['v']
     assert not unserved.set_services({'b', 'c'})
 
 
-def test_an_entry_that_is_removed_after_it_could_not_be_read_is_like_any_that_lapsed():
+def test_an_entry_that_is_removed_after_it_became_unreadable_counts_as_lapsed():
     workers = Workers()
     store = KeptStore([worker_entry('w')])
 
-    def removed(owner):
+    def suspend_and_remove(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
             owner.post(WorkerUnreadable('w'))
             owner.post(WorkerUnlisted('w'))
-            for message in jobs(owner):
+            for message in new_job_messages(owner):
                 owner.post(message)
         return workers.starts
 
-    run_takeover(store, workers, removed, within_s=3)
-    assert started(workers) == {'w'}
+    run_takeover(store, workers, suspend_and_remove, within_s=3)
+    assert started_workers(workers) == {'w'}
--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -1,4 +1,8 @@
-"""Full garbage collections stopped an owner with many jobs for tenths of a second, takeover and heartbeats included."""
+"""Tests that full garbage collections of an owner with many jobs stay short.
+
+Full collections blocked such an owner, including its takeover and its heartbeats, for
+tenths of a second.
+"""
 
 import gc
 
@@ -9,26 +13,26 @@
 from ..heap import GarbageCollectionTuner
 from .test_takeover import KeptStore, MANY, many_jobs, take_over, Workers
 
-OLDEST = 2
-# Container objects that a job takes, at least.
-OBJECTS_OF_A_JOB = 10
+OLDEST_GENERATION = 2
+# Minimum number of container objects that a job consists of.
+MIN_OBJECTS_PER_JOB = 10
 
 
 @pytest.fixture
 def full_collections():
-    """How many objects each full collection walks."""
-    walked = []
+    """Number of objects that each full collection traverses."""
+    object_counts = []
 
-    def note(phase, info):
-        if phase == 'start' and info['generation'] == OLDEST:
-            walked.append(len(gc.get_objects()))
+    def record(phase, info):
+        if phase == 'start' and info['generation'] == OLDEST_GENERATION:
+            object_counts.append(len(gc.get_objects()))
 
-    gc.callbacks.append(note)
-    yield walked
-    gc.callbacks.remove(note)
+    gc.callbacks.append(record)
+    yield object_counts
+    gc.callbacks.remove(record)
 
 
-def test_no_full_collection_walks_many_jobs_while_they_are_read_or_after(full_collections):
+def test_no_full_collection_traverses_many_jobs_during_or_after_loading(full_collections):
     def collect_once_ready(owner):
         if owner.is_ready:
             gc.collect()
@@ -38,31 +42,31 @@
     full_collections.clear()
     anyio.run(take_over, store, Workers(), collect_once_ready, 30.0)
     assert full_collections
-    assert max(full_collections) < MANY * OBJECTS_OF_A_JOB
+    assert max(full_collections) < MANY * MIN_OBJECTS_PER_JOB
 
 
-def cycle():
-    """Return something that reference counts do not free."""
-    found = []
-    found.append(found)
-    return found
+def make_cycle():
+    """Return an object that reference counting does not free."""
+    cyclic = []
+    cyclic.append(cyclic)
+    return cyclic
 
 
 def test_cycles_among_frozen_objects_are_found_once_twice_as_many_are_frozen():
-    with GarbageCollectionTuner(Metrics()) as heap:
-        heap.finish_loading()
+    with GarbageCollectionTuner(Metrics()) as tuner:
+        tuner.finish_loading()
         in_use = gc.get_freeze_count()
-        cycles = [cycle() for _ in range(in_use + 1)]
+        cycles = [make_cycle() for _ in range(in_use + 1)]
         gc.collect()
         del cycles
         gc.collect()
         assert gc.get_freeze_count() < in_use * 1.1
 
 
-def test_collections_are_the_interpreters_again_once_an_owner_is_replaced():
+def test_collection_thresholds_are_restored_when_an_owner_is_replaced():
     thresholds = gc.get_threshold()
-    with GarbageCollectionTuner(Metrics()) as heap:
-        heap.finish_loading()
+    with GarbageCollectionTuner(Metrics()) as tuner:
+        tuner.finish_loading()
         assert gc.get_threshold() != thresholds
     assert gc.get_threshold() == thresholds
     assert not gc.get_freeze_count()
