--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -27,7 +27,7 @@
 CONTACT_S = 3.0
 
 
-class Contact:
+class DisturbanceTracker:
     """Disturbances that go on, and when the last one ended.
 
     Parameters
--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from .contact import Contact
+from .contact import DisturbanceTracker
 from .versions import MALFORMED, NO_ACCESS, NO_ROUTE, Probe, Version
 from .violations import Violation
 
@@ -71,7 +71,7 @@
         Until an acknowledged version is in force.
     """
 
-    def __init__(self, versions: Sequence[Version], contact: Contact, apply_s: float) -> None:
+    def __init__(self, versions: Sequence[Version], contact: DisturbanceTracker, apply_s: float) -> None:
         """Start without answers."""
         self.violations: list[Violation] = []
         # Answers that had to be as a version of late says.
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -18,7 +18,7 @@
 from ..hosts import instance_host, proxy_host
 from ..platform import StoreStandIn, WorkerStandIn
 from ..proxy import FaultProxy, HostLinks, PeerProxy, SlowLink
-from .contact import Contact
+from .contact import DisturbanceTracker
 from .settings import SLOW_BYTES_PER_S, SoakSettings
 from .versions import Operator
 
@@ -51,7 +51,7 @@
             name: instance_host(number) for number, name in enumerate(self.deployment.names)
         }
         slow_names = self.deployment.names[: settings.slow_links]
-        self.contact = Contact(self.deployment.names, slow_names)
+        self.contact = DisturbanceTracker(self.deployment.names, slow_names)
         self.operator = Operator(self.deployment, settings.seed)
         self.deployment.store.checks_conditions = settings.without != 'conditions'
         self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dahliaarch_standins.soak.contact import Contact, CONTACT_S
+from dahliaarch_standins.soak.contact import CONTACT_S, DisturbanceTracker
 from dahliaarch_standins.soak.following import Answer, APPLY_S, FollowingCheck
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
@@ -21,7 +21,7 @@
     """Versions 1 at 0 s and 2 at 10 s; instances calm since 0 s."""
 
     def __init__(self, slow_names=()):
-        self.contact = Contact(('a', 'b'), slow_names)
+        self.contact = DisturbanceTracker(('a', 'b'), slow_names)
         self.contact.begin(('a', 'b'))
         self.contact.end(('a', 'b'), 0.0)
         self.versions = [version(1, 0.0), version(2, 10.0, (KEY, OTHER_KEY))]
