--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -24,7 +24,7 @@
 
 # Time without disturbance after which an instance is in touch, in seconds: the
 # shortest that the platform sets.
-CONTACT_S = 3.0
+QUIET_PERIOD_S = 3.0
 
 
 class DisturbanceTracker:
@@ -61,7 +61,7 @@
 
     def is_in_touch(self, name: str, now_s: float) -> bool:
         """Tell whether nothing has disturbed an instance for long enough."""
-        return not self._open[name] and now_s - self._calm_since_s[name] > CONTACT_S
+        return not self._open[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
 
     def is_bound(self, name: str, now_s: float) -> bool:
         """Tell whether an instance has to follow the configuration in time."""
@@ -72,4 +72,4 @@
 
     def is_store_stable(self, now_s: float) -> bool:
         """Tell whether the store has remembered everything for long enough."""
-        return now_s - self._history_lost_s > CONTACT_S
+        return now_s - self._history_lost_s > QUIET_PERIOD_S
--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -26,7 +26,7 @@
 from dahliaarch_kernel.workload import NO_RESOURCES, Resources, StepSpec, weighted_cores
 
 from ..platform import WorkerStandIn
-from .contact import CONTACT_S
+from .contact import QUIET_PERIOD_S
 from .system import System
 from .violations import may_be_given_up, Submission, Violation
 
@@ -88,7 +88,7 @@
         """Take in what runs at this moment."""
         if now_s - self._looked_s > _LONGEST_GAP_S:
             self.disturb(now_s)
-        is_calm = now_s - self._calm_since_s > CONTACT_S
+        is_calm = now_s - self._calm_since_s > QUIET_PERIOD_S
         waiting = set(self._waiting(now_s)) if is_calm else set()
         earlier = self._wait_by_job
         self._wait_by_job = {job_id: _Wait(job_id, now_s, now_s) for job_id in waiting}
@@ -123,7 +123,7 @@
     def _waiting(self, now_s: float) -> Iterator[str]:
         """Yield the jobs that are ready and have nothing running beside idle capacity."""
         crashed = {
-            worker: {end.task for end in worker.ends if end.how == 'crashed' and now_s - end.at_s <= CONTACT_S}
+            worker: {end.task for end in worker.ends if end.how == 'crashed' and now_s - end.at_s <= QUIET_PERIOD_S}
             for worker in self._workers
         }
         free = [NO_RESOURCES if crashed[worker] else self._free(worker) for worker in self._workers]
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dahliaarch_standins.soak.contact import CONTACT_S, DisturbanceTracker
+from dahliaarch_standins.soak.contact import DisturbanceTracker, QUIET_PERIOD_S
 from dahliaarch_standins.soak.following import Answer, APPLY_S, FollowingCheck
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
@@ -74,8 +74,8 @@
     checked.contact.begin(('a',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('a',), 21.0)
-    assert not checked.take('only-2', 404, 21.0 + CONTACT_S - 0.1)
-    assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [TIME]
+    assert not checked.take('only-2', 404, 21.0 + QUIET_PERIOD_S - 0.1)
+    assert checked.take('only-2', 404, 21.0 + QUIET_PERIOD_S + 0.1) == [TIME]
 
 
 def test_a_disturbance_of_another_instance_excuses_nothing(checked):
@@ -99,7 +99,7 @@
 def test_a_store_that_forgets_its_history_stretches_the_bound(checked):
     checked.contact.lose_history(11.0)
     assert not checked.take('only-2', 404, 13.0)
-    assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [TIME]
+    assert checked.take('only-2', 404, 11.0 + QUIET_PERIOD_S + 0.1) == [TIME]
 
 
 def test_a_slow_link_is_bound_while_a_fast_one_is_in_touch():
@@ -107,7 +107,7 @@
     checked.contact.begin(('b',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('b',), 20.0)
-    assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [TIME]
+    assert checked.take('only-2', 404, 20.1 + QUIET_PERIOD_S) == [TIME]
 
 
 def test_an_incarnation_that_showed_a_version_does_not_go_back(checked):
