--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -59,16 +59,16 @@
         """Note that the store has forgotten its history: it is unstable, but up."""
         self._history_lost_s = now_s
 
-    def is_in_touch(self, name: str, now_s: float) -> bool:
+    def is_stable(self, name: str, now_s: float) -> bool:
         """Tell whether nothing has disturbed an instance for long enough."""
         return not self._open[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
 
     def is_bound(self, name: str, now_s: float) -> bool:
         """Tell whether an instance has to follow the configuration in time."""
         if name not in self._slow_names:
-            return self.is_in_touch(name, now_s)
+            return self.is_stable(name, now_s)
         fast = self._calm_since_s.keys() - self._slow_names
-        return self.is_in_touch(name, now_s) and any(self.is_in_touch(other, now_s) for other in fast)
+        return self.is_stable(name, now_s) and any(self.is_stable(other, now_s) for other in fast)
 
     def is_store_stable(self, now_s: float) -> bool:
         """Tell whether the store has remembered everything for long enough."""
