--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -63,7 +63,7 @@
         """Tell whether nothing has disturbed an instance for long enough."""
         return not self._open[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
 
-    def is_bound(self, name: str, now_s: float) -> bool:
+    def is_held_to_bound(self, name: str, now_s: float) -> bool:
         """Tell whether an instance has to follow the configuration in time."""
         if name not in self._slow_names:
             return self.is_stable(name, now_s)
--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -96,7 +96,7 @@
         if answer.status not in _CONCLUSIVE:
             return
         due = 0
-        if self._contact.is_bound(answer.name, answer.sent_s):
+        if self._contact.is_held_to_bound(answer.name, answer.sent_s):
             due = self.due(answer.sent_s).number
             self.checked += 1
         shown = tuple(self._explaining(answer))
