--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -124,7 +124,7 @@
     system = System(settings, folder)
     check = FollowingCheck(
         system.operator.versions,
-        system.contact,
+        system.disturbances,
         SLOW_APPLY_S if settings.slow_links else APPLY_S,
     )
     async with anyio.create_task_group() as tasks:
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -18,7 +18,7 @@
 from ..hosts import instance_host, proxy_host
 from ..platform import StoreStandIn, WorkerStandIn
 from ..proxy import FaultProxy, HostLinks, PeerProxy, SlowLink
-from .contact import DisturbanceTracker
+from .disturbances import DisturbanceTracker
 from .settings import SLOW_BYTES_PER_S, SoakSettings
 from .versions import Operator
 
@@ -51,7 +51,7 @@
             name: instance_host(number) for number, name in enumerate(self.deployment.names)
         }
         slow_names = self.deployment.names[: settings.slow_links]
-        self.contact = DisturbanceTracker(self.deployment.names, slow_names)
+        self.disturbances = DisturbanceTracker(self.deployment.names, slow_names)
         self.operator = Operator(self.deployment, settings.seed)
         self.deployment.store.checks_conditions = settings.without != 'conditions'
         self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
@@ -121,11 +121,11 @@
     def disturbing(self, *names: str) -> Generator[None, None, None]:
         """Count some instances, or all, as disturbed meanwhile."""
         disturbed = names or self.deployment.names
-        self.contact.begin(disturbed)
+        self.disturbances.begin(disturbed)
         try:
             yield
         finally:
-            self.contact.end(disturbed, time.monotonic())
+            self.disturbances.end(disturbed, time.monotonic())
 
     async def restart(self, names: Sequence[str], after_s: float) -> None:
         """Kill instances and start them again; those that another fault holds are left out."""
