--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -77,7 +77,7 @@
         # Answers that had to be as a version of late says.
         self.checked = 0
         self._versions = versions
-        self._contact = contact
+        self._disturbances = contact
         self._apply_s = apply_s
         # Number of the oldest version that an instance's incarnation may be at.
         self._floor_by_incarnation: dict[int, int] = defaultdict(int)
@@ -86,7 +86,7 @@
     def due(self, now_s: float) -> Version:
         """Return the newest version that has to be in force."""
         bound_s = self._apply_s
-        if not self._contact.is_store_stable(now_s):
+        if not self._disturbances.is_store_stable(now_s):
             bound_s += _STRETCH_S
         due = [each for each in self._versions if now_s - each.acknowledged_s > bound_s]
         return due[-1] if due else self._versions[0]
@@ -96,7 +96,7 @@
         if answer.status not in _CONCLUSIVE:
             return
         due = 0
-        if self._contact.is_held_to_bound(answer.name, answer.sent_s):
+        if self._disturbances.is_held_to_bound(answer.name, answer.sent_s):
             due = self.due(answer.sent_s).number
             self.checked += 1
         shown = tuple(self._explaining(answer))
