--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -71,13 +71,13 @@
         Until an acknowledged version is in force.
     """
 
-    def __init__(self, versions: Sequence[Version], contact: DisturbanceTracker, apply_s: float) -> None:
+    def __init__(self, versions: Sequence[Version], disturbances: DisturbanceTracker, apply_s: float) -> None:
         """Start without answers."""
         self.violations: list[Violation] = []
         # Answers that had to be as a version of late says.
         self.checked = 0
         self._versions = versions
-        self._disturbances = contact
+        self._disturbances = disturbances
         self._apply_s = apply_s
         # Number of the oldest version that an instance's incarnation may be at.
         self._floor_by_incarnation: dict[int, int] = defaultdict(int)
