--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -40,19 +40,19 @@
 
     def __init__(self, names: Iterable[str], slow_names: Collection[str] = ()) -> None:
         """Start with nothing in touch."""
-        self._open: Counter[str] = Counter()
+        self._active_count: Counter[str] = Counter()
         self._calm_since_s = dict.fromkeys(names, float('inf'))
         self._history_lost_s = float('-inf')
         self._slow_names = frozenset(slow_names)
 
     def begin(self, names: Iterable[str]) -> None:
         """Note a disturbance that begins."""
-        self._open.update(names)
+        self._active_count.update(names)
 
     def end(self, names: Iterable[str], now_s: float) -> None:
         """Note that it has ended."""
         for name in names:
-            self._open[name] -= 1
+            self._active_count[name] -= 1
             self._calm_since_s[name] = now_s
 
     def lose_history(self, now_s: float) -> None:
@@ -61,7 +61,7 @@
 
     def is_stable(self, name: str, now_s: float) -> bool:
         """Tell whether nothing has disturbed an instance for long enough."""
-        return not self._open[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
+        return not self._active_count[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
 
     def is_held_to_bound(self, name: str, now_s: float) -> bool:
         """Tell whether an instance has to follow the configuration in time."""
