--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -41,7 +41,7 @@
     def __init__(self, names: Iterable[str], slow_names: Collection[str] = ()) -> None:
         """Start with nothing in touch."""
         self._active_count: Counter[str] = Counter()
-        self._calm_since_s = dict.fromkeys(names, float('inf'))
+        self._stable_since_s = dict.fromkeys(names, float('inf'))
         self._history_lost_s = float('-inf')
         self._slow_names = frozenset(slow_names)
 
@@ -53,7 +53,7 @@
         """Note that it has ended."""
         for name in names:
             self._active_count[name] -= 1
-            self._calm_since_s[name] = now_s
+            self._stable_since_s[name] = now_s
 
     def lose_history(self, now_s: float) -> None:
         """Note that the store has forgotten its history: it is unstable, but up."""
@@ -61,13 +61,13 @@
 
     def is_stable(self, name: str, now_s: float) -> bool:
         """Tell whether nothing has disturbed an instance for long enough."""
-        return not self._active_count[name] and now_s - self._calm_since_s[name] > QUIET_PERIOD_S
+        return not self._active_count[name] and now_s - self._stable_since_s[name] > QUIET_PERIOD_S
 
     def is_held_to_bound(self, name: str, now_s: float) -> bool:
         """Tell whether an instance has to follow the configuration in time."""
         if name not in self._slow_names:
             return self.is_stable(name, now_s)
-        fast = self._calm_since_s.keys() - self._slow_names
+        fast = self._stable_since_s.keys() - self._slow_names
         return self.is_stable(name, now_s) and any(self.is_stable(other, now_s) for other in fast)
 
     def is_store_stable(self, now_s: float) -> bool:
--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -75,20 +75,20 @@
             for number, step in enumerate(submission.steps):
                 self._demand_by_task.update(dict.fromkeys(_tasks(submission, number), step.demand))
         self._workers = workers
-        self._calm_since_s = now_s
+        self._stable_since_s = now_s
         self._looked_s = now_s
         self._wait_by_job: dict[str, _Wait] = {}
         self._waits: list[_Wait] = []
 
     def disturb(self, now_s: float) -> None:
         """Note a disturbance that ends now."""
-        self._calm_since_s = max(self._calm_since_s, now_s)
+        self._stable_since_s = max(self._stable_since_s, now_s)
 
     def look(self, now_s: float) -> None:
         """Take in what runs at this moment."""
         if now_s - self._looked_s > _LONGEST_GAP_S:
             self.disturb(now_s)
-        is_calm = now_s - self._calm_since_s > QUIET_PERIOD_S
+        is_calm = now_s - self._stable_since_s > QUIET_PERIOD_S
         waiting = set(self._waiting(now_s)) if is_calm else set()
         earlier = self._wait_by_job
         self._wait_by_job = {job_id: _Wait(job_id, now_s, now_s) for job_id in waiting}
