--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -88,8 +88,8 @@
         """Take in what runs at this moment."""
         if now_s - self._looked_s > _LONGEST_GAP_S:
             self.disturb(now_s)
-        is_calm = now_s - self._stable_since_s > QUIET_PERIOD_S
-        waiting = set(self._waiting(now_s)) if is_calm else set()
+        is_stable = now_s - self._stable_since_s > QUIET_PERIOD_S
+        waiting = set(self._waiting(now_s)) if is_stable else set()
         earlier = self._wait_by_job
         self._wait_by_job = {job_id: _Wait(job_id, now_s, now_s) for job_id in waiting}
         for job_id, wait in earlier.items():
