--- a/packages/standins/dahliaarch_standins/soak/contact.py
+++ b/packages/standins/dahliaarch_standins/soak/contact.py
@@ -55,7 +55,7 @@
             self._active_count[name] -= 1
             self._stable_since_s[name] = now_s
 
-    def lose_history(self, now_s: float) -> None:
+    def record_history_loss(self, now_s: float) -> None:
         """Note that the store has forgotten its history: it is unstable, but up."""
         self._history_lost_s = now_s
 
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -172,7 +172,7 @@
 @register
 async def forget_history(system: System, fault: Fault, choice: random.Random) -> None:
     """Let the store forget what has changed."""
-    system.disturbances.lose_history(time.monotonic())
+    system.disturbances.record_history_loss(time.monotonic())
     system.store.forget_history()
 
 
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -97,7 +97,7 @@
 
 
 def test_a_store_that_forgets_its_history_stretches_the_bound(checked):
-    checked.contact.lose_history(11.0)
+    checked.contact.record_history_loss(11.0)
     assert not checked.take('only-2', 404, 13.0)
     assert checked.take('only-2', 404, 11.0 + QUIET_PERIOD_S + 0.1) == [TIME]
 
