--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -13,7 +13,7 @@
 from ..deployment import Caller
 from ..deployment.core import KEY, PREFIX_BY_QUEUE
 from ..deployment.jobs import draw_steps, step_specs
-from .following import APPLY_S, FollowingCheck, SLOW_APPLY_S
+from .following import APPLY_S, ConfigurationCheck, SLOW_APPLY_S
 from .plans import draw_plan, Fault, inject
 from .probing import probe_forever
 from .ready_work import watch_ready_work
@@ -122,7 +122,7 @@
 
 async def _run(settings: SoakSettings, folder: Path) -> SoakResult:
     system = System(settings, folder)
-    check = FollowingCheck(
+    check = ConfigurationCheck(
         system.operator.versions,
         system.disturbances,
         SLOW_APPLY_S if settings.slow_links else APPLY_S,
@@ -138,7 +138,7 @@
     return result
 
 
-def _watch(system: System, check: FollowingCheck, tasks: TaskGroup) -> None:
+def _watch(system: System, check: ConfigurationCheck, tasks: TaskGroup) -> None:
     """Begin to look at the daemons."""
     tasks.start_soon(system.watch_processes)
     tasks.start_soon(system.watch_lag)
@@ -146,7 +146,7 @@
         tasks.start_soon(probe_forever, system, check, name)
 
 
-async def _play(system: System, settings: SoakSettings, check: FollowingCheck, folder: Path) -> SoakResult:
+async def _play(system: System, settings: SoakSettings, check: ConfigurationCheck, folder: Path) -> SoakResult:
     plan = draw_plan(settings)
     origin = origin_now()
     submissions: list[Submission] = []
--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -58,7 +58,7 @@
     wall_s: float = 0.0
 
 
-class FollowingCheck:
+class ConfigurationCheck:
     """Checks answers.
 
     Parameters
--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from .following import Answer, FollowingCheck
+from .following import Answer, ConfigurationCheck
 from .system import System
 
 # Pause between two rounds of probes, in seconds.
@@ -14,7 +14,7 @@
 _ANSWER_S = 1.0
 
 
-async def probe_forever(system: System, check: FollowingCheck, name: str) -> None:
+async def probe_forever(system: System, check: ConfigurationCheck, name: str) -> None:
     """Send probes to an instance and hand its answers over, until cancelled."""
     choice = random.Random(name)
     caller = system.deployment.caller(name)
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dahliaarch_standins.soak.contact import DisturbanceTracker, QUIET_PERIOD_S
-from dahliaarch_standins.soak.following import Answer, APPLY_S, FollowingCheck
+from dahliaarch_standins.soak.following import Answer, APPLY_S, ConfigurationCheck
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
 TIME = 'a configuration is in force in time'
@@ -25,7 +25,7 @@
         self.contact.begin(('a', 'b'))
         self.contact.end(('a', 'b'), 0.0)
         self.versions = [version(1, 0.0), version(2, 10.0, (KEY, OTHER_KEY))]
-        self.check = FollowingCheck(self.versions, self.contact, APPLY_S)
+        self.check = ConfigurationCheck(self.versions, self.contact, APPLY_S)
 
     def take(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
         before = len(self.check.violations)
