--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -99,7 +99,7 @@
         if self._disturbances.is_held_to_bound(answer.name, answer.sent_s):
             due = self.due(answer.sent_s).number
             self.checked += 1
-        shown = tuple(self._explaining(answer))
+        shown = tuple(self._matching_versions(answer))
         floor = self._floor_by_incarnation[answer.incarnation]
         for promise, oldest in (('a configuration is in force in time', due), ('no version goes back', floor)):
             if not any(number >= oldest for number in shown):
@@ -108,7 +108,7 @@
             (number for number in shown if number >= floor), default=floor
         )
 
-    def _explaining(self, answer: Answer) -> Iterator[int]:
+    def _matching_versions(self, answer: Answer) -> Iterator[int]:
         return (each.number for each in self._versions if each.expected(answer.probe) == answer.status)
 
     def _blame(self, promise: str, answer: Answer, oldest: int) -> None:
