--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -99,13 +99,13 @@
         if self._disturbances.is_held_to_bound(answer.name, answer.sent_s):
             due = self.due(answer.sent_s).number
             self.checked += 1
-        shown = tuple(self._matching_versions(answer))
+        matching = tuple(self._matching_versions(answer))
         floor = self._floor_by_incarnation[answer.incarnation]
         for promise, oldest in (('a configuration is in force in time', due), ('no version goes back', floor)):
-            if not any(number >= oldest for number in shown):
+            if not any(number >= oldest for number in matching):
                 self._blame(promise, answer, oldest)
         self._floor_by_incarnation[answer.incarnation] = min(
-            (number for number in shown if number >= floor), default=floor
+            (number for number in matching if number >= floor), default=floor
         )
 
     def _matching_versions(self, answer: Answer) -> Iterator[int]:
