--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -103,7 +103,7 @@
         floor = self._floor_by_incarnation[answer.incarnation]
         for promise, oldest in (('a configuration is in force in time', due), ('no version goes back', floor)):
             if not any(number >= oldest for number in matching):
-                self._blame(promise, answer, oldest)
+                self._report(promise, answer, oldest)
         self._floor_by_incarnation[answer.incarnation] = min(
             (number for number in matching if number >= floor), default=floor
         )
@@ -111,7 +111,7 @@
     def _matching_versions(self, answer: Answer) -> Iterator[int]:
         return (each.number for each in self._versions if each.expected(answer.probe) == answer.status)
 
-    def _blame(self, promise: str, answer: Answer, oldest: int) -> None:
+    def _report(self, promise: str, answer: Answer, oldest: int) -> None:
         if (promise, answer.incarnation) in self._blamed:
             return
         self._blamed.add((promise, answer.incarnation))
