--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -81,7 +81,7 @@
         self._apply_s = apply_s
         # Number of the oldest version that an instance's incarnation may be at.
         self._floor_by_incarnation: dict[int, int] = defaultdict(int)
-        self._blamed: set[tuple[str, int]] = set()
+        self._reported: set[tuple[str, int]] = set()
 
     def due(self, now_s: float) -> Version:
         """Return the newest version that has to be in force."""
@@ -112,9 +112,9 @@
         return (each.number for each in self._versions if each.expected(answer.probe) == answer.status)
 
     def _report(self, promise: str, answer: Answer, oldest: int) -> None:
-        if (promise, answer.incarnation) in self._blamed:
+        if (promise, answer.incarnation) in self._reported:
             return
-        self._blamed.add((promise, answer.incarnation))
+        self._reported.add((promise, answer.incarnation))
         written = next((each.acknowledged_s for each in self._versions if each.number == oldest), answer.sent_s)
         ago_s = answer.sent_s - written
         self.violations.append(
