--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -27,7 +27,7 @@
 APPLY_S = 2.0
 SLOW_APPLY_S = 3.0
 # By how much that bound grows while the store has forgotten its history.
-_STRETCH_S = 5.0
+_HISTORY_LOSS_ALLOWANCE_S = 5.0
 _CONCLUSIVE = frozenset((MALFORMED, NO_ACCESS, NO_ROUTE))
 
 
@@ -87,7 +87,7 @@
         """Return the newest version that has to be in force."""
         bound_s = self._apply_s
         if not self._disturbances.is_store_stable(now_s):
-            bound_s += _STRETCH_S
+            bound_s += _HISTORY_LOSS_ALLOWANCE_S
         due = [each for each in self._versions if now_s - each.acknowledged_s > bound_s]
         return due[-1] if due else self._versions[0]
 
