--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -9,7 +9,7 @@
 from .system import System
 
 # Pause between two rounds of probes, in seconds.
-_EVERY_S = 0.3
+_PROBE_INTERVAL_S = 0.3
 # Longest wait for an answer, in seconds.
 _ANSWER_S = 1.0
 
@@ -19,7 +19,7 @@
     choice = random.Random(name)
     caller = system.deployment.caller(name)
     while True:
-        await anyio.sleep(_EVERY_S)
+        await anyio.sleep(_PROBE_INTERVAL_S)
         for probe in system.operator.draw_probes(choice, check.due(time.monotonic())):
             incarnation = system.deployment.incarnation(name)
             sent_s, wall_s = time.monotonic(), time.time()
