--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -11,7 +11,7 @@
 # Pause between two rounds of probes, in seconds.
 _PROBE_INTERVAL_S = 0.3
 # Longest wait for an answer, in seconds.
-_ANSWER_S = 1.0
+_ANSWER_TIMEOUT_S = 1.0
 
 
 async def probe_forever(system: System, check: ConfigurationCheck, name: str) -> None:
@@ -23,6 +23,6 @@
         for probe in system.operator.draw_probes(choice, check.due(time.monotonic())):
             incarnation = system.deployment.incarnation(name)
             sent_s, wall_s = time.monotonic(), time.time()
-            reply = await caller.call('GET', probe.path, key=probe.key, host=probe.host, timeout_s=_ANSWER_S)
+            reply = await caller.call('GET', probe.path, key=probe.key, host=probe.host, timeout_s=_ANSWER_TIMEOUT_S)
             if reply is not None and incarnation and system.deployment.incarnation(name) == incarnation:
                 check.take(Answer(name, incarnation, probe, reply.status, sent_s, wall_s))
