--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -74,7 +74,7 @@
         return MALFORMED if probe.key in self.keys else NO_ACCESS
 
 
-def marker(number: int) -> str:
+def marker_route(number: int) -> str:
     """Return the route that only the version of a number has."""
     return f'only-{number}'
 
@@ -118,7 +118,7 @@
 
     def write(self) -> None:
         """Write a version, which has a route of its own."""
-        own_route = marker(self._deployment.version + 1)
+        own_route = marker_route(self._deployment.version + 1)
         routes = [*self._routes, own_route]
         keys = (KEY, OTHER_KEY) if self.has_other_key else (KEY,)
         self._deployment.configure(keys, more_queues=_rows(routes))
@@ -133,7 +133,7 @@
 
     def draw_probes(self, choice: random.Random, due: Version) -> list[Probe]:
         """Return probes that tell a version that is due from older and newer ones."""
-        routes = [marker(due.number), marker(due.number - 1)]
+        routes = [marker_route(due.number), marker_route(due.number - 1)]
         if self._routes:
             # The newest, and one that is there for longer.
             routes.extend((self._routes[-1], choice.choice(self._routes)))
