--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -11,7 +11,7 @@
 OTHER_KEY = 'key-that-comes-and-goes'
 # Most routes that a version adds to the project's own: 165 bytes each, so that
 # the document stays below the megabyte that the store takes.
-_MOST_ROUTES = 5_500
+_MAX_ADDED_ROUTES = 5_500
 _PRIORITY = 1
 
 # How requests are answered that are handled at once, by their route and key.
@@ -113,7 +113,7 @@
     def grow(self, count: int) -> None:
         """Add so many routes; the oldest go when there are too many."""
         self._routes.extend(f'r{self._names.getrandbits(36):09x}' for _ in range(count))
-        del self._routes[:-_MOST_ROUTES]
+        del self._routes[:-_MAX_ADDED_ROUTES]
         self.write()
 
     def write(self) -> None:
