--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -118,7 +118,7 @@
 async def grow_configuration(system: System, fault: Fault, choice: random.Random) -> None:
     """Add routes to the configuration, at times by several changes in quick succession."""
     for _ in range(choice.choice(_SERIES)):
-        system.operator.grow(choice.randint(*_GROWTH))
+        system.operator.add_routes(choice.randint(*_GROWTH))
         await anyio.sleep(choice.uniform(*_SERIES_GAP_S))
 
 
--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -110,7 +110,7 @@
         self.has_other_key = not self.has_other_key
         self.write()
 
-    def grow(self, count: int) -> None:
+    def add_routes(self, count: int) -> None:
         """Add so many routes; the oldest go when there are too many."""
         self._routes.extend(f'r{self._names.getrandbits(36):09x}' for _ in range(count))
         del self._routes[:-_MAX_ADDED_ROUTES]
