--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -84,7 +84,7 @@
         """Note a disturbance that ends now."""
         self._stable_since_s = max(self._stable_since_s, now_s)
 
-    def look(self, now_s: float) -> None:
+    def sample(self, now_s: float) -> None:
         """Take in what runs at this moment."""
         if now_s - self._looked_s > _LONGEST_GAP_S:
             self.disturb(now_s)
@@ -163,7 +163,7 @@
         if len(system.exits) > exits:
             exits = len(system.exits)
             check.disturb(time.monotonic())
-        check.look(time.monotonic())
+        check.sample(time.monotonic())
         await anyio.sleep(_LOOK_EVERY_S)
 
 
--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -45,7 +45,7 @@
     def look_for(self, seconds):
         for _ in range(round(seconds / 0.1)):
             self.now_s += 0.1
-            self.check.look(self.now_s)
+            self.check.sample(self.now_s)
 
     def found(self, *logs):
         return list(self.check.violations(logs))
