--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -80,14 +80,14 @@
         self._wait_by_job: dict[str, _Wait] = {}
         self._waits: list[_Wait] = []
 
-    def disturb(self, now_s: float) -> None:
+    def record_disturbance(self, now_s: float) -> None:
         """Note a disturbance that ends now."""
         self._stable_since_s = max(self._stable_since_s, now_s)
 
     def sample(self, now_s: float) -> None:
         """Take in what runs at this moment."""
         if now_s - self._looked_s > _LONGEST_GAP_S:
-            self.disturb(now_s)
+            self.record_disturbance(now_s)
         is_stable = now_s - self._stable_since_s > QUIET_PERIOD_S
         waiting = set(self._waiting(now_s)) if is_stable else set()
         earlier = self._wait_by_job
@@ -162,7 +162,7 @@
     while True:
         if len(system.exits) > exits:
             exits = len(system.exits)
-            check.disturb(time.monotonic())
+            check.record_disturbance(time.monotonic())
         check.sample(time.monotonic())
         await anyio.sleep(_LOOK_EVERY_S)
 
--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -132,7 +132,7 @@
 
 
 def exit_of_a_daemon(pool):
-    pool.check.disturb(pool.now_s)
+    pool.check.record_disturbance(pool.now_s)
 
 
 def late_look(pool):
