--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -76,7 +76,7 @@
                 self._demand_by_task.update(dict.fromkeys(_tasks(submission, number), step.demand))
         self._workers = workers
         self._stable_since_s = now_s
-        self._looked_s = now_s
+        self._sampled_s = now_s
         self._wait_by_job: dict[str, _Wait] = {}
         self._waits: list[_Wait] = []
 
@@ -86,7 +86,7 @@
 
     def sample(self, now_s: float) -> None:
         """Take in what runs at this moment."""
-        if now_s - self._looked_s > _LONGEST_GAP_S:
+        if now_s - self._sampled_s > _LONGEST_GAP_S:
             self.record_disturbance(now_s)
         is_stable = now_s - self._stable_since_s > QUIET_PERIOD_S
         waiting = set(self._waiting(now_s)) if is_stable else set()
@@ -97,7 +97,7 @@
                 self._wait_by_job[job_id] = wait._replace(end_s=now_s)
             else:
                 self._waits.append(wait)
-        self._looked_s = now_s
+        self._sampled_s = now_s
 
     def violations(self, logs: Iterable[Path]) -> Iterator[Violation]:
         """Yield the jobs that waited for too long, the longest first, with the last that an owner logged of it.
@@ -130,7 +130,7 @@
         capacity = sum(weighted_cores(worker.capacity) for worker in self._workers)
         if sum(map(weighted_cores, free)) <= (1 - _IDLE_SHARE) * capacity:
             return
-        begun = (start.task for worker in self._workers for start in worker.starts if start.at_s >= self._looked_s)
+        begun = (start.task for worker in self._workers for start in worker.starts if start.at_s >= self._sampled_s)
         running = (task for worker in self._workers for task in worker.running)
         of_late = {task.partition('.')[0] for task in (*begun, *running, *chain.from_iterable(crashed.values()))}
         passed_over = of_late | may_be_given_up(self._workers)
