--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -35,7 +35,7 @@
 # Share of the capacity in use from which on it is not idle.
 _IDLE_SHARE = 0.5
 # Pause between two looks, and the longest after which they still tell what was between, in seconds.
-_LOOK_EVERY_S = 0.1
+_SAMPLE_INTERVAL_S = 0.1
 _LONGEST_GAP_S = 0.5
 # Waits that are told of at most: one cause holds up many jobs.
 _MOST_TOLD = 5
@@ -164,7 +164,7 @@
             exits = len(system.exits)
             check.record_disturbance(time.monotonic())
         check.sample(time.monotonic())
-        await anyio.sleep(_LOOK_EVERY_S)
+        await anyio.sleep(_SAMPLE_INTERVAL_S)
 
 
 def _has_room_twice(submission: Submission, done: Set[str], free: Sequence[Resources]) -> bool:
