--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -36,7 +36,7 @@
 _IDLE_SHARE = 0.5
 # Pause between two looks, and the longest after which they still tell what was between, in seconds.
 _SAMPLE_INTERVAL_S = 0.1
-_LONGEST_GAP_S = 0.5
+_MAX_SAMPLE_GAP_S = 0.5
 # Waits that are told of at most: one cause holds up many jobs.
 _MOST_TOLD = 5
 
@@ -86,7 +86,7 @@
 
     def sample(self, now_s: float) -> None:
         """Take in what runs at this moment."""
-        if now_s - self._sampled_s > _LONGEST_GAP_S:
+        if now_s - self._sampled_s > _MAX_SAMPLE_GAP_S:
             self.record_disturbance(now_s)
         is_stable = now_s - self._stable_since_s > QUIET_PERIOD_S
         waiting = set(self._waiting(now_s)) if is_stable else set()
