--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -152,12 +152,12 @@
     """Look at the workers for as long as the context is open; faults and traffic are over."""
     check = ReadyWorkCheck(submissions, system.deployment.workers, time.monotonic())
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_look_forever, system, check)
+        tasks.start_soon(_sample_forever, system, check)
         yield check
         tasks.cancel_scope.cancel()
 
 
-async def _look_forever(system: System, check: ReadyWorkCheck) -> None:
+async def _sample_forever(system: System, check: ReadyWorkCheck) -> None:
     exits = len(system.exits)
     while True:
         if len(system.exits) > exits:
