--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -38,7 +38,7 @@
 _SAMPLE_INTERVAL_S = 0.1
 _MAX_SAMPLE_GAP_S = 0.5
 # Waits that are told of at most: one cause holds up many jobs.
-_MOST_TOLD = 5
+_MAX_REPORTED_WAITS = 5
 
 
 class _Wait(NamedTuple):
@@ -110,7 +110,7 @@
         waits = [wait for wait in (*self._waits, *self._wait_by_job.values()) if wait.length_s >= READY_S]
         if not waits:
             return
-        longest = sorted(waits, key=attrgetter('length_s'), reverse=True)[:_MOST_TOLD]
+        longest = sorted(waits, key=attrgetter('length_s'), reverse=True)[:_MAX_REPORTED_WAITS]
         lines = list(_waiting_lines(logs))
         wall_s = time.time() - time.monotonic()
         for wait in longest:
