--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -33,7 +33,7 @@
 # Longest time that a ready job may have nothing running, in seconds.
 READY_S = 3.0
 # Share of the capacity in use from which on it is not idle.
-_IDLE_SHARE = 0.5
+_MAX_IDLE_UTILIZATION = 0.5
 # Pause between two looks, and the longest after which they still tell what was between, in seconds.
 _SAMPLE_INTERVAL_S = 0.1
 _MAX_SAMPLE_GAP_S = 0.5
@@ -128,7 +128,7 @@
         }
         free = [NO_RESOURCES if crashed[worker] else self._free(worker) for worker in self._workers]
         capacity = sum(weighted_cores(worker.capacity) for worker in self._workers)
-        if sum(map(weighted_cores, free)) <= (1 - _IDLE_SHARE) * capacity:
+        if sum(map(weighted_cores, free)) <= (1 - _MAX_IDLE_UTILIZATION) * capacity:
             return
         begun = (start.task for worker in self._workers for start in worker.starts if start.at_s >= self._sampled_s)
         running = (task for worker in self._workers for task in worker.running)
