--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -31,7 +31,7 @@
 from .violations import may_be_given_up, Submission, Violation
 
 # Longest time that a ready job may have nothing running, in seconds.
-READY_S = 3.0
+MAX_READY_WAIT_S = 3.0
 # Share of the capacity in use from which on it is not idle.
 _MAX_IDLE_UTILIZATION = 0.5
 # Pause between two looks, and the longest after which they still tell what was between, in seconds.
@@ -107,7 +107,7 @@
         logs : iterable of Path
             Logs of the daemons.
         """
-        waits = [wait for wait in (*self._waits, *self._wait_by_job.values()) if wait.length_s >= READY_S]
+        waits = [wait for wait in (*self._waits, *self._wait_by_job.values()) if wait.length_s >= MAX_READY_WAIT_S]
         if not waits:
             return
         longest = sorted(waits, key=attrgetter('length_s'), reverse=True)[:_MAX_REPORTED_WAITS]
--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -8,11 +8,11 @@
 from dahliaarch_kernel.workload import Resources, StepSpec
 from dahliaarch_standins.platform.workers import Ended, Started
 from dahliaarch_standins.soak.contact import QUIET_PERIOD_S
-from dahliaarch_standins.soak.ready_work import READY_S, ReadyWorkCheck
+from dahliaarch_standins.soak.ready_work import MAX_READY_WAIT_S, ReadyWorkCheck
 from dahliaarch_standins.soak.violations import Submission
 
 CALM_S = 100.0
-BOUND_S = QUIET_PERIOD_S + READY_S
+BOUND_S = QUIET_PERIOD_S + MAX_READY_WAIT_S
 STEP = StepSpec(2, Resources(4000, 16_000, 4))
 PROMISE = 'a ready job does not wait beside idle capacity'
 
@@ -165,7 +165,7 @@
     pool = Pool(job(), workers=workers)
     pool.look_for(QUIET_PERIOD_S - 0.5)
     pool.workers[0].ended('c.0.0.0', how='crashed', at_s=pool.now_s)
-    pool.look_for(READY_S + 1.0)
+    pool.look_for(MAX_READY_WAIT_S + 1.0)
     assert pool.is_blamed is is_blamed
 
 
