--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -132,8 +132,8 @@
             return
         begun = (start.task for worker in self._workers for start in worker.starts if start.at_s >= self._sampled_s)
         running = (task for worker in self._workers for task in worker.running)
-        of_late = {task.partition('.')[0] for task in (*begun, *running, *chain.from_iterable(crashed.values()))}
-        passed_over = of_late | may_be_given_up(self._workers)
+        recent = {task.partition('.')[0] for task in (*begun, *running, *chain.from_iterable(crashed.values()))}
+        passed_over = recent | may_be_given_up(self._workers)
         done = {end.task for worker in self._workers for end in worker.ends if end.how == 'done'}
         for submission in self._submissions:
             if submission.is_accepted and not submission.is_cancelled and submission.job_id not in passed_over:
