--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -170,12 +170,12 @@
 def _has_room_twice(submission: Submission, done: Set[str], free: Sequence[Resources]) -> bool:
     """Tell whether a task or gang whose turn has come would find room twice."""
     return any(
-        sum(_fitting(each, step.demand) for each in free) >= 2 * (step.task_count if step.gang else 1)
+        sum(_count_fitting(each, step.demand) for each in free) >= 2 * (step.task_count if step.gang else 1)
         for step in _ready_steps(submission, done)
     )
 
 
-def _fitting(free: Resources, demand: Resources) -> int:
+def _count_fitting(free: Resources, demand: Resources) -> int:
     """Return how many tasks of a demand find room."""
     return max(0, min(has // wants for has, wants in zip(free, demand, strict=True) if wants))
 
