--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -210,11 +210,11 @@
             steps = _crowd(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
             with anyio.CancelScope(shield=True):
                 if crashes.random() < settings.crashing_share:
-                    submissions.append(await _hand_in(caller, crashes, [{**steps[0], 'Count': 1}], 'crash'))
-                submissions.append(await _hand_in(caller, choice, steps))
+                    submissions.append(await _submit(caller, crashes, [{**steps[0], 'Count': 1}], 'crash'))
+                submissions.append(await _submit(caller, choice, steps))
 
 
-async def _hand_in(caller: Caller, choice: random.Random, steps: list[dict[str, Any]], payload: str = '') -> Submission:
+async def _submit(caller: Caller, choice: random.Random, steps: list[dict[str, Any]], payload: str = '') -> Submission:
     queue = choice.choice(sorted(PREFIX_BY_QUEUE))
     job_id = f'{choice.getrandbits(64):016x}'
     is_to_be_cancelled = choice.random() < _CANCELLED_SHARE
