--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -155,7 +155,7 @@
             tasks.start_soon(inject, system, fault)
         for number in range(settings.callers):
             choice = random.Random(f'{settings.seed} {number}')
-            tasks.start_soon(_call, system, submissions, choice, settings)
+            tasks.start_soon(_submit_jobs, system, submissions, choice, settings)
     async with watch_ready_work(system, submissions) as ready_work:
         unready = [name for name in system.deployment.names if not await _becomes_ready(system, name)]
         await anyio.sleep(_CALM_S)
@@ -194,7 +194,7 @@
     return False
 
 
-async def _call(
+async def _submit_jobs(
     system: System,
     submissions: list[Submission],
     choice: random.Random,
