--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -131,7 +131,7 @@
         try:
             await system.start(tasks)
             _watch(system, check, tasks)
-            result = await _play(system, settings, check, folder)
+            result = await _run_scenario(system, settings, check, folder)
         finally:
             system.close()
             tasks.cancel_scope.cancel()
@@ -146,7 +146,7 @@
         tasks.start_soon(probe_forever, system, check, name)
 
 
-async def _play(system: System, settings: SoakSettings, check: ConfigurationCheck, folder: Path) -> SoakResult:
+async def _run_scenario(system: System, settings: SoakSettings, check: ConfigurationCheck, folder: Path) -> SoakResult:
     plan = draw_plan(settings)
     origin = origin_now()
     submissions: list[Submission] = []
