--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -130,7 +130,7 @@
     async with anyio.create_task_group() as tasks:
         try:
             await system.start(tasks)
-            _watch(system, check, tasks)
+            _start_monitoring(system, check, tasks)
             result = await _run_scenario(system, settings, check, folder)
         finally:
             system.close()
@@ -138,7 +138,7 @@
     return result
 
 
-def _watch(system: System, check: ConfigurationCheck, tasks: TaskGroup) -> None:
+def _start_monitoring(system: System, check: ConfigurationCheck, tasks: TaskGroup) -> None:
     """Begin to look at the daemons."""
     tasks.start_soon(system.watch_processes)
     tasks.start_soon(system.watch_lag)
