--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -159,7 +159,7 @@
     async with watch_ready_work(system, submissions) as ready_work:
         unready = [name for name in system.deployment.names if not await _becomes_ready(system, name)]
         await anyio.sleep(_CALM_S)
-        states = await _settle(system, submissions, settings.settle_s)
+        states = await _wait_for_jobs(system, submissions, settings.settle_s)
     violations = [
         *(Violation('no process ends by itself', name) for name in system.exits),
         *(Violation('an instance becomes ready', name) for name in unready),
@@ -250,7 +250,7 @@
     return [{'Count': choice.randint(4, 10), 'Cpu': 4000, 'MemMb': 16_000, 'Gpu': 4, 'EstimateMs': _ESTIMATE_MS}]
 
 
-async def _settle(system: System, submissions: list[Submission], settle_s: float) -> dict[str, str]:
+async def _wait_for_jobs(system: System, submissions: list[Submission], settle_s: float) -> dict[str, str]:
     """Ask for the state of every accepted job until all have ended, or for so long."""
     caller = system.deployment.caller()
     states: dict[str, str] = {}
