--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -207,7 +207,7 @@
     with anyio.move_on_after(settings.faults_s + _TRAFFIC_AFTER_S):
         while True:
             await anyio.sleep(choice.expovariate(1 / _GAP_S))
-            steps = _crowd(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
+            steps = _crowded_steps(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
             with anyio.CancelScope(shield=True):
                 if crashes.random() < settings.crashing_share:
                     submissions.append(await _submit(caller, crashes, [{**steps[0], 'Count': 1}], 'crash'))
@@ -245,7 +245,7 @@
         await anyio.sleep(_CANCEL_AGAIN_S)
 
 
-def _crowd(choice: random.Random) -> list[dict[str, Any]]:
+def _crowded_steps(choice: random.Random) -> list[dict[str, Any]]:
     """Return a step of more tasks than run at a time."""
     return [{'Count': choice.randint(4, 10), 'Cpu': 4000, 'MemMb': 16_000, 'Gpu': 4, 'EstimateMs': _ESTIMATE_MS}]
 
