--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -34,7 +34,7 @@
 )
 
 # Times between a caller's jobs, and between its tries of one, in seconds.
-_GAP_S = 0.4
+_MEAN_SUBMIT_INTERVAL_S = 0.4
 _TRIES_S = (0.0, 0.2, 0.4, 0.8, 1.2)
 _CANCELLED_SHARE = 0.15
 _CANCEL_AGAIN_S = 0.3
@@ -206,7 +206,7 @@
     crashes = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
     with anyio.move_on_after(settings.faults_s + _TRAFFIC_AFTER_S):
         while True:
-            await anyio.sleep(choice.expovariate(1 / _GAP_S))
+            await anyio.sleep(choice.expovariate(1 / _MEAN_SUBMIT_INTERVAL_S))
             steps = _crowded_steps(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
             with anyio.CancelScope(shield=True):
                 if crashes.random() < settings.crashing_share:
