--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -35,7 +35,7 @@
 
 # Times between a caller's jobs, and between its tries of one, in seconds.
 _MEAN_SUBMIT_INTERVAL_S = 0.4
-_TRIES_S = (0.0, 0.2, 0.4, 0.8, 1.2)
+_RETRY_DELAYS_S = (0.0, 0.2, 0.4, 0.8, 1.2)
 _CANCELLED_SHARE = 0.15
 _CANCEL_AGAIN_S = 0.3
 _WORK_S = (0.2, 1.5)
@@ -222,7 +222,7 @@
     body = {'Spec': f'{payload}{work_s:.2f}', 'Steps': steps}
     path = PREFIX_BY_QUEUE[queue] + job_id
     statuses: list[int] = []
-    for pause_s in _TRIES_S:
+    for pause_s in _RETRY_DELAYS_S:
         await anyio.sleep(pause_s)
         reply = await caller.call('POST', path, body)
         statuses.append(0 if reply is None else reply.status)
