--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -37,7 +37,7 @@
 _MEAN_SUBMIT_INTERVAL_S = 0.4
 _RETRY_DELAYS_S = (0.0, 0.2, 0.4, 0.8, 1.2)
 _CANCELLED_SHARE = 0.15
-_CANCEL_AGAIN_S = 0.3
+_CANCEL_RETRY_S = 0.3
 _WORK_S = (0.2, 1.5)
 # Work of tasks whose job is cancelled: so long that what is not stopped is seen.
 _CANCELLED_WORK_S = 60.0
@@ -242,7 +242,7 @@
         reply = await caller.call('DELETE', path)
         if reply is not None and reply.status in {200, 410}:
             return
-        await anyio.sleep(_CANCEL_AGAIN_S)
+        await anyio.sleep(_CANCEL_RETRY_S)
 
 
 def _crowded_steps(choice: random.Random) -> list[dict[str, Any]]:
