--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -44,7 +44,7 @@
 _ESTIMATE_MS = 800
 # Longest time from the last fault until an instance is ready, in seconds: a start
 # takes one, a document of a megabyte over a slow link two.
-_READY_S = 8.0
+_READY_TIMEOUT_S = 8.0
 # How long instances are left alone after the last fault, in seconds: until each
 # is in touch, and has been asked with its last version.
 _CALM_S = 4.0
@@ -188,7 +188,7 @@
 
 
 async def _becomes_ready(system: System, name: str) -> bool:
-    with anyio.move_on_after(_READY_S):
+    with anyio.move_on_after(_READY_TIMEOUT_S):
         await system.deployment.wait_ready(name)
         return True
     return False
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -27,7 +27,7 @@
 # A lag of this process that counts as a slow store, in seconds.
 _LAG_S = 0.2
 # How long an instance that is to stop may take to say that it is ready, in seconds.
-_READY_S = 0.1
+_READY_TIMEOUT_S = 0.1
 # The daemon, its messages led through the proxies.
 _PROGRAM = 'dahliaarch_standins.daemon'
 
@@ -159,7 +159,7 @@
             self.exits.append(f'{name}, asked to stop: status {status}')
 
     async def _is_ready(self, name: str) -> bool:
-        with anyio.move_on_after(_READY_S):
+        with anyio.move_on_after(_READY_TIMEOUT_S):
             await self.deployment.wait_ready(name)
             return True
         return False
