--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -47,7 +47,7 @@
 _READY_TIMEOUT_S = 8.0
 # How long instances are left alone after the last fault, in seconds: until each
 # is in touch, and has been asked with its last version.
-_CALM_S = 4.0
+_SETTLE_AFTER_FAULTS_S = 4.0
 # Traffic goes on for so long after the last fault has begun, in seconds.
 _TRAFFIC_AFTER_S = 3.0
 _ENDED = ENDED_STATES | {'410'}
@@ -158,7 +158,7 @@
             tasks.start_soon(_submit_jobs, system, submissions, choice, settings)
     async with watch_ready_work(system, submissions) as ready_work:
         unready = [name for name in system.deployment.names if not await _becomes_ready(system, name)]
-        await anyio.sleep(_CALM_S)
+        await anyio.sleep(_SETTLE_AFTER_FAULTS_S)
         states = await _wait_for_jobs(system, submissions, settings.settle_s)
     violations = [
         *(Violation('no process ends by itself', name) for name in system.exits),
