--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -49,7 +49,7 @@
 # is in touch, and has been asked with its last version.
 _SETTLE_AFTER_FAULTS_S = 4.0
 # Traffic goes on for so long after the last fault has begun, in seconds.
-_TRAFFIC_AFTER_S = 3.0
+_SUBMIT_AFTER_FAULTS_S = 3.0
 _ENDED = ENDED_STATES | {'410'}
 # A start may be carried out this late, in seconds: as long as the lease that it carries.
 _LATEST_START_S = 2.0
@@ -204,7 +204,7 @@
     caller = system.deployment.caller()
     # Drawn apart, so that the other jobs of a seed stay what they are.
     crashes = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
-    with anyio.move_on_after(settings.faults_s + _TRAFFIC_AFTER_S):
+    with anyio.move_on_after(settings.faults_s + _SUBMIT_AFTER_FAULTS_S):
         while True:
             await anyio.sleep(choice.expovariate(1 / _MEAN_SUBMIT_INTERVAL_S))
             steps = _crowded_steps(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
