--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -50,7 +50,7 @@
 _SETTLE_AFTER_FAULTS_S = 4.0
 # Traffic goes on for so long after the last fault has begun, in seconds.
 _SUBMIT_AFTER_FAULTS_S = 3.0
-_ENDED = ENDED_STATES | {'410'}
+_FINAL_STATES = ENDED_STATES | {'410'}
 # A start may be carried out this late, in seconds: as long as the lease that it carries.
 _LATEST_START_S = 2.0
 # Longest time from a late start to its end, in seconds: 3 after which it counts, 3
@@ -259,7 +259,7 @@
         while waiting:
             for job_id, queue in tuple(waiting.items()):
                 states[job_id] = await caller.state(queue, job_id)
-                if states[job_id] in _ENDED:
+                if states[job_id] in _FINAL_STATES:
                     del waiting[job_id]
             await anyio.sleep(0.1)
     return states
