--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -52,7 +52,7 @@
 _SUBMIT_AFTER_FAULTS_S = 3.0
 _FINAL_STATES = ENDED_STATES | {'410'}
 # A start may be carried out this late, in seconds: as long as the lease that it carries.
-_LATEST_START_S = 2.0
+_MAX_START_DELAY_S = 2.0
 # Longest time from a late start to its end, in seconds: 3 after which it counts, 3
 # as for a cancellation, 0.9 for the stop.
 _LATE_END_S = 6.9
@@ -267,7 +267,7 @@
 
 async def _running_on(system: System, states: dict[str, str]) -> list[Violation]:
     """Return what runs of ended jobs, and still does after the time in which it must be found."""
-    await anyio.sleep(_LATEST_START_S)
+    await anyio.sleep(_MAX_START_DELAY_S)
     deadline_s = time.monotonic() + _LATE_END_S
     while found := list(still_running(states, system.deployment.workers)):
         if time.monotonic() > deadline_s:
