--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -55,7 +55,7 @@
 _MAX_START_DELAY_S = 2.0
 # Longest time from a late start to its end, in seconds: 3 after which it counts, 3
 # as for a cancellation, 0.9 for the stop.
-_LATE_END_S = 6.9
+_LATE_STOP_TIMEOUT_S = 6.9
 
 
 class SoakResult(NamedTuple):
@@ -268,7 +268,7 @@
 async def _running_on(system: System, states: dict[str, str]) -> list[Violation]:
     """Return what runs of ended jobs, and still does after the time in which it must be found."""
     await anyio.sleep(_MAX_START_DELAY_S)
-    deadline_s = time.monotonic() + _LATE_END_S
+    deadline_s = time.monotonic() + _LATE_STOP_TIMEOUT_S
     while found := list(still_running(states, system.deployment.workers)):
         if time.monotonic() > deadline_s:
             break
