--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -164,7 +164,7 @@
         *(Violation('no process ends by itself', name) for name in system.exits),
         *(Violation('an instance becomes ready', name) for name in unready),
         *doubled_runs(system.deployment.workers),
-        *await _running_on(system, states),
+        *await _find_still_running(system, states),
         *crashed_too_often(submissions, system.deployment.workers),
         *refused_that_ran(submissions, system.deployment.workers),
         *false_ends(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
@@ -265,7 +265,7 @@
     return states
 
 
-async def _running_on(system: System, states: dict[str, str]) -> list[Violation]:
+async def _find_still_running(system: System, states: dict[str, str]) -> list[Violation]:
     """Return what runs of ended jobs, and still does after the time in which it must be found."""
     await anyio.sleep(_MAX_START_DELAY_S)
     deadline_s = time.monotonic() + _LATE_STOP_TIMEOUT_S
