--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -170,7 +170,7 @@
         *false_ends(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
         *check.violations,
         *ready_work.violations(system.deployment.log_paths),
-        *await _wrong_keys(system),
+        *await _find_wrong_keys(system),
     ]
     report = write_report(folder, settings, plan, violations, system.deployment.workers, origin) if violations else ''
     return SoakResult(
@@ -282,7 +282,7 @@
     return Counter(task.split('.')[0] for task in done)
 
 
-async def _wrong_keys(system: System) -> list[Violation]:
+async def _find_wrong_keys(system: System) -> list[Violation]:
     """Ask every instance with both keys, long after the last change of them."""
     found = []
     for name in system.deployment.names:
