--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -23,7 +23,7 @@
 from .versions import OTHER_KEY
 from .violations import (
     crashed_too_often,
-    doubled_runs,
+    duplicate_runs,
     ENDED_STATES,
     false_ends,
     may_be_given_up,
@@ -163,7 +163,7 @@
     violations = [
         *(Violation('no process ends by itself', name) for name in system.exits),
         *(Violation('an instance becomes ready', name) for name in unready),
-        *doubled_runs(system.deployment.workers),
+        *duplicate_runs(system.deployment.workers),
         *await _find_still_running(system, states),
         *crashed_too_often(submissions, system.deployment.workers),
         *refused_that_ran(submissions, system.deployment.workers),
--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -8,7 +8,7 @@
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
 from dahliaarch_standins.platform.workers import Ended, Noted, Started
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
-from dahliaarch_standins.soak.violations import doubled_runs, false_ends, may_be_given_up, still_running, Submission
+from dahliaarch_standins.soak.violations import duplicate_runs, false_ends, may_be_given_up, still_running, Submission
 
 # The kinds of faults to draw from when a seed failed: kinds that came later would
 # make it another plan.
@@ -119,7 +119,7 @@
 
 
 def test_no_runs_are_no_doubled_runs():
-    assert not list(doubled_runs([]))
+    assert not list(duplicate_runs([]))
 
 
 def worker_with(starts, ends, noted=()):
@@ -149,7 +149,7 @@
 )
 def test_each_run_has_the_end_of_its_own_incarnation(ends, noted, promises):
     worker = worker_with([(0, 1.0), (1, 3.0)], ends, noted)
-    assert [found.promise for found in doubled_runs([worker])] == promises
+    assert [found.promise for found in duplicate_runs([worker])] == promises
 
 
 class Busy:
--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -74,7 +74,7 @@
     noted: Noted
 
 
-def doubled_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
+def duplicate_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
     """Yield tasks that ran twice at a time, or again after a success that was noted."""
     noted = {each for worker in workers for each in worker.noted}
     for task, spans in _spans_by_task(workers).items():
