--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -22,9 +22,9 @@
 from .system import System
 from .versions import OTHER_KEY
 from .violations import (
-    crashed_too_often,
     duplicate_runs,
     ENDED_STATES,
+    excess_crash_starts,
     false_ends,
     may_be_given_up,
     refused_that_ran,
@@ -165,7 +165,7 @@
         *(Violation('an instance becomes ready', name) for name in unready),
         *duplicate_runs(system.deployment.workers),
         *await _find_still_running(system, states),
-        *crashed_too_often(submissions, system.deployment.workers),
+        *excess_crash_starts(submissions, system.deployment.workers),
         *refused_that_ran(submissions, system.deployment.workers),
         *false_ends(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
         *check.violations,
--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -108,7 +108,7 @@
                 yield Violation('nothing of an ended job runs on', f'{worker.worker_id}: {task}, {run}, {state}')
 
 
-def crashed_too_often(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
+def excess_crash_starts(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
     """Yield tasks that crash workers and were started more often than is borne."""
     crashing = {submission.job_id for submission in submissions if submission.crashes_workers}
     starts = Counter(start.task for worker in workers for start in worker.starts)
