--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -117,7 +117,7 @@
             yield Violation('a task that crashes workers is given up', f'{task}: {count} starts')
 
 
-def refused_that_ran(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
+def refused_jobs_that_ran(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
     """Yield jobs that ran though every try to hand them in was refused."""
     refused = {submission.job_id for submission in submissions if submission.is_refused}
     started = {start.task.partition('.')[0] for worker in workers for start in worker.starts}
