--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -25,12 +25,12 @@
     duplicate_runs,
     ENDED_STATES,
     excess_crash_starts,
-    false_ends,
     may_be_given_up,
     refused_jobs_that_ran,
     still_running,
     Submission,
     Violation,
+    wrong_final_states,
 )
 
 # Times between a caller's jobs, and between its tries of one, in seconds.
@@ -167,7 +167,7 @@
         *await _find_still_running(system, states),
         *excess_crash_starts(submissions, system.deployment.workers),
         *refused_jobs_that_ran(submissions, system.deployment.workers),
-        *false_ends(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
+        *wrong_final_states(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
         *check.violations,
         *ready_work.violations(system.deployment.log_paths),
         *await _find_wrong_keys(system),
--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -8,7 +8,13 @@
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
 from dahliaarch_standins.platform.workers import Ended, Noted, Started
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
-from dahliaarch_standins.soak.violations import duplicate_runs, false_ends, may_be_given_up, still_running, Submission
+from dahliaarch_standins.soak.violations import (
+    duplicate_runs,
+    may_be_given_up,
+    still_running,
+    Submission,
+    wrong_final_states,
+)
 
 # The kinds of faults to draw from when a seed failed: kinds that came later would
 # make it another plan.
@@ -114,7 +120,7 @@
 )
 def test_a_job_may_be_shown_as_failed_only_after_two_crashes_under_a_task(job_id, state, is_false):
     excused = may_be_given_up([Crashed('a.0.0.0', 'b.0.0.0'), Crashed('a.0.0.0', 'b.0.0.1')])
-    found = list(false_ends({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
+    found = list(wrong_final_states({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
     assert bool(found) is is_false
 
 
--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -131,7 +131,7 @@
     return {task.partition('.')[0] for task, count in crashes.items() if count >= _CRASHES_THAT_EXCUSE}
 
 
-def false_ends(
+def wrong_final_states(
     states: dict[str, str],
     submissions: Iterable[Submission],
     done: dict[str, int],
