--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -154,12 +154,12 @@
         state = states.get(submission.job_id, '')
         if state == 'failed' and submission.job_id in given_up:
             continue
-        violation = _false_end(submission, state, done.get(submission.job_id, 0))
+        violation = _wrong_final_state(submission, state, done.get(submission.job_id, 0))
         if submission.is_accepted and violation is not None:
             yield violation
 
 
-def _false_end(submission: Submission, state: str, done: int) -> Violation | None:
+def _wrong_final_state(submission: Submission, state: str, done: int) -> Violation | None:
     if state == 'succeeded':
         if done < submission.tasks:
             return Violation('a job is shown as succeeded once its tasks are', submission.job_id)
