--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -14,7 +14,7 @@
 ENDED_STATES = frozenset(('succeeded', 'failed', 'cancelled'))
 
 # Starts of a task that crashes workers: three that tell, and two more.
-_MOST_CRASHING_STARTS = 5
+_MAX_CRASHING_STARTS = 5
 # Crashes under a task after which users bear that its job is shown as failed.
 _CRASHES_THAT_EXCUSE = 2
 
@@ -113,7 +113,7 @@
     crashing = {submission.job_id for submission in submissions if submission.crashes_workers}
     starts = Counter(start.task for worker in workers for start in worker.starts)
     for task, count in starts.items():
-        if count > _MOST_CRASHING_STARTS and task.partition('.')[0] in crashing:
+        if count > _MAX_CRASHING_STARTS and task.partition('.')[0] in crashing:
             yield Violation('a task that crashes workers is given up', f'{task}: {count} starts')
 
 
