--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -16,7 +16,7 @@
 # Starts of a task that crashes workers: three that tell, and two more.
 _MAX_CRASHING_STARTS = 5
 # Crashes under a task after which users bear that its job is shown as failed.
-_CRASHES_THAT_EXCUSE = 2
+_MIN_CRASHES_TO_GIVE_UP = 2
 
 
 class Violation(NamedTuple):
@@ -128,7 +128,7 @@
 def may_be_given_up(workers: Iterable[WorkerStandIn]) -> set[str]:
     """Return the jobs with a task under which so many workers crashed that it may be given up, whatever the cause."""
     crashes = Counter(end.task for worker in workers for end in worker.ends if end.how == 'crashed')
-    return {task.partition('.')[0] for task, count in crashes.items() if count >= _CRASHES_THAT_EXCUSE}
+    return {task.partition('.')[0] for task, count in crashes.items() if count >= _MIN_CRASHES_TO_GIVE_UP}
 
 
 def wrong_final_states(
