--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -64,7 +64,7 @@
         return bool(self.statuses) and all(status in {429, 503} for status in self.statuses)
 
 
-class _Span(NamedTuple):
+class _RunInterval(NamedTuple):
     """One run of a task, from its start to its end, and the note that its worker would have of that."""
 
     begin_s: float
@@ -86,8 +86,8 @@
                 yield Violation('no run after a success that was noted', runs)
 
 
-def _spans_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_Span]]:
-    spans: dict[str, list[_Span]] = defaultdict(list)
+def _spans_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_RunInterval]]:
+    spans: dict[str, list[_RunInterval]] = defaultdict(list)
     for worker in workers:
         # The next incarnation may carry out a start again, under its number.
         end_by_run = {Noted(end.worker, end.task, end.run, end.incarnation): end for end in worker.ends}
@@ -95,7 +95,7 @@
             noted = Noted(start.worker, start.task, start.run, start.incarnation)
             end = end_by_run.get(noted)
             ended_s, how = (end.at_s, end.how) if end else (float('inf'), 'running')
-            spans[start.task].append(_Span(start.at_s, ended_s, start.run, how, noted))
+            spans[start.task].append(_RunInterval(start.at_s, ended_s, start.run, how, noted))
     return spans
 
 
