--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -77,7 +77,7 @@
 def duplicate_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
     """Yield tasks that ran twice at a time, or again after a success that was noted."""
     noted = {each for worker in workers for each in worker.noted}
-    for task, spans in _spans_by_task(workers).items():
+    for task, spans in _intervals_by_task(workers).items():
         for earlier, later in pairwise(sorted(spans)):
             runs = f'{task}: {earlier.run}, then {later.run}'
             if later.begin_s < earlier.end_s:
@@ -86,7 +86,7 @@
                 yield Violation('no run after a success that was noted', runs)
 
 
-def _spans_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_RunInterval]]:
+def _intervals_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_RunInterval]]:
     spans: dict[str, list[_RunInterval]] = defaultdict(list)
     for worker in workers:
         # The next incarnation may carry out a start again, under its number.
