--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -77,8 +77,8 @@
 def duplicate_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
     """Yield tasks that ran twice at a time, or again after a success that was noted."""
     noted = {each for worker in workers for each in worker.noted}
-    for task, spans in _intervals_by_task(workers).items():
-        for earlier, later in pairwise(sorted(spans)):
+    for task, intervals in _intervals_by_task(workers).items():
+        for earlier, later in pairwise(sorted(intervals)):
             runs = f'{task}: {earlier.run}, then {later.run}'
             if later.begin_s < earlier.end_s:
                 yield Violation('never two runs of a task at a time', runs)
@@ -87,7 +87,7 @@
 
 
 def _intervals_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_RunInterval]]:
-    spans: dict[str, list[_RunInterval]] = defaultdict(list)
+    intervals: dict[str, list[_RunInterval]] = defaultdict(list)
     for worker in workers:
         # The next incarnation may carry out a start again, under its number.
         end_by_run = {Noted(end.worker, end.task, end.run, end.incarnation): end for end in worker.ends}
@@ -95,8 +95,8 @@
             noted = Noted(start.worker, start.task, start.run, start.incarnation)
             end = end_by_run.get(noted)
             ended_s, how = (end.at_s, end.how) if end else (float('inf'), 'running')
-            spans[start.task].append(_RunInterval(start.at_s, ended_s, start.run, how, noted))
-    return spans
+            intervals[start.task].append(_RunInterval(start.at_s, ended_s, start.run, how, noted))
+    return intervals
 
 
 def still_running(states: dict[str, str], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
