--- a/packages/standins/dahliaarch_standins/soak/plans.py
+++ b/packages/standins/dahliaarch_standins/soak/plans.py
@@ -12,7 +12,7 @@
 
 # How long a fault lasts, in seconds: around the owner's lease of 2 and a
 # worker's of 3.
-_LENGTHS_S = (0.3, 4.0)
+_DURATION_RANGE_S = (0.3, 4.0)
 # Changes also come in this time after the last of the other faults, in seconds.
 _CHANGES_AFTER_S = 2.0
 
@@ -62,7 +62,7 @@
     return Fault(
         choice.choice(names),
         choice.uniform(0.5, until_s),
-        choice.uniform(*_LENGTHS_S),
+        choice.uniform(*_DURATION_RANGE_S),
         choice.getrandbits(32),
     )
 
