--- a/packages/standins/dahliaarch_standins/soak/plans.py
+++ b/packages/standins/dahliaarch_standins/soak/plans.py
@@ -14,7 +14,7 @@
 # worker's of 3.
 _DURATION_RANGE_S = (0.3, 4.0)
 # Changes also come in this time after the last of the other faults, in seconds.
-_CHANGES_AFTER_S = 2.0
+_CHANGES_AFTER_FAULTS_S = 2.0
 
 
 class Fault(NamedTuple):
@@ -54,7 +54,7 @@
     names = settings.kinds or sorted(_INJECTION_BY_NAME)
     plan = [_draw(choice, names, settings.faults_s) for _ in range(settings.faults)]
     for _ in range(settings.changes):
-        plan.append(_draw(choice, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_S))
+        plan.append(_draw(choice, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_FAULTS_S))
     return sorted(plan, key=attrgetter('at_s'))
 
 
