--- a/packages/standins/dahliaarch_standins/soak/plans.py
+++ b/packages/standins/dahliaarch_standins/soak/plans.py
@@ -52,13 +52,13 @@
     """Return faults that come in series and overlap, by time."""
     choice = random.Random(settings.seed)
     names = settings.kinds or sorted(_INJECTION_BY_NAME)
-    plan = [_draw(choice, names, settings.faults_s) for _ in range(settings.faults)]
+    plan = [_draw_fault(choice, names, settings.faults_s) for _ in range(settings.faults)]
     for _ in range(settings.changes):
-        plan.append(_draw(choice, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_FAULTS_S))
+        plan.append(_draw_fault(choice, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_FAULTS_S))
     return sorted(plan, key=attrgetter('at_s'))
 
 
-def _draw(choice: random.Random, names: Sequence[str], until_s: float) -> Fault:
+def _draw_fault(choice: random.Random, names: Sequence[str], until_s: float) -> Fault:
     return Fault(
         choice.choice(names),
         choice.uniform(0.5, until_s),
