--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -12,7 +12,7 @@
 from .system import System
 
 # How long a worker is away that starts again, in seconds.
-_DOWN_S = (0.02, 0.8)
+_DOWNTIME_RANGE_S = (0.02, 0.8)
 # Names of the steps at which every instance loses power.
 _STEPS = (
     'kv-txn jobs',
@@ -248,7 +248,7 @@
     workers = system.deployment.workers
     for worker in choice.sample(workers, choice.randint(1, len(workers))):
         for _ in range(choice.choice((1, 2))):
-            await worker.start_again(choice.uniform(*_DOWN_S))
+            await worker.start_again(choice.uniform(*_DOWNTIME_RANGE_S))
 
 
 def _owner_or_any(system: System, choice: random.Random) -> str:
