--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -14,7 +14,7 @@
 # How long a worker is away that starts again, in seconds.
 _DOWNTIME_RANGE_S = (0.02, 0.8)
 # Names of the steps at which every instance loses power.
-_STEPS = (
+_POWER_LOSS_STEPS = (
     'kv-txn jobs',
     'kv-txn cancel',
     'kv-txn owner',
@@ -56,7 +56,7 @@
 @register
 async def kill_all_at_step(system: System, fault: Fault, choice: random.Random) -> None:
     """Kill every instance right before or after a step is carried out."""
-    step = choice.choice(_STEPS)
+    step = choice.choice(_POWER_LOSS_STEPS)
     if await system.wait_for_step(step, is_done=choice.choice((False, True)), wait_s=_STEP_WAIT_S):
         await system.restart(system.deployment.names, choice.uniform(0.0, 1.0))
 
