--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -37,7 +37,7 @@
 _SERIES = (1, 1, 2, 4)
 _SERIES_GAP_S = (0.05, 0.8)
 # Longest wait for such a step to come, in seconds.
-_STEP_WAIT_S = 4.0
+_STEP_TIMEOUT_S = 4.0
 
 
 @register
@@ -57,7 +57,7 @@
 async def kill_all_at_step(system: System, fault: Fault, choice: random.Random) -> None:
     """Kill every instance right before or after a step is carried out."""
     step = choice.choice(_POWER_LOSS_STEPS)
-    if await system.wait_for_step(step, is_done=choice.choice((False, True)), wait_s=_STEP_WAIT_S):
+    if await system.wait_for_step(step, is_done=choice.choice((False, True)), wait_s=_STEP_TIMEOUT_S):
         await system.restart(system.deployment.names, choice.uniform(0.0, 1.0))
 
 
