--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -34,7 +34,7 @@
 # How many routes a change adds, how many changes come in series, and what lies
 # between two of them, in seconds.
 _GROWTH = (300, 2_500)
-_SERIES = (1, 1, 2, 4)
+_BURST_SIZES = (1, 1, 2, 4)
 _SERIES_GAP_S = (0.05, 0.8)
 # Longest wait for such a step to come, in seconds.
 _STEP_TIMEOUT_S = 4.0
@@ -117,7 +117,7 @@
 @register
 async def grow_configuration(system: System, fault: Fault, choice: random.Random) -> None:
     """Add routes to the configuration, at times by several changes in quick succession."""
-    for _ in range(choice.choice(_SERIES)):
+    for _ in range(choice.choice(_BURST_SIZES)):
         system.operator.add_routes(choice.randint(*_GROWTH))
         await anyio.sleep(choice.uniform(*_SERIES_GAP_S))
 
