--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -35,7 +35,7 @@
 # between two of them, in seconds.
 _GROWTH = (300, 2_500)
 _BURST_SIZES = (1, 1, 2, 4)
-_SERIES_GAP_S = (0.05, 0.8)
+_BURST_INTERVAL_RANGE_S = (0.05, 0.8)
 # Longest wait for such a step to come, in seconds.
 _STEP_TIMEOUT_S = 4.0
 
@@ -119,7 +119,7 @@
     """Add routes to the configuration, at times by several changes in quick succession."""
     for _ in range(choice.choice(_BURST_SIZES)):
         system.operator.add_routes(choice.randint(*_GROWTH))
-        await anyio.sleep(choice.uniform(*_SERIES_GAP_S))
+        await anyio.sleep(choice.uniform(*_BURST_INTERVAL_RANGE_S))
 
 
 @register
