--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -33,7 +33,7 @@
 _SLOW_RATES = (100_000, 600_000)
 # How many routes a change adds, how many changes come in series, and what lies
 # between two of them, in seconds.
-_GROWTH = (300, 2_500)
+_ADDED_ROUTES_RANGE = (300, 2_500)
 _BURST_SIZES = (1, 1, 2, 4)
 _BURST_INTERVAL_RANGE_S = (0.05, 0.8)
 # Longest wait for such a step to come, in seconds.
@@ -118,7 +118,7 @@
 async def grow_configuration(system: System, fault: Fault, choice: random.Random) -> None:
     """Add routes to the configuration, at times by several changes in quick succession."""
     for _ in range(choice.choice(_BURST_SIZES)):
-        system.operator.add_routes(choice.randint(*_GROWTH))
+        system.operator.add_routes(choice.randint(*_ADDED_ROUTES_RANGE))
         await anyio.sleep(choice.uniform(*_BURST_INTERVAL_RANGE_S))
 
 
