--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -30,7 +30,7 @@
 # have had time to give orders.
 _TAKEOVER_S = 4.5
 # Rates of a link that is slow for a while, in bytes per second.
-_SLOW_RATES = (100_000, 600_000)
+_SLOW_RATE_RANGE = (100_000, 600_000)
 # How many routes a change adds, how many changes come in series, and what lies
 # between two of them, in seconds.
 _ADDED_ROUTES_RANGE = (300, 2_500)
@@ -127,7 +127,7 @@
     """Let an instance's link carry less for a while."""
     name = choice.choice(system.deployment.names)
     with system.disturbing(name):
-        system.links(name).set_rate(choice.uniform(*_SLOW_RATES))
+        system.links(name).set_rate(choice.uniform(*_SLOW_RATE_RANGE))
         await anyio.sleep(fault.for_s)
         system.links(name).set_rate(system.rate_by_name[name])
 
