--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -28,7 +28,7 @@
 )
 # Time in which an owner's lease of 2 s ends, another has taken over, and both
 # have had time to give orders.
-_TAKEOVER_S = 4.5
+_TAKEOVER_TIMEOUT_S = 4.5
 # Rates of a link that is slow for a while, in bytes per second.
 _SLOW_RATE_RANGE = (100_000, 600_000)
 # How many routes a change adds, how many changes come in series, and what lies
@@ -81,7 +81,7 @@
     proxy = system.store_proxy_by_name[owner]
     with system.disturbing(owner):
         proxy.drops_all = True
-        await anyio.sleep(_TAKEOVER_S)
+        await anyio.sleep(_TAKEOVER_TIMEOUT_S)
         proxy.drops_all = False
         await proxy.reset()
 
