--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -194,7 +194,7 @@
     """Harm the connections of a proxy and refuse new ones for a while."""
     with system.disturbing(name):
         proxy.refuses = True
-        await _harm(proxy, choice)
+        await _disrupt(proxy, choice)
         await anyio.sleep(fault.for_s)
         proxy.refuses = False
 
@@ -205,7 +205,7 @@
     with system.disturbing():
         async with anyio.create_task_group() as tasks:
             for proxy in system.proxies:
-                tasks.start_soon(_harm, proxy, choice)
+                tasks.start_soon(_disrupt, proxy, choice)
 
 
 @register
@@ -222,7 +222,7 @@
     """Cut a worker off, in one of the ways."""
     proxy = choice.choice(system.worker_proxies)
     proxy.refuses = True
-    await _harm(proxy, choice)
+    await _disrupt(proxy, choice)
     await anyio.sleep(fault.for_s)
     proxy.refuses = False
 
@@ -258,7 +258,7 @@
     return owner if owner and is_owner_meant else choice.choice(system.deployment.names)
 
 
-async def _harm(proxy: FaultProxy, choice: random.Random) -> None:
+async def _disrupt(proxy: FaultProxy, choice: random.Random) -> None:
     """Silence, cut one way or reset the open connections of a proxy."""
     match choice.randrange(3):
         case 0:
