--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -17,7 +17,7 @@
 from .plans import draw_plan, Fault, inject
 from .probing import probe_forever
 from .ready_work import watch_ready_work
-from .reports import KEPT_FOLDER, new_folder, origin_now, write_report
+from .reports import new_folder, origin_now, RESULTS_FOLDER, write_report
 from .settings import SoakSettings
 from .system import System
 from .versions import OTHER_KEY
@@ -93,7 +93,7 @@
     report: str = ''
 
 
-def run_soak(settings: SoakSettings, folder: Path | None = None, kept: Path = KEPT_FOLDER) -> SoakResult:
+def run_soak(settings: SoakSettings, folder: Path | None = None, kept: Path = RESULTS_FOLDER) -> SoakResult:
     """Run one soak.
 
     Parameters
--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -18,7 +18,7 @@
 
 REPORT_NAME = 'report.json'
 # Where logs and reports are kept unless a folder is named, below the working directory.
-KEPT_FOLDER = Path('results', 'soak')
+RESULTS_FOLDER = Path('results', 'soak')
 # Soaks that are kept there: the latest.
 _MOST_KEPT = 20
 # A job, or a task of it.
@@ -39,7 +39,7 @@
     return Origin(time.monotonic(), time.time())
 
 
-def new_folder(seed: int, kept: Path = KEPT_FOLDER) -> Path:
+def new_folder(seed: int, kept: Path = RESULTS_FOLDER) -> Path:
     """Make a folder for a soak, and remove the oldest of those that are kept."""
     kept.mkdir(parents=True, exist_ok=True)
     by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_changed_s)
