--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -20,7 +20,7 @@
 # Where logs and reports are kept unless a folder is named, below the working directory.
 RESULTS_FOLDER = Path('results', 'soak')
 # Soaks that are kept there: the latest.
-_MOST_KEPT = 20
+_MAX_KEPT_FOLDERS = 20
 # A job, or a task of it.
 _NAME = re.compile(r'\b[0-9a-f]{16}(?:\.\d+\.\d+\.\d+)?\b')
 # Digits after the point of times in a timeline.
@@ -43,7 +43,7 @@
     """Make a folder for a soak, and remove the oldest of those that are kept."""
     kept.mkdir(parents=True, exist_ok=True)
     by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_changed_s)
-    for path in by_age[: max(0, len(by_age) + 1 - _MOST_KEPT)]:
+    for path in by_age[: max(0, len(by_age) + 1 - _MAX_KEPT_FOLDERS)]:
         shutil.rmtree(path, ignore_errors=True)
     return Path(tempfile.mkdtemp(prefix=f'{seed}-', dir=kept))
 
