--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -22,7 +22,7 @@
 # Soaks that are kept there: the latest.
 _MAX_KEPT_FOLDERS = 20
 # A job, or a task of it.
-_NAME = re.compile(r'\b[0-9a-f]{16}(?:\.\d+\.\d+\.\d+)?\b')
+_ID_PATTERN = re.compile(r'\b[0-9a-f]{16}(?:\.\d+\.\d+\.\d+)?\b')
 # Digits after the point of times in a timeline.
 _DIGITS = 3
 
@@ -80,7 +80,7 @@
     origin : Origin
         When faults began to be injected.
     """
-    names = {name for each in violations for name in _NAME.findall(each.detail)}
+    names = {name for each in violations for name in _ID_PATTERN.findall(each.detail)}
     report = {
         'settings': settings._asdict(),
         'begun_wall_s': origin.wall_s,
