--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -24,7 +24,7 @@
 # A job, or a task of it.
 _ID_PATTERN = re.compile(r'\b[0-9a-f]{16}(?:\.\d+\.\d+\.\d+)?\b')
 # Digits after the point of times in a timeline.
-_DIGITS = 3
+_TIME_DECIMALS = 3
 
 
 class Origin(NamedTuple):
