--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -42,13 +42,13 @@
 def new_folder(seed: int, kept: Path = RESULTS_FOLDER) -> Path:
     """Make a folder for a soak, and remove the oldest of those that are kept."""
     kept.mkdir(parents=True, exist_ok=True)
-    by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_changed_s)
+    by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_modified_s)
     for path in by_age[: max(0, len(by_age) + 1 - _MAX_KEPT_FOLDERS)]:
         shutil.rmtree(path, ignore_errors=True)
     return Path(tempfile.mkdtemp(prefix=f'{seed}-', dir=kept))
 
 
-def _changed_s(path: Path) -> float:
+def _modified_s(path: Path) -> float:
     # Soaks that run beside this one remove theirs.
     with suppress(FileNotFoundError):
         return path.stat().st_mtime
