--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -96,14 +96,14 @@
 def timeline(names: Iterable[str], workers: Iterable[WorkerStandIn], origin: Origin) -> Iterator[str]:
     """Yield starts, ends and notes of ends of some jobs or tasks on every worker, by time."""
     wanted = frozenset(names)
-    found = [each for worker in workers for each in _happened(worker)]
+    found = [each for worker in workers for each in _worker_events(worker)]
     for at_s, task, text in sorted(found, key=itemgetter(0)):
         if wanted & {task, task.partition('.')[0]}:
             since_s = at_s - origin.steady_s
             yield f'{since_s:.{_DIGITS}f} s ({origin.wall_s + since_s:.{_DIGITS}f}) {text}'
 
 
-def _happened(worker: WorkerStandIn) -> Iterator[tuple[float, str, str]]:
+def _worker_events(worker: WorkerStandIn) -> Iterator[tuple[float, str, str]]:
     for start in worker.starts:
         where = _where(start.worker, start.incarnation, start.task, start.run)
         yield start.at_s, start.task, f'{where} started, fence {start.fence}'
