--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -105,14 +105,14 @@
 
 def _worker_events(worker: WorkerStandIn) -> Iterator[tuple[float, str, str]]:
     for start in worker.starts:
-        where = _where(start.worker, start.incarnation, start.task, start.run)
+        where = _run_label(start.worker, start.incarnation, start.task, start.run)
         yield start.at_s, start.task, f'{where} started, fence {start.fence}'
     for end in worker.ends:
-        yield end.at_s, end.task, f'{_where(end.worker, end.incarnation, end.task, end.run)} ended, {end.how}'
+        yield end.at_s, end.task, f'{_run_label(end.worker, end.incarnation, end.task, end.run)} ended, {end.how}'
     for noted, at_s in worker.noted.items():
-        where = _where(noted.worker, noted.incarnation, noted.task, noted.run)
+        where = _run_label(noted.worker, noted.incarnation, noted.task, noted.run)
         yield at_s, noted.task, f'{where} noted as ended'
 
 
-def _where(worker: str, incarnation: int, task: str, run: int) -> str:
+def _run_label(worker: str, incarnation: int, task: str, run: int) -> str:
     return f'{worker} incarnation {incarnation}: {task} run {run}'
