--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -74,7 +74,7 @@
         # How often this process lagged.
         self.lags = 0
         self._incarnations = itertools.count()
-        self._busy: set[str] = set()
+        self._restarting: set[str] = set()
 
     @property
     def store(self) -> StoreStandIn:
@@ -129,10 +129,10 @@
 
     async def restart(self, names: Sequence[str], after_s: float) -> None:
         """Kill instances and start them again; those that another fault holds are left out."""
-        mine = [name for name in names if name not in self._busy]
+        mine = [name for name in names if name not in self._restarting]
         if not mine:
             return
-        self._busy.update(mine)
+        self._restarting.update(mine)
         with self.disturbing(*mine):
             for name in mine:
                 if name in self.deployment.running_names:
@@ -140,20 +140,20 @@
             await anyio.sleep(after_s)
             for name in mine:
                 self.deployment.launch(name)
-        self._busy.difference_update(mine)
+        self._restarting.difference_update(mine)
 
     async def stop_and_start(self, name: str) -> None:
         """Ask an instance to stop; start it again once it has."""
-        if name in self._busy or name not in self.deployment.running_names:
+        if name in self._restarting or name not in self.deployment.running_names:
             return
-        self._busy.add(name)
+        self._restarting.add(name)
         with self.disturbing(name):
             self.deployment.resume(name)
             was_ready = await self._is_ready(name)
             self.deployment.terminate(name)
             status = await self.deployment.wait_stopped(name)
             self.deployment.launch(name)
-        self._busy.discard(name)
+        self._restarting.discard(name)
         # One that has hardly been started knows of no signals yet.
         if status and (was_ready or status != -signal.SIGTERM):
             self.exits.append(f'{name}, asked to stop: status {status}')
@@ -177,7 +177,7 @@
         """Start daemons again that end by themselves, and note it, until cancelled."""
         while True:
             await anyio.sleep(_WATCH_EVERY_S)
-            for name in self.deployment.ended_by_themselves(self._busy):
+            for name in self.deployment.ended_by_themselves(self._restarting):
                 self.exits.append(name)
                 with self.disturbing(name):
                     self.deployment.launch(name)
