--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -129,18 +129,18 @@
 
     async def restart(self, names: Sequence[str], after_s: float) -> None:
         """Kill instances and start them again; those that another fault holds are left out."""
-        mine = [name for name in names if name not in self._restarting]
-        if not mine:
+        available = [name for name in names if name not in self._restarting]
+        if not available:
             return
-        self._restarting.update(mine)
-        with self.disturbing(*mine):
-            for name in mine:
+        self._restarting.update(available)
+        with self.disturbing(*available):
+            for name in available:
                 if name in self.deployment.running_names:
                     self.deployment.kill(name)
             await anyio.sleep(after_s)
-            for name in mine:
+            for name in available:
                 self.deployment.launch(name)
-        self._restarting.difference_update(mine)
+        self._restarting.difference_update(available)
 
     async def stop_and_start(self, name: str) -> None:
         """Ask an instance to stop; start it again once it has."""
