--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -23,7 +23,7 @@
 from .versions import Operator
 
 # How often daemons are looked at, in seconds.
-_WATCH_EVERY_S = 0.1
+_WATCH_INTERVAL_S = 0.1
 # A lag of this process that counts as a slow store, in seconds.
 _LAG_S = 0.2
 # How long an instance that is to stop may take to say that it is ready, in seconds.
@@ -176,7 +176,7 @@
     async def watch_processes(self) -> None:
         """Start daemons again that end by themselves, and note it, until cancelled."""
         while True:
-            await anyio.sleep(_WATCH_EVERY_S)
+            await anyio.sleep(_WATCH_INTERVAL_S)
             for name in self.deployment.ended_by_themselves(self._restarting):
                 self.exits.append(name)
                 with self.disturbing(name):
@@ -186,8 +186,8 @@
         """Count a lag of this process as a slow store, until cancelled."""
         while True:
             begun_s = time.monotonic()
-            await anyio.sleep(_WATCH_EVERY_S)
-            if time.monotonic() - begun_s > _WATCH_EVERY_S + _LAG_S:
+            await anyio.sleep(_WATCH_INTERVAL_S)
+            if time.monotonic() - begun_s > _WATCH_INTERVAL_S + _LAG_S:
                 self.lags += 1
                 with self.disturbing():
                     await anyio.sleep(0)
