--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -25,7 +25,7 @@
 # How often daemons are looked at, in seconds.
 _WATCH_INTERVAL_S = 0.1
 # A lag of this process that counts as a slow store, in seconds.
-_LAG_S = 0.2
+_LAG_THRESHOLD_S = 0.2
 # How long an instance that is to stop may take to say that it is ready, in seconds.
 _READY_TIMEOUT_S = 0.1
 # The daemon, its messages led through the proxies.
@@ -187,7 +187,7 @@
         while True:
             begun_s = time.monotonic()
             await anyio.sleep(_WATCH_INTERVAL_S)
-            if time.monotonic() - begun_s > _WATCH_INTERVAL_S + _LAG_S:
+            if time.monotonic() - begun_s > _WATCH_INTERVAL_S + _LAG_THRESHOLD_S:
                 self.lags += 1
                 with self.disturbing():
                     await anyio.sleep(0)
