--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -161,7 +161,7 @@
         await anyio.sleep(_SETTLE_AFTER_FAULTS_S)
         states = await _wait_for_jobs(system, submissions, settings.settle_s)
     violations = [
-        *(Violation('no process ends by itself', name) for name in system.exits),
+        *(Violation('no process ends by itself', name) for name in system.unexpected_exits),
         *(Violation('an instance becomes ready', name) for name in unready),
         *duplicate_runs(system.deployment.workers),
         *await _find_still_running(system, states),
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -70,7 +70,7 @@
             for name, rate in self.rate_by_name.items()
         }
         # Instances whose daemons ended by themselves.
-        self.exits: list[str] = []
+        self.unexpected_exits: list[str] = []
         # How often this process lagged.
         self.lags = 0
         self._incarnations = itertools.count()
@@ -156,7 +156,7 @@
         self._restarting.discard(name)
         # One that has hardly been started knows of no signals yet.
         if status and (was_ready or status != -signal.SIGTERM):
-            self.exits.append(f'{name}, asked to stop: status {status}')
+            self.unexpected_exits.append(f'{name}, asked to stop: status {status}')
 
     async def _is_ready(self, name: str) -> bool:
         with anyio.move_on_after(_READY_TIMEOUT_S):
@@ -178,7 +178,7 @@
         while True:
             await anyio.sleep(_WATCH_INTERVAL_S)
             for name in self.deployment.ended_by_themselves(self._restarting):
-                self.exits.append(name)
+                self.unexpected_exits.append(name)
                 with self.disturbing(name):
                     self.deployment.launch(name)
 
