--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -100,7 +100,7 @@
     for at_s, task, text in sorted(found, key=itemgetter(0)):
         if wanted & {task, task.partition('.')[0]}:
             since_s = at_s - origin.steady_s
-            yield f'{since_s:.{_DIGITS}f} s ({origin.wall_s + since_s:.{_DIGITS}f}) {text}'
+            yield f'{since_s:.{_TIME_DECIMALS}f} s ({origin.wall_s + since_s:.{_TIME_DECIMALS}f}) {text}'
 
 
 def _worker_events(worker: WorkerStandIn) -> Iterator[tuple[float, str, str]]:
