--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -95,7 +95,7 @@
         address = await self.deployment.start_platform(tasks)
         self.operator.write()
         for name in self.deployment.names:
-            await self._place_proxies(name, address, tasks)
+            await self._start_proxies(name, address, tasks)
         for worker in self.deployment.workers:
             while not worker.address.port:
                 await anyio.sleep(0.01)
@@ -106,7 +106,7 @@
         with self.disturbing():
             await self.deployment.start_instances()
 
-    async def _place_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
+    async def _start_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
         """Place a proxy before the store for an instance, and one before the instance for its peers."""
         links = self.links(name)
         near_store = FaultProxy(store, requests_over=links.outgoing, answers_over=links.incoming)
