--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -158,10 +158,10 @@
 
 
 async def _sample_forever(system: System, check: ReadyWorkCheck) -> None:
-    unexpected_exits = len(system.unexpected_exits)
+    exit_count = len(system.unexpected_exits)
     while True:
-        if len(system.unexpected_exits) > unexpected_exits:
-            unexpected_exits = len(system.unexpected_exits)
+        if len(system.unexpected_exits) > exit_count:
+            exit_count = len(system.unexpected_exits)
             check.record_disturbance(time.monotonic())
         check.sample(time.monotonic())
         await anyio.sleep(_SAMPLE_INTERVAL_S)
