--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -18,7 +18,7 @@
 from ..hosts import instance_host, proxy_host
 from ..platform import StoreStandIn, WorkerStandIn
 from ..proxy import FaultProxy, HostLinks, PeerProxy, SlowLink
-from .disturbances import DisturbanceTracker
+from .contact import DisturbanceTracker
 from .settings import SLOW_BYTES_PER_S, SoakSettings
 from .versions import Operator
 
