--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -1,4 +1,4 @@
-"""Runs one soak: callers hand jobs in while faults come and go."""
+"""Runs one soak test: callers submit jobs while faults are injected."""
 
 import random
 import shutil
@@ -33,52 +33,52 @@
     wrong_final_states,
 )
 
-# Times between a caller's jobs, and between its tries of one, in seconds.
+# Mean time between a caller's jobs, and the delay before each attempt to submit one, in seconds.
 _MEAN_SUBMIT_INTERVAL_S = 0.4
 _RETRY_DELAYS_S = (0.0, 0.2, 0.4, 0.8, 1.2)
 _CANCELLED_SHARE = 0.15
 _CANCEL_RETRY_S = 0.3
 _WORK_S = (0.2, 1.5)
-# Work of tasks whose job is cancelled: so long that what is not stopped is seen.
+# Duration of tasks whose job is cancelled: long enough that a task that was not stopped is detected.
 _CANCELLED_WORK_S = 60.0
 _ESTIMATE_MS = 800
 # Longest time from the last fault until an instance is ready, in seconds: a start
-# takes one, a document of a megabyte over a slow link two.
+# takes 1 s, and a document of a megabyte takes 2 s over a slow link.
 _READY_TIMEOUT_S = 8.0
-# How long instances are left alone after the last fault, in seconds: until each
-# is in touch, and has been asked with its last version.
+# Time without faults after the last one, in seconds: long enough for every instance
+# to become stable and to be probed for its last version.
 _SETTLE_AFTER_FAULTS_S = 4.0
-# Traffic goes on for so long after the last fault has begun, in seconds.
+# Time for which callers keep submitting jobs after the last fault has begun, in seconds.
 _SUBMIT_AFTER_FAULTS_S = 3.0
 _FINAL_STATES = ENDED_STATES | {'410'}
-# A start may be carried out this late, in seconds: as long as the lease that it carries.
+# Longest delay with which a worker may execute a start, in seconds: the lease that the start carries.
 _MAX_START_DELAY_S = 2.0
-# Longest time from a late start to its end, in seconds: 3 after which it counts, 3
-# as for a cancellation, 0.9 for the stop.
+# Longest time from a late start to its end, in seconds: 3 until the run counts, 3 as
+# for a cancellation, and 0.9 for the stop.
 _LATE_STOP_TIMEOUT_S = 6.9
 
 
 class SoakResult(NamedTuple):
-    """What one soak found.
+    """Result of one soak.
 
     Parameters
     ----------
     seed : int
-        Its seed.
+        Seed of the soak.
     faults : tuple of Fault
-        What was injected.
+        Injected faults.
     submitted, accepted, refused : int
-        Jobs.
+        Numbers of jobs.
     versions : int
-        Versions of the configuration.
+        Number of versions of the configuration.
     checked : int
-        Answers of instances in touch that were held against them.
+        Number of answers of stable instances that were checked against these versions.
     lags : int
-        How often this process lagged, which hides what instances do.
+        How often this process lagged, during which the behaviour of instances is not observed.
     violations : tuple of Violation
-        Promises that were not kept.
+        Violated guarantees.
     report : str
-        What traces these, beside the logs of the daemons; empty when there are none.
+        Path of the report on the violations, next to the logs of the daemons; empty without violations.
     """
 
     seed: int
@@ -99,12 +99,12 @@
     Parameters
     ----------
     settings : SoakSettings
-        What it is run with.
+        Settings of the soak.
     folder : Path or None
-        Where the logs of the daemons stay; by default they stay only where
-        something went wrong, in a folder of their own.
+        Folder that keeps the logs of the daemons. By default they are kept only
+        if the soak fails or finds a violation, in a new folder below `kept`.
     kept : Path
-        Where such folders are, the latest of them.
+        Folder of these new folders, of which the latest are kept.
     """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -139,7 +139,7 @@
 
 
 def _start_monitoring(system: System, check: ConfigurationCheck, tasks: TaskGroup) -> None:
-    """Begin to look at the daemons."""
+    """Start the tasks that monitor and probe the daemons."""
     tasks.start_soon(system.watch_processes)
     tasks.start_soon(system.watch_lag)
     for name in system.deployment.names:
@@ -200,9 +200,9 @@
     choice: random.Random,
     settings: SoakSettings,
 ) -> None:
-    """Hand jobs in over kept connections until some time after the last fault."""
+    """Submit jobs over persistent connections until some time after the last fault."""
     caller = system.deployment.caller()
-    # Drawn apart, so that the other jobs of a seed stay what they are.
+    # A separate generator, so that the other jobs of a seed do not change.
     crashes = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
     with anyio.move_on_after(settings.faults_s + _SUBMIT_AFTER_FAULTS_S):
         while True:
@@ -237,7 +237,7 @@
 
 
 async def _cancel(caller: Caller, path: str) -> None:
-    """Cancel a job, again and again until that is acknowledged."""
+    """Cancel a job, retrying until the cancellation is acknowledged."""
     while True:
         reply = await caller.call('DELETE', path)
         if reply is not None and reply.status in {200, 410}:
@@ -246,12 +246,12 @@
 
 
 def _crowded_steps(choice: random.Random) -> list[dict[str, Any]]:
-    """Return a step of more tasks than run at a time."""
+    """Return a step with more tasks than can run at the same time."""
     return [{'Count': choice.randint(4, 10), 'Cpu': 4000, 'MemMb': 16_000, 'Gpu': 4, 'EstimateMs': _ESTIMATE_MS}]
 
 
 async def _wait_for_jobs(system: System, submissions: list[Submission], settle_s: float) -> dict[str, str]:
-    """Ask for the state of every accepted job until all have ended, or for so long."""
+    """Poll the state of every accepted job until all have ended or the time is over."""
     caller = system.deployment.caller()
     states: dict[str, str] = {}
     waiting = {each.job_id: each.queue for each in submissions if each.is_accepted}
@@ -266,7 +266,7 @@
 
 
 async def _find_still_running(system: System, states: dict[str, str]) -> list[Violation]:
-    """Return what runs of ended jobs, and still does after the time in which it must be found."""
+    """Return tasks of ended jobs that still run after the time within which they must be stopped."""
     await anyio.sleep(_MAX_START_DELAY_S)
     deadline_s = time.monotonic() + _LATE_STOP_TIMEOUT_S
     while found := list(still_running(states, system.deployment.workers)):
@@ -277,13 +277,13 @@
 
 
 def _done_tasks(system: System) -> dict[str, int]:
-    """Return how many tasks of each job ended well."""
+    """Return the number of successful tasks by job."""
     done = {end.task for worker in system.deployment.workers for end in worker.ends if end.how == 'done'}
     return Counter(task.split('.')[0] for task in done)
 
 
 async def _find_wrong_keys(system: System) -> list[Violation]:
-    """Ask every instance with both keys, long after the last change of them."""
+    """Check both keys at every instance, long after they last changed."""
     found = []
     for name in system.deployment.names:
         caller = system.deployment.caller(name)
