--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected from outside the daemons; each registers itself."""
+"""Faults that are injected from outside the daemons, registered by the name of their function."""
 
 import random
 import time
@@ -11,9 +11,9 @@
 from .plans import Fault, register
 from .system import System
 
-# How long a worker is away that starts again, in seconds.
+# Downtime of a worker that restarts, in seconds.
 _DOWNTIME_RANGE_S = (0.02, 0.8)
-# Names of the steps at which every instance loses power.
+# Steps right before or after which every instance is killed, as in a power loss.
 _POWER_LOSS_STEPS = (
     'kv-txn jobs',
     'kv-txn cancel',
@@ -26,36 +26,36 @@
     '/run-stop',
     '/hold',
 )
-# Time in which an owner's lease of 2 s ends, another has taken over, and both
-# have had time to give orders.
+# Time in which an owner's lease of 2 s ends, another instance takes over, and both
+# can send orders, in seconds.
 _TAKEOVER_TIMEOUT_S = 4.5
-# Rates of a link that is slow for a while, in bytes per second.
+# Range of rates of a temporarily slow link, in bytes per second.
 _SLOW_RATE_RANGE = (100_000, 600_000)
-# How many routes a change adds, how many changes come in series, and what lies
-# between two of them, in seconds.
+# Range of the number of routes that a change adds, numbers of changes in a burst, and
+# range of the pause after each of them, in seconds.
 _ADDED_ROUTES_RANGE = (300, 2_500)
 _BURST_SIZES = (1, 1, 2, 4)
 _BURST_INTERVAL_RANGE_S = (0.05, 0.8)
-# Longest wait for such a step to come, in seconds.
+# Longest wait for one of the power loss steps, in seconds.
 _STEP_TIMEOUT_S = 4.0
 
 
 @register
 async def kill_instance(system: System, fault: Fault, choice: random.Random) -> None:
-    """Kill an instance, the owner in half of all cases; start it again later."""
+    """Kill an instance, deliberately the owner in half of all cases, and restart it later."""
     name = _owner_or_any(system, choice)
     await system.restart([name], fault.for_s)
 
 
 @register
 async def kill_all(system: System, fault: Fault, choice: random.Random) -> None:
-    """Kill every instance and start them again."""
+    """Kill every instance and restart them."""
     await system.restart(system.deployment.names, choice.uniform(0.0, 1.0))
 
 
 @register
 async def kill_all_at_step(system: System, fault: Fault, choice: random.Random) -> None:
-    """Kill every instance right before or after a step is carried out."""
+    """Kill every instance right before or after a step is executed, and restart them."""
     step = choice.choice(_POWER_LOSS_STEPS)
     if await system.wait_for_step(step, is_done=choice.choice((False, True)), wait_s=_STEP_TIMEOUT_S):
         await system.restart(system.deployment.names, choice.uniform(0.0, 1.0))
@@ -63,7 +63,7 @@
 
 @register
 async def pause_instance(system: System, fault: Fault, choice: random.Random) -> None:
-    """Suspend an instance, the owner in half of all cases."""
+    """Suspend an instance, deliberately the owner in half of all cases."""
     name = _owner_or_any(system, choice)
     if name not in system.deployment.running_names:
         return
@@ -76,7 +76,7 @@
 
 @register
 async def cut_owner_from_store(system: System, fault: Fault, choice: random.Random) -> None:
-    """Silence what passes between the owner and the store until another has taken the pool over."""
+    """Drop all traffic between the owner and the store until another instance has taken over."""
     owner = await system.deployment.owner()
     proxy = system.store_proxy_by_name[owner]
     with system.disturbing(owner):
@@ -88,7 +88,7 @@
 
 @register
 async def leave_owner_a_worker(system: System, fault: Fault, choice: random.Random) -> None:
-    """Cut the owner off from the store, and a worker from its successor but not from it."""
+    """Cut the owner off from the store, and let a worker accept the owner's orders but not its successor's."""
     worker = choice.choice(system.deployment.workers)
     fences = [start.fence for each in system.deployment.workers for start in each.starts]
     worker.faults.highest_fence = fence_of(epoch_of(max(fences, default=0)) + 1, 0) - 1
@@ -98,25 +98,25 @@
 
 @register
 async def stop_instance(system: System, fault: Fault, choice: random.Random) -> None:
-    """Ask an instance to stop, and start it again once it has."""
+    """Terminate an instance and restart it once it has stopped."""
     await system.stop_and_start(choice.choice(system.deployment.names))
 
 
 @register
 async def signal_settings(system: System, fault: Fault, choice: random.Random) -> None:
-    """Tell every instance that its settings changed."""
+    """Signal every instance to reload its settings."""
     system.signal_settings()
 
 
 @register
 async def change_keys(system: System, fault: Fault, choice: random.Random) -> None:
-    """Give the account another key beside its own, or take it away."""
+    """Add a second key to the account, or remove it."""
     system.operator.change_keys()
 
 
 @register
 async def grow_configuration(system: System, fault: Fault, choice: random.Random) -> None:
-    """Add routes to the configuration, at times by several changes in quick succession."""
+    """Add routes to the configuration, in some cases by several changes in quick succession."""
     for _ in range(choice.choice(_BURST_SIZES)):
         system.operator.add_routes(choice.randint(*_ADDED_ROUTES_RANGE))
         await anyio.sleep(choice.uniform(*_BURST_INTERVAL_RANGE_S))
@@ -124,7 +124,7 @@
 
 @register
 async def slow_link(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let an instance's link carry less for a while."""
+    """Temporarily reduce the rate of an instance's link."""
     name = choice.choice(system.deployment.names)
     with system.disturbing(name):
         system.links(name).set_rate(choice.uniform(*_SLOW_RATE_RANGE))
@@ -134,7 +134,7 @@
 
 @register
 async def silence_store(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let the store answer nobody."""
+    """Let the store answer no calls."""
     with system.disturbing():
         system.store.faults.is_silent = True
         await anyio.sleep(fault.for_s)
@@ -152,7 +152,7 @@
 
 @register
 async def slow_store(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let the store take its time."""
+    """Delay the answers of the store."""
     with system.disturbing():
         system.store.faults.delay_s = choice.uniform(0.05, 0.3)
         await anyio.sleep(fault.for_s)
@@ -161,7 +161,7 @@
 
 @register
 async def lose_store_answers(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let answers to writes be lost, some of them carried out late."""
+    """Lose answers to writes, in some cases with late execution of these writes."""
     faults = system.store.faults
     with system.disturbing():
         faults.lost_share, faults.late_s = choice.uniform(0.2, 0.8), choice.choice((0.0, 1.5))
@@ -171,27 +171,30 @@
 
 @register
 async def forget_history(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let the store forget what has changed."""
+    """Let the store discard its history of changes."""
     system.disturbances.record_history_loss(time.monotonic())
     system.store.forget_history()
 
 
 @register
 async def cut_instance_from_store(system: System, fault: Fault, choice: random.Random) -> None:
-    """Cut an instance's connections to the store: silent, one way or reset."""
+    """Silence, cut one way or reset an instance's connections to the store, and refuse new ones."""
     name = choice.choice(system.deployment.names)
     await _cut_off(system, name, system.store_proxy_by_name[name], fault, choice)
 
 
 @register
 async def cut_instance_from_peers(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let no message of its peers reach an instance, the owner in half of all cases; it may still ask them."""
+    """Block messages from peers to an instance, deliberately the owner in half of all cases.
+
+    The instance itself can still call its peers.
+    """
     name = _owner_or_any(system, choice)
     await _cut_off(system, name, system.peer_proxy_by_name[name], fault, choice)
 
 
 async def _cut_off(system: System, name: str, proxy: FaultProxy, fault: Fault, choice: random.Random) -> None:
-    """Harm the connections of a proxy and refuse new ones for a while."""
+    """Disrupt the connections of a proxy and temporarily refuse new ones."""
     with system.disturbing(name):
         proxy.refuses = True
         await _disrupt(proxy, choice)
@@ -201,7 +204,11 @@
 
 @register
 async def harm_connections(system: System, fault: Fault, choice: random.Random) -> None:
-    """Silence or reset every open connection to the store, to workers and of instances; new ones work."""
+    """Silence, cut one way or reset all open connections of every proxy.
+
+    These are the connections to the store, to workers and between instances. New
+    connections are not affected.
+    """
     with system.disturbing():
         async with anyio.create_task_group() as tasks:
             for proxy in system.proxies:
@@ -210,7 +217,7 @@
 
 @register
 async def delay_worker(system: System, fault: Fault, choice: random.Random) -> None:
-    """Delay all that passes between the instances and a worker."""
+    """Delay all traffic between the instances and a worker."""
     proxy = choice.choice(system.worker_proxies)
     proxy.delay_s = choice.uniform(0.05, 0.4)
     await anyio.sleep(fault.for_s)
@@ -219,7 +226,7 @@
 
 @register
 async def cut_worker(system: System, fault: Fault, choice: random.Random) -> None:
-    """Cut a worker off, in one of the ways."""
+    """Silence, cut one way or reset connections to a worker, and refuse new ones."""
     proxy = choice.choice(system.worker_proxies)
     proxy.refuses = True
     await _disrupt(proxy, choice)
@@ -229,7 +236,7 @@
 
 @register
 async def late_orders(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let a worker leave orders unanswered and carry them out late."""
+    """Let a worker leave some orders unanswered and execute them late."""
     faults = choice.choice(system.deployment.workers).faults
     faults.lost_share, faults.late_s = 0.4, choice.uniform(0.5, 2.5)
     await anyio.sleep(fault.for_s)
@@ -238,13 +245,13 @@
 
 @register
 async def crash_worker(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let a worker lose all that it runs and come back as another incarnation."""
+    """Crash a worker, which loses its runs and returns as a new incarnation."""
     system.crash_worker(choice.choice(system.deployment.workers))
 
 
 @register
 async def restart_worker(system: System, fault: Fault, choice: random.Random) -> None:
-    """Let workers crash and come back under the ids that they had, in half of all cases again at once."""
+    """Crash workers that return under their previous ids; half of them crash a second time right away."""
     workers = system.deployment.workers
     for worker in choice.sample(workers, choice.randint(1, len(workers))):
         for _ in range(choice.choice((1, 2))):
@@ -252,7 +259,7 @@
 
 
 def _owner_or_any(system: System, choice: random.Random) -> str:
-    """Return the owner in half of all cases, else any instance."""
+    """Return the owner in half of all cases, otherwise a random instance."""
     owner = system.deployment.owner_now()
     is_owner_meant = choice.choice((False, True))
     return owner if owner and is_owner_meant else choice.choice(system.deployment.names)
