--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -1,17 +1,17 @@
-"""Whether every instance follows the configuration, held against answers to probes.
+"""Checks that every instance follows the configuration, from its answers to probes.
 
-An answer is held against what each version says. It must be what a version
-allows that is not older than
+Each answer is compared with the answers that the versions of the configuration
+prescribe. It must match a version that is not older than
 
-- the newest one that had to be in force when the request was sent, if its
-  instance was bound then (see `contact`); and
-- the oldest one that explains an earlier answer of the same incarnation of its process.
+- the newest version that had to be in force when the request was sent, if the instance
+  was held to the time bound then (see `contact`); and
+- the oldest version that matches an earlier answer of the same incarnation of the process.
 
-Versions that are newer than these are allowed up to the moment of the answer, so
-an instance that is ahead of a bound is never blamed. A request that is sent after
-an answer of the same incarnation is handled after it, so no slack is needed for the
-second. Requests that meet no answer, another incarnation or an instance without any
-configuration (503) tell nothing.
+Newer versions are allowed up to the moment of the answer, so an instance that applies
+a version before the bound is never reported. The second rule needs no tolerance,
+because a request that is sent after an answer of the same incarnation is also handled
+after it. Requests without an answer, answers of another incarnation and answers of an
+instance without any configuration (503) are inconclusive and ignored.
 """
 
 from collections import defaultdict
@@ -22,11 +22,11 @@
 from .versions import MALFORMED, NO_ACCESS, NO_ROUTE, Probe, Version
 from .violations import Violation
 
-# Until an acknowledged version is in force, in seconds, as the platform sets it;
-# longer where links are slow.
+# Longest time until an acknowledged version is in force, in seconds: the bound that the
+# platform sets, and a longer one for soaks with slow links.
 APPLY_S = 2.0
 SLOW_APPLY_S = 3.0
-# By how much that bound grows while the store has forgotten its history.
+# Extension of the bound after the store has lost its history, in seconds.
 _HISTORY_LOSS_ALLOWANCE_S = 5.0
 _CONCLUSIVE = frozenset((MALFORMED, NO_ACCESS, NO_ROUTE))
 
@@ -37,17 +37,17 @@
     Parameters
     ----------
     name : str
-        The instance.
+        Name of the instance.
     incarnation : int
-        The incarnation of its process.
+        Incarnation of its process.
     probe : Probe
-        What was asked.
+        Probe that was sent.
     status : int
         Status of the answer.
     sent_s : float
-        When it was sent.
+        When the probe was sent, by the monotonic clock.
     wall_s : float
-        The same as the daemons log it.
+        The same time by the wall clock, as daemons log it.
     """
 
     name: str
@@ -59,32 +59,32 @@
 
 
 class ConfigurationCheck:
-    """Checks answers.
+    """Checks answers to probes against the versions of the configuration.
 
     Parameters
     ----------
     versions : sequence of Version
-        All that were written; it grows.
-    contact : Contact
-        Who is held to the bound.
+        Versions written so far; the caller extends it.
+    disturbances : DisturbanceTracker
+        Determines which instances are held to the bound.
     apply_s : float
-        Until an acknowledged version is in force.
+        Longest time until an acknowledged version is in force.
     """
 
     def __init__(self, versions: Sequence[Version], disturbances: DisturbanceTracker, apply_s: float) -> None:
         """Start without answers."""
         self.violations: list[Violation] = []
-        # Answers that had to be as a version of late says.
+        # Number of answers that were checked against the time bound.
         self.checked = 0
         self._versions = versions
         self._disturbances = disturbances
         self._apply_s = apply_s
-        # Number of the oldest version that an instance's incarnation may be at.
+        # Number of the oldest version that an incarnation may still use.
         self._floor_by_incarnation: dict[int, int] = defaultdict(int)
         self._reported: set[tuple[str, int]] = set()
 
     def due(self, now_s: float) -> Version:
-        """Return the newest version that has to be in force."""
+        """Return the newest version that must be in force."""
         bound_s = self._apply_s
         if not self._disturbances.is_store_stable(now_s):
             bound_s += _HISTORY_LOSS_ALLOWANCE_S
@@ -92,7 +92,7 @@
         return due[-1] if due else self._versions[0]
 
     def take(self, answer: Answer) -> None:
-        """Check an answer right after it came."""
+        """Check an answer; must be called right after it was received."""
         if answer.status not in _CONCLUSIVE:
             return
         due = 0
