--- a/packages/standins/dahliaarch_standins/soak/plans.py
+++ b/packages/standins/dahliaarch_standins/soak/plans.py
@@ -1,4 +1,4 @@
-"""Which faults come when in a soak, and the kinds that there are."""
+"""Random plans of faults, and the registry of the kinds of faults."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -10,26 +10,26 @@
 from .settings import CONFIGURATION_KINDS, SoakSettings
 from .system import System
 
-# How long a fault lasts, in seconds: around the owner's lease of 2 and a
-# worker's of 3.
+# Range of the duration of a fault, in seconds: it covers the owner's lease of 2 s and a
+# worker's lease of 3 s.
 _DURATION_RANGE_S = (0.3, 4.0)
-# Changes also come in this time after the last of the other faults, in seconds.
+# Time after the period of the other faults in which configuration changes may still begin, in seconds.
 _CHANGES_AFTER_FAULTS_S = 2.0
 
 
 class Fault(NamedTuple):
-    """One fault of a plan.
+    """A planned fault.
 
     Parameters
     ----------
     name : str
-        Its kind.
+        Kind of the fault.
     at_s : float
-        When it begins, seconds from the start.
+        Time from the start of the plan to its beginning, in seconds.
     for_s : float
-        How long it lasts.
+        Duration in seconds.
     seed : int
-        Seed of what else it chooses.
+        Seed of its other random choices.
     """
 
     name: str
@@ -43,13 +43,13 @@
 
 
 def register(injection: Injection) -> Injection:
-    """Add a kind of fault under the name of its function."""
+    """Register a kind of fault under the name of its function."""
     _INJECTION_BY_NAME[injection.__name__] = injection
     return injection
 
 
 def draw_plan(settings: SoakSettings) -> list[Fault]:
-    """Return faults that come in series and overlap, by time."""
+    """Return random faults, which may overlap, sorted by time."""
     choice = random.Random(settings.seed)
     names = settings.kinds or sorted(_INJECTION_BY_NAME)
     plan = [_draw_fault(choice, names, settings.faults_s) for _ in range(settings.faults)]
@@ -68,6 +68,6 @@
 
 
 async def inject(system: System, fault: Fault) -> None:
-    """Wait for a fault's time, and let it happen."""
+    """Wait until a fault is due and inject it."""
     await anyio.sleep(fault.at_s)
     await _INJECTION_BY_NAME[fault.name](system, fault, random.Random(fault.seed))
