--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -1,4 +1,4 @@
-"""Asks an instance again and again which version it follows."""
+"""Periodically probes an instance for the version of the configuration that it uses."""
 
 import random
 import time
@@ -8,14 +8,14 @@
 from .following import Answer, ConfigurationCheck
 from .system import System
 
-# Pause between two rounds of probes, in seconds.
+# Interval between two rounds of probes, in seconds.
 _PROBE_INTERVAL_S = 0.3
-# Longest wait for an answer, in seconds.
+# Timeout of a probe, in seconds.
 _ANSWER_TIMEOUT_S = 1.0
 
 
 async def probe_forever(system: System, check: ConfigurationCheck, name: str) -> None:
-    """Send probes to an instance and hand its answers over, until cancelled."""
+    """Send probes to an instance and check its answers until cancelled."""
     choice = random.Random(name)
     caller = system.deployment.caller(name)
     while True:
