--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -1,15 +1,15 @@
-"""Whether a ready job has nothing running beside idle capacity, from what the workers see.
+"""Checks that no ready job lacks running tasks while capacity is idle, as observed on the workers.
 
-A job counts while all of these hold, from look to look:
+A job counts as waiting while all of these hold in consecutive samples:
 
 - it was accepted and not cancelled, and may not be shown as failed;
-- nothing of it runs, nothing of it has crashed a worker of late, and a task's turn
-  has come;
-- free capacity holds that task, or its whole gang, twice;
-- less than half of the capacity is in use, that of workers which crashed of late
-  counted as used;
-- nothing has disturbed the system for a while: faults, daemons that ended by
-  themselves, and looks that came late, which hide what ran meanwhile.
+- none of its tasks runs, none has recently crashed a worker, and a task is ready to
+  start;
+- free capacity suffices for twice that task, or twice its whole gang;
+- less than half of the capacity is in use, where the capacity of workers that crashed
+  recently counts as used;
+- the system has been undisturbed for a while. Disturbances are faults, daemons that
+  exit by themselves, and late samples, since runs between the samples are not seen.
 """
 
 import json
@@ -30,19 +30,19 @@
 from .system import System
 from .violations import may_be_given_up, Submission, Violation
 
-# Longest time that a ready job may have nothing running, in seconds.
+# Longest time that a ready job may wait without a running task, in seconds.
 MAX_READY_WAIT_S = 3.0
-# Share of the capacity in use from which on it is not idle.
+# Utilization at and above which capacity does not count as idle.
 _MAX_IDLE_UTILIZATION = 0.5
-# Pause between two looks, and the longest after which they still tell what was between, in seconds.
+# Interval between two samples, and the longest gap that does not count as a disturbance, in seconds.
 _SAMPLE_INTERVAL_S = 0.1
 _MAX_SAMPLE_GAP_S = 0.5
-# Waits that are told of at most: one cause holds up many jobs.
+# Maximum number of reported waits: a single cause usually delays many jobs.
 _MAX_REPORTED_WAITS = 5
 
 
 class _Wait(NamedTuple):
-    """A time in which a ready job had nothing running."""
+    """A period in which a ready job had no running task."""
 
     job_id: str
     begin_s: float
@@ -50,25 +50,25 @@
 
     @property
     def length_s(self) -> float:
-        """How long it lasted, in seconds."""
+        """Duration in seconds."""
         return self.end_s - self.begin_s
 
 
 class ReadyWorkCheck:
-    """Looks at the workers again and again.
+    """Samples the workers periodically and records how long ready jobs wait.
 
     Parameters
     ----------
     submissions : sequence of Submission
-        What was handed in.
+        Submitted jobs.
     workers : sequence of WorkerStandIn
         The workers.
     now_s : float
-        When the last fault ended.
+        Time at which the last fault ended.
     """
 
     def __init__(self, submissions: Sequence[Submission], workers: Sequence[WorkerStandIn], now_s: float) -> None:
-        """Start with nothing seen."""
+        """Start without samples."""
         self._submissions = submissions
         self._demand_by_task: dict[str, Resources] = {}
         for submission in submissions:
@@ -81,11 +81,11 @@
         self._waits: list[_Wait] = []
 
     def record_disturbance(self, now_s: float) -> None:
-        """Note a disturbance that ends now."""
+        """Record a disturbance that ends now."""
         self._stable_since_s = max(self._stable_since_s, now_s)
 
     def sample(self, now_s: float) -> None:
-        """Take in what runs at this moment."""
+        """Take a sample of the workers."""
         if now_s - self._sampled_s > _MAX_SAMPLE_GAP_S:
             self.record_disturbance(now_s)
         is_stable = now_s - self._stable_since_s > QUIET_PERIOD_S
@@ -100,7 +100,7 @@
         self._sampled_s = now_s
 
     def violations(self, logs: Iterable[Path]) -> Iterator[Violation]:
-        """Yield the jobs that waited for too long, the longest first, with the last that an owner logged of it.
+        """Yield jobs that waited too long, longest first, each with its last step_waiting line.
 
         Parameters
         ----------
@@ -121,7 +121,7 @@
             yield Violation('a ready job does not wait beside idle capacity', detail)
 
     def _waiting(self, now_s: float) -> Iterator[str]:
-        """Yield the jobs that are ready and have nothing running beside idle capacity."""
+        """Yield ready jobs without a running task while capacity is idle."""
         crashed = {
             worker: {end.task for end in worker.ends if end.how == 'crashed' and now_s - end.at_s <= QUIET_PERIOD_S}
             for worker in self._workers
@@ -149,7 +149,7 @@
 
 @asynccontextmanager
 async def watch_ready_work(system: System, submissions: Sequence[Submission]) -> AsyncGenerator[ReadyWorkCheck]:
-    """Look at the workers for as long as the context is open; faults and traffic are over."""
+    """Sample the workers while the context is open; faults and submissions must be over."""
     check = ReadyWorkCheck(submissions, system.deployment.workers, time.monotonic())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(_sample_forever, system, check)
@@ -168,7 +168,7 @@
 
 
 def _has_room_twice(submission: Submission, done: Set[str], free: Sequence[Resources]) -> bool:
-    """Tell whether a task or gang whose turn has come would find room twice."""
+    """Return whether free capacity suffices for twice a ready task or gang."""
     return any(
         sum(_count_fitting(each, step.demand) for each in free) >= 2 * (step.task_count if step.gang else 1)
         for step in _ready_steps(submission, done)
@@ -176,12 +176,12 @@
 
 
 def _count_fitting(free: Resources, demand: Resources) -> int:
-    """Return how many tasks of a demand find room."""
+    """Return how many tasks of a demand fit into free resources."""
     return max(0, min(has // wants for has, wants in zip(free, demand, strict=True) if wants))
 
 
 def _ready_steps(submission: Submission, done: Set[str]) -> Iterator[StepSpec]:
-    """Yield the steps with a task whose turn has come."""
+    """Yield unfinished steps whose dependencies are complete."""
     unfinished = {number for number in range(len(submission.steps)) if not _tasks(submission, number) <= done}
     for number in unfinished:
         if unfinished.isdisjoint(submission.steps[number].after):
@@ -189,12 +189,12 @@
 
 
 def _tasks(submission: Submission, number: int) -> set[str]:
-    """Return the tasks of a step, as the workers name them."""
+    """Return the names of the tasks of a step, as used by the workers."""
     return {f'{submission.job_id}.0.{number}.{index}' for index in range(submission.steps[number].task_count)}
 
 
 def _waiting_lines(logs: Iterable[Path]) -> Iterator[dict[str, Any]]:
-    """Yield what owners logged of steps that wait."""
+    """Yield the step_waiting lines of the logs."""
     for path in logs:
         for text in path.read_text(encoding='utf-8').splitlines():
             if '"event":"step_waiting"' in text:
