--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -1,4 +1,4 @@
-"""What is kept of a soak that found a violation, or did not come to its end."""
+"""Reports and logs of soaks that found a violation or were aborted."""
 
 import json
 import re
@@ -17,30 +17,30 @@
 from .violations import Violation
 
 REPORT_NAME = 'report.json'
-# Where logs and reports are kept unless a folder is named, below the working directory.
+# Default folder of logs and reports, relative to the working directory.
 RESULTS_FOLDER = Path('results', 'soak')
-# Soaks that are kept there: the latest.
+# Maximum number of soaks in that folder, of which the latest are kept.
 _MAX_KEPT_FOLDERS = 20
-# A job, or a task of it.
+# Id of a job or of one of its tasks.
 _ID_PATTERN = re.compile(r'\b[0-9a-f]{16}(?:\.\d+\.\d+\.\d+)?\b')
-# Digits after the point of times in a timeline.
+# Decimal places of times in a timeline.
 _TIME_DECIMALS = 3
 
 
 class Origin(NamedTuple):
-    """When a soak began: by the steady clock, and seconds since 1970 as daemons log it."""
+    """Start time of a soak, by the monotonic clock and as seconds since 1970, as daemons log it."""
 
     steady_s: float
     wall_s: float
 
 
 def origin_now() -> Origin:
-    """Return the present as the origin of a timeline."""
+    """Return the current time as the origin of a timeline."""
     return Origin(time.monotonic(), time.time())
 
 
 def new_folder(seed: int, kept: Path = RESULTS_FOLDER) -> Path:
-    """Make a folder for a soak, and remove the oldest of those that are kept."""
+    """Create a folder for a soak, and remove the oldest folders above the limit."""
     kept.mkdir(parents=True, exist_ok=True)
     by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_modified_s)
     for path in by_age[: max(0, len(by_age) + 1 - _MAX_KEPT_FOLDERS)]:
@@ -49,7 +49,7 @@
 
 
 def _modified_s(path: Path) -> float:
-    # Soaks that run beside this one remove theirs.
+    # Concurrent soaks remove folders too.
     with suppress(FileNotFoundError):
         return path.stat().st_mtime
     return 0.0
@@ -63,22 +63,22 @@
     workers: Sequence[WorkerStandIn],
     origin: Origin,
 ) -> Path:
-    """Write what traces violations: what was injected, and what became of the tasks that they name.
+    """Write a report of violations with the injected faults and a timeline of the affected tasks.
 
     Parameters
     ----------
     folder : Path
-        Where the logs of the daemons are.
+        Folder of the logs of the daemons.
     settings : SoakSettings
-        What the soak was run with.
+        Settings of the soak.
     plan : sequence of Fault
-        What was injected; times from the origin.
+        Injected faults, with times relative to the origin.
     violations : sequence of Violation
-        What was found.
+        Violations found.
     workers : sequence of WorkerStandIn
-        Where tasks ran.
+        Workers on which tasks ran.
     origin : Origin
-        When faults began to be injected.
+        Time at which the injection of faults began.
     """
     names = {name for each in violations for name in _ID_PATTERN.findall(each.detail)}
     report = {
@@ -94,7 +94,7 @@
 
 
 def timeline(names: Iterable[str], workers: Iterable[WorkerStandIn], origin: Origin) -> Iterator[str]:
-    """Yield starts, ends and notes of ends of some jobs or tasks on every worker, by time."""
+    """Yield starts, ends and recorded ends of the given jobs or tasks on all workers, by time."""
     wanted = frozenset(names)
     found = [each for worker in workers for each in _worker_events(worker)]
     for at_s, task, text in sorted(found, key=itemgetter(0)):
