--- a/packages/standins/dahliaarch_standins/soak/settings.py
+++ b/packages/standins/dahliaarch_standins/soak/settings.py
@@ -1,50 +1,50 @@
-"""What a soak is run with."""
+"""Settings of a soak."""
 
 import random
 from collections.abc import Mapping
 from typing import NamedTuple
 
-# Kinds of faults that change the configuration: a plan always has some, since
-# others may hide that one is not followed.
+# Kinds of faults that change the configuration. They are drawn in addition to the other
+# faults, which may hide that an instance does not follow a change.
 CONFIGURATION_KINDS = ('change_keys', 'grow_configuration')
-# Rate of a link that is slow from beginning to end, in bytes per second: the
-# slowest of the platform's, 5 Mbit/s.
+# Rate of a permanently slow link, in bytes per second: the slowest link of the platform
+# has 5 Mbit/s.
 SLOW_BYTES_PER_S = 600_000
 
-# Share of the jobs that crash workers: one or two of a soak.
+# Share of jobs that crash workers: one or two jobs per soak.
 _CRASHING_SHARE = 0.06
 
 
 class SoakSettings(NamedTuple):
-    """Size and length of one soak; times in seconds.
+    """Size and duration of one soak; times in seconds.
 
     Parameters
     ----------
     seed : int
         Seed of jobs and faults.
     instances, workers, callers : int
-        How many of each.
+        Numbers of instances, workers and callers.
     slow_links : int
-        Instances whose links are slow from beginning to end.
+        Number of instances with permanently slow links.
     faults : int
-        Faults that are drawn.
+        Number of random faults.
     changes : int
-        Changes of the configuration that are drawn beside them.
+        Number of random configuration changes in addition to the faults.
     faults_s : float
-        Time over which they begin.
+        Period in which the faults begin.
     settle_s : float
-        Longest time for all jobs to end once the faults are over.
+        Longest time until all jobs have ended after the faults are over.
     kinds : tuple of str
-        Kinds of faults to draw from; all when empty.
+        Kinds of faults to draw from; all kinds if empty.
     is_crowded : bool
-        Whether jobs are of many short tasks, so that some always wait: what a
-        deposed owner would start wrongly.
+        Whether jobs consist of many short tasks, so that some tasks always wait,
+        which a deposed owner could start by mistake.
     crashing_share : float
-        Share of the jobs whose task crashes each worker that starts it.
+        Share of jobs whose task crashes each worker that starts it.
     keeping_ids : int
-        Workers that come back under the id that they had when a task crashes them.
+        Number of workers that return under their previous id after a task crashed them.
     without : str
-        Protection that is switched off, in a control arm: one of PROTECTIONS.
+        Protection that a control arm disables, a key of `PROTECTIONS`; empty for none.
     """
 
     seed: int
@@ -64,7 +64,7 @@
 
 
 def draw_settings(seed: int, instances: int = 3, workers: int = 5) -> SoakSettings:
-    """Return a soak of some size; some links are slow in half of all cases."""
+    """Return settings of a soak; half of all seeds have some slow links."""
     choice = random.Random(f'{seed} sizes')
     slow_links = choice.choice((0, choice.randint(1, instances - 1)))
     share = instances / 3
@@ -81,19 +81,19 @@
     )
 
 
-# Protections of the store and of the workers, and the faults that they are for.
+# Protections of the store and of the workers, and the faults that each guards against.
 PROTECTIONS: Mapping[str, tuple[str, ...]] = {
-    # A write of progress that is carried out late, after a newer one.
+    # A write of progress that is executed late, after a newer one.
     'conditions': ('lose_store_answers', 'kill_instance'),
-    # Orders of an owner that does not know of its successor.
+    # Orders of a deposed owner that does not know of its successor.
     'fences': ('cut_owner_from_store', 'pause_instance'),
-    # A start that is carried out after its stop.
+    # A start that is executed after its stop.
     'run numbers': ('late_orders',),
-    # A version of the configuration that no watch tells of.
+    # A version of the configuration that no watch reports.
     'updates': CONFIGURATION_KINDS,
 }
 
 
 def control_arm(seed: int, without: str) -> SoakSettings:
-    """Return a soak without a protection, under the faults that it is for."""
+    """Return settings of a soak without a protection, under the faults that it guards against."""
     return SoakSettings(seed, callers=2, changes=0, kinds=PROTECTIONS[without], is_crowded=True, without=without)
