--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -1,4 +1,4 @@
-"""A deployment with proxies before each instance, each worker and, for each instance, the store."""
+"""A deployment with proxies in front of each instance, each worker and, for each instance, the store."""
 
 import itertools
 import math
@@ -22,29 +22,29 @@
 from .settings import SLOW_BYTES_PER_S, SoakSettings
 from .versions import Operator
 
-# How often daemons are looked at, in seconds.
+# Interval between two checks for exited daemons and for lag, in seconds.
 _WATCH_INTERVAL_S = 0.1
-# A lag of this process that counts as a slow store, in seconds.
+# Lag of this process above which it counts as a slow store, in seconds.
 _LAG_THRESHOLD_S = 0.2
-# How long an instance that is to stop may take to say that it is ready, in seconds.
+# Time for an instance to show that it is ready before it is terminated, in seconds.
 _READY_TIMEOUT_S = 0.1
-# The daemon, its messages led through the proxies.
+# Variant of the daemon that sends its messages through the proxies.
 _PROGRAM = 'dahliaarch_standins.daemon'
 
 
 class System:
-    """The real daemons, what they speak with, and what may go wrong between them.
+    """Real daemons with stand-ins of their environment, connected through proxies that inject faults.
 
     Parameters
     ----------
     settings : SoakSettings
-        Sizes, and which protections are on.
+        Sizes, and the protection to disable.
     folder : Path
-        Where settings files and logs go.
+        Folder for settings files and logs.
     """
 
     def __init__(self, settings: SoakSettings, folder: Path) -> None:
-        """Prepare; nothing runs yet."""
+        """Set up the deployment without starting anything."""
         self.deployment = Deployment(folder, settings.instances, settings.workers)
         self.deployment.program = _PROGRAM
         self.deployment.host_by_name = {
@@ -69,29 +69,29 @@
             self.deployment.host_by_name[name]: HostLinks(SlowLink(rate), SlowLink(rate))
             for name, rate in self.rate_by_name.items()
         }
-        # Instances whose daemons ended by themselves.
+        # Instances whose daemons exited by themselves or failed to stop cleanly.
         self.unexpected_exits: list[str] = []
-        # How often this process lagged.
+        # Number of times that this process lagged.
         self.lags = 0
         self._incarnations = itertools.count()
         self._restarting: set[str] = set()
 
     @property
     def store(self) -> StoreStandIn:
-        """The store."""
+        """Stand-in of the store."""
         return self.deployment.store
 
     @property
     def proxies(self) -> list[FaultProxy]:
-        """Every proxy."""
+        """All proxies."""
         return [*self.store_proxy_by_name.values(), *self.peer_proxy_by_name.values(), *self.worker_proxies]
 
     def links(self, name: str) -> HostLinks:
-        """Return what carries all that an instance exchanges with the store and its peers."""
+        """Return the links that carry all traffic of an instance with the store and its peers."""
         return self._links_by_host[self.deployment.host_by_name[name]]
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start everything and wait until every instance is ready."""
+        """Start the platform, the proxies and the instances, and wait until every instance is ready."""
         address = await self.deployment.start_platform(tasks)
         self.operator.write()
         for name in self.deployment.names:
@@ -107,7 +107,7 @@
             await self.deployment.start_instances()
 
     async def _start_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
-        """Place a proxy before the store for an instance, and one before the instance for its peers."""
+        """Start a proxy from an instance to the store, and one from its peers to the instance."""
         links = self.links(name)
         near_store = FaultProxy(store, requests_over=links.outgoing, answers_over=links.incoming)
         self.deployment.store_address_by_name[name] = await near_store.listen(tasks)
@@ -119,7 +119,7 @@
 
     @contextmanager
     def disturbing(self, *names: str) -> Generator[None, None, None]:
-        """Count some instances, or all, as disturbed meanwhile."""
+        """Record a disturbance of the given instances, or of all, while the context is open."""
         disturbed = names or self.deployment.names
         self.disturbances.begin(disturbed)
         try:
@@ -128,7 +128,7 @@
             self.disturbances.end(disturbed, time.monotonic())
 
     async def restart(self, names: Sequence[str], after_s: float) -> None:
-        """Kill instances and start them again; those that another fault holds are left out."""
+        """Kill and restart instances, except those that another fault is restarting."""
         available = [name for name in names if name not in self._restarting]
         if not available:
             return
@@ -143,7 +143,7 @@
         self._restarting.difference_update(available)
 
     async def stop_and_start(self, name: str) -> None:
-        """Ask an instance to stop; start it again once it has."""
+        """Terminate an instance and restart it once it has stopped."""
         if name in self._restarting or name not in self.deployment.running_names:
             return
         self._restarting.add(name)
@@ -154,7 +154,7 @@
             status = await self.deployment.wait_stopped(name)
             self.deployment.launch(name)
         self._restarting.discard(name)
-        # One that has hardly been started knows of no signals yet.
+        # An instance that is still starting has not installed its signal handlers.
         if status and (was_ready or status != -signal.SIGTERM):
             self.unexpected_exits.append(f'{name}, asked to stop: status {status}')
 
@@ -170,11 +170,11 @@
             self.deployment.signal(name, signal.SIGHUP)
 
     def crash_worker(self, worker: WorkerStandIn) -> None:
-        """Let a worker come back as another incarnation."""
+        """Crash a worker, which returns as a new incarnation."""
         worker.crash(f'{worker.worker_id.split("-")[0]}-{next(self._incarnations)}')
 
     async def watch_processes(self) -> None:
-        """Start daemons again that end by themselves, and note it, until cancelled."""
+        """Record and restart daemons that exit by themselves, until cancelled."""
         while True:
             await anyio.sleep(_WATCH_INTERVAL_S)
             for name in self.deployment.ended_by_themselves(self._restarting):
@@ -183,7 +183,7 @@
                     self.deployment.launch(name)
 
     async def watch_lag(self) -> None:
-        """Count a lag of this process as a slow store, until cancelled."""
+        """Record lags of this process as disturbances of all instances, until cancelled."""
         while True:
             begun_s = time.monotonic()
             await anyio.sleep(_WATCH_INTERVAL_S)
@@ -193,7 +193,7 @@
                     await anyio.sleep(0)
 
     async def wait_for_step(self, step: str, *, is_done: bool, wait_s: float) -> bool:
-        """Wait until a step reaches the store or a worker; false when none does."""
+        """Wait until the store or a worker receives or completes a step; return whether it did in time."""
         came = anyio.Event()
 
         def observe(found: str, done: bool) -> None:
@@ -210,5 +210,5 @@
         return came.is_set()
 
     def close(self) -> None:
-        """End every daemon."""
+        """Stop all daemons."""
         self.deployment.close()
