--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -1,4 +1,4 @@
-"""The operators' part: versions of the configuration, small and large."""
+"""Writes small and large versions of the configuration, as operators do."""
 
 import random
 import time
@@ -9,28 +9,28 @@
 from ..deployment.core import HOST, KEY, PREFIX_BY_QUEUE, queue_row
 
 OTHER_KEY = 'key-that-comes-and-goes'
-# Most routes that a version adds to the project's own: 165 bytes each, so that
-# the document stays below the megabyte that the store takes.
+# Maximum number of routes in addition to those of the deployment: 165 bytes each, so
+# that the document stays below the store's limit of a megabyte.
 _MAX_ADDED_ROUTES = 5_500
 _PRIORITY = 1
 
-# How requests are answered that are handled at once, by their route and key.
+# Statuses of requests that are answered at once, depending on their route and key.
 MALFORMED = 400
 NO_ACCESS = 401
 NO_ROUTE = 404
 
 
 class Probe(NamedTuple):
-    """A request that shows which version its instance follows.
+    """A request whose answer shows which version an instance uses.
 
-    It names no job, so that it is answered without a word to others.
+    It names no job, so an instance answers it without calling any peer.
 
     Parameters
     ----------
     route : str
-        Route that it asks for.
+        Requested route.
     key : str
-        Its key.
+        API key of the request.
     """
 
     route: str
@@ -38,28 +38,28 @@
 
     @property
     def path(self) -> str:
-        """Its path."""
+        """Path of the request."""
         return f'/{self.route}/no-job'
 
     @property
     def host(self) -> str:
-        """Host that it asks for."""
+        """Host of the request."""
         return _host(self.route)
 
 
 class Version(NamedTuple):
-    """What a version says, as far as it changes.
+    """The variable parts of a version of the configuration.
 
     Parameters
     ----------
     number : int
-        Its number.
+        Number of the version.
     keys : frozenset of str
-        Keys in force.
+        Valid API keys.
     routes : frozenset of str
-        Routes that there are.
+        Existing routes.
     acknowledged_s : float
-        When its write was acknowledged.
+        Time at which its write was acknowledged.
     """
 
     number: int
@@ -68,33 +68,33 @@
     acknowledged_s: float
 
     def expected(self, probe: Probe) -> int:
-        """Return the status with which a probe is answered under this version."""
+        """Return the status of the answer to a probe under this version."""
         if probe.route not in self.routes:
             return NO_ROUTE
         return MALFORMED if probe.key in self.keys else NO_ACCESS
 
 
 def marker_route(number: int) -> str:
-    """Return the route that only the version of a number has."""
+    """Return the route that exists only in the version with the given number."""
     return f'only-{number}'
 
 
 class Operator:
-    """Writes versions and remembers what each says.
+    """Writes versions of the configuration and records the content of each.
 
     Parameters
     ----------
     deployment : Deployment
-        Whose configuration it is.
+        Deployment that is configured.
     seed : int
-        Seed of the routes' names, which don't compress well.
+        Seed of the names of routes, which are random so that they compress poorly.
 
     Attributes
     ----------
     versions : list of Version
-        All, by number.
+        All versions, sorted by number.
     has_other_key : bool
-        Whether the other key is in force.
+        Whether the second key is valid.
     """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
@@ -106,18 +106,18 @@
         self._routes: list[str] = []
 
     def change_keys(self) -> None:
-        """Give the account another key beside its own, or take it away."""
+        """Add a second key to the account, or remove it."""
         self.has_other_key = not self.has_other_key
         self.write()
 
     def add_routes(self, count: int) -> None:
-        """Add so many routes; the oldest go when there are too many."""
+        """Add a number of routes; the oldest routes above the limit are removed."""
         self._routes.extend(f'r{self._names.getrandbits(36):09x}' for _ in range(count))
         del self._routes[:-_MAX_ADDED_ROUTES]
         self.write()
 
     def write(self) -> None:
-        """Write a version, which has a route of its own."""
+        """Write a version, which includes its own marker route."""
         own_route = marker_route(self._deployment.version + 1)
         routes = [*self._routes, own_route]
         keys = (KEY, OTHER_KEY) if self.has_other_key else (KEY,)
@@ -132,10 +132,10 @@
         )
 
     def draw_probes(self, choice: random.Random, due: Version) -> list[Probe]:
-        """Return probes that tell a version that is due from older and newer ones."""
+        """Return probes that distinguish the due version from older and newer ones."""
         routes = [marker_route(due.number), marker_route(due.number - 1)]
         if self._routes:
-            # The newest, and one that is there for longer.
+            # The newest route and a random one.
             routes.extend((self._routes[-1], choice.choice(self._routes)))
         return [Probe('urgent', OTHER_KEY), *(Probe(route) for route in routes)]
 
