--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -1,4 +1,4 @@
-"""What callers and workers saw, held against what is promised to them."""
+"""Checks observations of callers and workers against the guarantees given to them."""
 
 from collections import Counter, defaultdict
 from collections.abc import Collection, Iterable, Iterator, Sequence
@@ -10,33 +10,33 @@
 from ..platform import WorkerStandIn
 from ..platform.workers import Noted
 
-# States of a job of which nothing may run.
+# States of a job in which none of its tasks may run.
 ENDED_STATES = frozenset(('succeeded', 'failed', 'cancelled'))
 
-# Starts of a task that crashes workers: three that tell, and two more.
+# Maximum number of starts of a task that crashes workers: three conclusive crashes and two more starts.
 _MAX_CRASHING_STARTS = 5
-# Crashes under a task after which users bear that its job is shown as failed.
+# Number of crashes under a task from which on its job may be reported as failed.
 _MIN_CRASHES_TO_GIVE_UP = 2
 
 
 class Violation(NamedTuple):
-    """A promise that was not kept."""
+    """A violated guarantee."""
 
     promise: str
     detail: str
 
 
 class Submission(NamedTuple):
-    """What a caller knows of one job.
+    """A caller's record of one job.
 
     Parameters
     ----------
     job_id, queue : str
-        The job.
+        Ids of the job and of its queue.
     tasks : int
         Number of its tasks.
     statuses : tuple of int
-        Answers to its tries; 0 where there was none.
+        Statuses of the attempts to submit it; 0 for attempts without an answer.
     is_cancelled : bool
         Whether its cancellation was acknowledged.
     crashes_workers : bool
@@ -55,17 +55,17 @@
 
     @property
     def is_accepted(self) -> bool:
-        """Whether it was acknowledged."""
+        """Whether the submission was acknowledged."""
         return 200 in self.statuses
 
     @property
     def is_refused(self) -> bool:
-        """Whether every try was refused with the word that it will not run."""
+        """Whether every attempt was refused with a status that guarantees that the job will not run."""
         return bool(self.statuses) and all(status in {429, 503} for status in self.statuses)
 
 
 class _RunInterval(NamedTuple):
-    """One run of a task, from its start to its end, and the note that its worker would have of that."""
+    """A run of a task, from start to end, and the key under which its worker would record the end."""
 
     begin_s: float
     end_s: float
@@ -75,7 +75,7 @@
 
 
 def duplicate_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
-    """Yield tasks that ran twice at a time, or again after a success that was noted."""
+    """Yield tasks with overlapping runs, or with a run after a recorded success."""
     noted = {each for worker in workers for each in worker.noted}
     for task, intervals in _intervals_by_task(workers).items():
         for earlier, later in pairwise(sorted(intervals)):
@@ -89,7 +89,7 @@
 def _intervals_by_task(workers: Sequence[WorkerStandIn]) -> dict[str, list[_RunInterval]]:
     intervals: dict[str, list[_RunInterval]] = defaultdict(list)
     for worker in workers:
-        # The next incarnation may carry out a start again, under its number.
+        # The next incarnation may execute a start again under the same run number.
         end_by_run = {Noted(end.worker, end.task, end.run, end.incarnation): end for end in worker.ends}
         for start in worker.starts:
             noted = Noted(start.worker, start.task, start.run, start.incarnation)
@@ -100,7 +100,7 @@
 
 
 def still_running(states: dict[str, str], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
-    """Yield tasks that run though their job has ended, however they came to run."""
+    """Yield tasks that run although their job has ended, whatever the cause."""
     for worker in workers:
         for task, run in worker.running.items():
             state = states.get(task.partition('.')[0], '')
@@ -109,7 +109,7 @@
 
 
 def excess_crash_starts(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
-    """Yield tasks that crash workers and were started more often than is borne."""
+    """Yield tasks that crash workers and were started more often than allowed."""
     crashing = {submission.job_id for submission in submissions if submission.crashes_workers}
     starts = Counter(start.task for worker in workers for start in worker.starts)
     for task, count in starts.items():
@@ -118,7 +118,7 @@
 
 
 def refused_jobs_that_ran(submissions: Iterable[Submission], workers: Iterable[WorkerStandIn]) -> Iterator[Violation]:
-    """Yield jobs that ran though every try to hand them in was refused."""
+    """Yield jobs that ran although every attempt to submit them was refused."""
     refused = {submission.job_id for submission in submissions if submission.is_refused}
     started = {start.task.partition('.')[0] for worker in workers for start in worker.starts}
     for job_id in refused & started:
@@ -126,7 +126,7 @@
 
 
 def may_be_given_up(workers: Iterable[WorkerStandIn]) -> set[str]:
-    """Return the jobs with a task under which so many workers crashed that it may be given up, whatever the cause."""
+    """Return jobs with a task under which enough workers crashed, whatever the cause, to give the task up."""
     crashes = Counter(end.task for worker in workers for end in worker.ends if end.how == 'crashed')
     return {task.partition('.')[0] for task, count in crashes.items() if count >= _MIN_CRASHES_TO_GIVE_UP}
 
@@ -137,18 +137,18 @@
     done: dict[str, int],
     given_up: Collection[str],
 ) -> Iterator[Violation]:
-    """Yield jobs whose state is not the fate that they had.
+    """Yield accepted jobs whose reported state does not match their actual outcome.
 
     Parameters
     ----------
     states : dict
         Last state by job.
     submissions : iterable of Submission
-        What was handed in.
+        Submitted jobs.
     done : dict
-        Number of tasks that ended well, by job.
+        Number of successful tasks by job.
     given_up : collection of str
-        Jobs that may be shown as failed.
+        Jobs that may be reported as failed.
     """
     for submission in submissions:
         state = states.get(submission.job_id, '')
