--- a/packages/standins/dahliaarch_standins/soak/following.py
+++ b/packages/standins/dahliaarch_standins/soak/following.py
@@ -91,7 +91,7 @@
         due = [each for each in self._versions if now_s - each.acknowledged_s > bound_s]
         return due[-1] if due else self._versions[0]
 
-    def take(self, answer: Answer) -> None:
+    def check_answer(self, answer: Answer) -> None:
         """Check an answer; must be called right after it was received."""
         if answer.status not in _CONCLUSIVE:
             return
--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -25,4 +25,4 @@
             sent_s, wall_s = time.monotonic(), time.time()
             reply = await caller.call('GET', probe.path, key=probe.key, host=probe.host, timeout_s=_ANSWER_TIMEOUT_S)
             if reply is not None and incarnation and system.deployment.incarnation(name) == incarnation:
-                check.take(Answer(name, incarnation, probe, reply.status, sent_s, wall_s))
+                check.check_answer(Answer(name, incarnation, probe, reply.status, sent_s, wall_s))
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -29,7 +29,7 @@
 
     def take(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
         before = len(self.check.violations)
-        self.check.take(Answer('a', incarnation, Probe(route, key), status, sent_s))
+        self.check.check_answer(Answer('a', incarnation, Probe(route, key), status, sent_s))
         return [each.promise for each in self.check.violations[before:]]
 
 
