--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -203,14 +203,14 @@
     """Submit jobs over persistent connections until some time after the last fault."""
     caller = system.deployment.caller()
     # A separate generator, so that the other jobs of a seed do not change.
-    crashes = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
+    crash_rng = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
     with anyio.move_on_after(settings.faults_s + _SUBMIT_AFTER_FAULTS_S):
         while True:
             await anyio.sleep(choice.expovariate(1 / _MEAN_SUBMIT_INTERVAL_S))
             steps = _crowded_steps(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
             with anyio.CancelScope(shield=True):
-                if crashes.random() < settings.crashing_share:
-                    submissions.append(await _submit(caller, crashes, [{**steps[0], 'Count': 1}], 'crash'))
+                if crash_rng.random() < settings.crashing_share:
+                    submissions.append(await _submit(caller, crash_rng, [{**steps[0], 'Count': 1}], 'crash'))
                 submissions.append(await _submit(caller, choice, steps))
 
 
