--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -93,7 +93,7 @@
     report: str = ''
 
 
-def run_soak(settings: SoakSettings, folder: Path | None = None, kept: Path = RESULTS_FOLDER) -> SoakResult:
+def run_soak(settings: SoakSettings, folder: Path | None = None, results_folder: Path = RESULTS_FOLDER) -> SoakResult:
     """Run one soak.
 
     Parameters
@@ -102,14 +102,14 @@
         Settings of the soak.
     folder : Path or None
         Folder that keeps the logs of the daemons. By default they are kept only
-        if the soak fails or finds a violation, in a new folder below `kept`.
-    kept : Path
+        if the soak fails or finds a violation, in a new folder below `results_folder`.
+    results_folder : Path
         Folder of these new folders, of which the latest are kept.
     """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         return anyio.run(_run, settings, folder)
-    folder = new_folder(settings.seed, kept)
+    folder = new_folder(settings.seed, results_folder)
     try:
         result = anyio.run(_run, settings, folder)
     except BaseException as error:
--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -39,13 +39,13 @@
     return Origin(time.monotonic(), time.time())
 
 
-def new_folder(seed: int, kept: Path = RESULTS_FOLDER) -> Path:
+def new_folder(seed: int, results_folder: Path = RESULTS_FOLDER) -> Path:
     """Create a folder for a soak, and remove the oldest folders above the limit."""
-    kept.mkdir(parents=True, exist_ok=True)
-    by_age = sorted(filter(Path.is_dir, kept.iterdir()), key=_modified_s)
+    results_folder.mkdir(parents=True, exist_ok=True)
+    by_age = sorted(filter(Path.is_dir, results_folder.iterdir()), key=_modified_s)
     for path in by_age[: max(0, len(by_age) + 1 - _MAX_KEPT_FOLDERS)]:
         shutil.rmtree(path, ignore_errors=True)
-    return Path(tempfile.mkdtemp(prefix=f'{seed}-', dir=kept))
+    return Path(tempfile.mkdtemp(prefix=f'{seed}-', dir=results_folder))
 
 
 def _modified_s(path: Path) -> float:
