--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -154,8 +154,8 @@
         for fault in plan:
             tasks.start_soon(inject, system, fault)
         for number in range(settings.callers):
-            choice = random.Random(f'{settings.seed} {number}')
-            tasks.start_soon(_submit_jobs, system, submissions, choice, settings)
+            rng = random.Random(f'{settings.seed} {number}')
+            tasks.start_soon(_submit_jobs, system, submissions, rng, settings)
     async with watch_ready_work(system, submissions) as ready_work:
         unready = [name for name in system.deployment.names if not await _becomes_ready(system, name)]
         await anyio.sleep(_SETTLE_AFTER_FAULTS_S)
@@ -197,28 +197,28 @@
 async def _submit_jobs(
     system: System,
     submissions: list[Submission],
-    choice: random.Random,
+    rng: random.Random,
     settings: SoakSettings,
 ) -> None:
     """Submit jobs over persistent connections until some time after the last fault."""
     caller = system.deployment.caller()
     # A separate generator, so that the other jobs of a seed do not change.
-    crash_rng = random.Random(choice.getrandbits(64) if settings.crashing_share else 0)
+    crash_rng = random.Random(rng.getrandbits(64) if settings.crashing_share else 0)
     with anyio.move_on_after(settings.faults_s + _SUBMIT_AFTER_FAULTS_S):
         while True:
-            await anyio.sleep(choice.expovariate(1 / _MEAN_SUBMIT_INTERVAL_S))
-            steps = _crowded_steps(choice) if settings.is_crowded else draw_steps(choice, estimate_ms=_ESTIMATE_MS)
+            await anyio.sleep(rng.expovariate(1 / _MEAN_SUBMIT_INTERVAL_S))
+            steps = _crowded_steps(rng) if settings.is_crowded else draw_steps(rng, estimate_ms=_ESTIMATE_MS)
             with anyio.CancelScope(shield=True):
                 if crash_rng.random() < settings.crashing_share:
                     submissions.append(await _submit(caller, crash_rng, [{**steps[0], 'Count': 1}], 'crash'))
-                submissions.append(await _submit(caller, choice, steps))
+                submissions.append(await _submit(caller, rng, steps))
 
 
-async def _submit(caller: Caller, choice: random.Random, steps: list[dict[str, Any]], payload: str = '') -> Submission:
-    queue = choice.choice(sorted(PREFIX_BY_QUEUE))
-    job_id = f'{choice.getrandbits(64):016x}'
-    is_to_be_cancelled = choice.random() < _CANCELLED_SHARE
-    work_s = _CANCELLED_WORK_S if is_to_be_cancelled else choice.uniform(*_WORK_S)
+async def _submit(caller: Caller, rng: random.Random, steps: list[dict[str, Any]], payload: str = '') -> Submission:
+    queue = rng.choice(sorted(PREFIX_BY_QUEUE))
+    job_id = f'{rng.getrandbits(64):016x}'
+    is_to_be_cancelled = rng.random() < _CANCELLED_SHARE
+    work_s = _CANCELLED_WORK_S if is_to_be_cancelled else rng.uniform(*_WORK_S)
     body = {'Spec': f'{payload}{work_s:.2f}', 'Steps': steps}
     path = PREFIX_BY_QUEUE[queue] + job_id
     statuses: list[int] = []
@@ -231,7 +231,7 @@
     tasks = sum(step['Count'] for step in steps)
     is_cancelled = is_to_be_cancelled and statuses[-1] == 200
     if is_cancelled:
-        await anyio.sleep(choice.uniform(0.0, 1.0))
+        await anyio.sleep(rng.uniform(0.0, 1.0))
         await _cancel(caller, path)
     return Submission(job_id, queue, tasks, tuple(statuses), is_cancelled, bool(payload), step_specs(steps))
 
@@ -245,9 +245,9 @@
         await anyio.sleep(_CANCEL_RETRY_S)
 
 
-def _crowded_steps(choice: random.Random) -> list[dict[str, Any]]:
+def _crowded_steps(rng: random.Random) -> list[dict[str, Any]]:
     """Return a step with more tasks than can run at the same time."""
-    return [{'Count': choice.randint(4, 10), 'Cpu': 4000, 'MemMb': 16_000, 'Gpu': 4, 'EstimateMs': _ESTIMATE_MS}]
+    return [{'Count': rng.randint(4, 10), 'Cpu': 4000, 'MemMb': 16_000, 'Gpu': 4, 'EstimateMs': _ESTIMATE_MS}]
 
 
 async def _wait_for_jobs(system: System, submissions: list[Submission], settle_s: float) -> dict[str, str]:
--- a/packages/standins/dahliaarch_standins/soak/plans.py
+++ b/packages/standins/dahliaarch_standins/soak/plans.py
@@ -50,20 +50,20 @@
 
 def draw_plan(settings: SoakSettings) -> list[Fault]:
     """Return random faults, which may overlap, sorted by time."""
-    choice = random.Random(settings.seed)
+    rng = random.Random(settings.seed)
     names = settings.kinds or sorted(_INJECTION_BY_NAME)
-    plan = [_draw_fault(choice, names, settings.faults_s) for _ in range(settings.faults)]
+    plan = [_draw_fault(rng, names, settings.faults_s) for _ in range(settings.faults)]
     for _ in range(settings.changes):
-        plan.append(_draw_fault(choice, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_FAULTS_S))
+        plan.append(_draw_fault(rng, CONFIGURATION_KINDS, settings.faults_s + _CHANGES_AFTER_FAULTS_S))
     return sorted(plan, key=attrgetter('at_s'))
 
 
-def _draw_fault(choice: random.Random, names: Sequence[str], until_s: float) -> Fault:
+def _draw_fault(rng: random.Random, names: Sequence[str], until_s: float) -> Fault:
     return Fault(
-        choice.choice(names),
-        choice.uniform(0.5, until_s),
-        choice.uniform(*_DURATION_RANGE_S),
-        choice.getrandbits(32),
+        rng.choice(names),
+        rng.uniform(0.5, until_s),
+        rng.uniform(*_DURATION_RANGE_S),
+        rng.getrandbits(32),
     )
 
 
--- a/packages/standins/dahliaarch_standins/soak/probing.py
+++ b/packages/standins/dahliaarch_standins/soak/probing.py
@@ -16,11 +16,11 @@
 
 async def probe_forever(system: System, check: ConfigurationCheck, name: str) -> None:
     """Send probes to an instance and check its answers until cancelled."""
-    choice = random.Random(name)
+    rng = random.Random(name)
     caller = system.deployment.caller(name)
     while True:
         await anyio.sleep(_PROBE_INTERVAL_S)
-        for probe in system.operator.draw_probes(choice, check.due(time.monotonic())):
+        for probe in system.operator.draw_probes(rng, check.due(time.monotonic())):
             incarnation = system.deployment.incarnation(name)
             sent_s, wall_s = time.monotonic(), time.time()
             reply = await caller.call('GET', probe.path, key=probe.key, host=probe.host, timeout_s=_ANSWER_TIMEOUT_S)
--- a/packages/standins/dahliaarch_standins/soak/settings.py
+++ b/packages/standins/dahliaarch_standins/soak/settings.py
@@ -65,8 +65,8 @@
 
 def draw_settings(seed: int, instances: int = 3, workers: int = 5) -> SoakSettings:
     """Return settings of a soak; half of all seeds have some slow links."""
-    choice = random.Random(f'{seed} sizes')
-    slow_links = choice.choice((0, choice.randint(1, instances - 1)))
+    rng = random.Random(f'{seed} sizes')
+    slow_links = rng.choice((0, rng.randint(1, instances - 1)))
     share = instances / 3
     return SoakSettings(
         seed,
@@ -77,7 +77,7 @@
         faults=int(6 * share),
         faults_s=8.0 + 2.0 * (share - 1),
         crashing_share=_CRASHING_SHARE,
-        keeping_ids=choice.randint(0, workers),
+        keeping_ids=rng.randint(0, workers),
     )
 
 
--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -131,12 +131,12 @@
             )
         )
 
-    def draw_probes(self, choice: random.Random, due: Version) -> list[Probe]:
+    def draw_probes(self, rng: random.Random, due: Version) -> list[Probe]:
         """Return probes that distinguish the due version from older and newer ones."""
         routes = [marker_route(due.number), marker_route(due.number - 1)]
         if self._routes:
             # The newest route and a random one.
-            routes.extend((self._routes[-1], choice.choice(self._routes)))
+            routes.extend((self._routes[-1], rng.choice(self._routes)))
         return [Probe('urgent', OTHER_KEY), *(Probe(route) for route in routes)]
 
 
