--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -88,7 +88,7 @@
 
 @register
 async def leave_owner_a_worker(system: System, fault: Fault, rng: random.Random) -> None:
-    """Cut the owner off from the store, and let a worker accept the owner's orders but not its successor's."""
+    """Cut the owner off from the store, and let a worker answer it but not its successor."""
     worker = rng.choice(system.deployment.workers)
     fences = [start.fence for each in system.deployment.workers for start in each.starts]
     worker.faults.highest_fence = fence_of(epoch_of(max(fences, default=0)) + 1, 0) - 1
