--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -60,7 +60,7 @@
         return core.SoakResult(settings.seed, (), 1, 1, 0, 1, 1, 0, outcome, str(report))
 
     monkeypatch.setattr(core, '_run', run)
-    return run_soak(SETTINGS, kept=tmp_path)
+    return run_soak(SETTINGS, results_folder=tmp_path)
 
 
 def test_logs_and_report_of_a_violation_are_kept_and_named(monkeypatch, tmp_path):
