--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -47,7 +47,7 @@
 _READY_TIMEOUT_S = 8.0
 # Time without faults after the last one, in seconds: long enough for every instance
 # to become stable and to be probed for its last version.
-_SETTLE_AFTER_FAULTS_S = 4.0
+_QUIET_AFTER_FAULTS_S = 4.0
 # Time for which callers keep submitting jobs after the last fault has begun, in seconds.
 _SUBMIT_AFTER_FAULTS_S = 3.0
 _FINAL_STATES = ENDED_STATES | {'410'}
@@ -158,7 +158,7 @@
             tasks.start_soon(_submit_jobs, system, submissions, rng, settings)
     async with watch_ready_work(system, submissions) as ready_work:
         unready = [name for name in system.deployment.names if not await _becomes_ready(system, name)]
-        await anyio.sleep(_SETTLE_AFTER_FAULTS_S)
+        await anyio.sleep(_QUIET_AFTER_FAULTS_S)
         states = await _wait_for_jobs(system, submissions, settings.settle_s)
     violations = [
         *(Violation('no process ends by itself', name) for name in system.unexpected_exits),
