--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dahliaarch_standins.soak.contact import Contact, CONTACT_S
-from dahliaarch_standins.soak.following import Answer, APPLY_S, FollowingCheck
+from dahliaarch_standins.soak.contact import DisturbanceTracker, QUIET_PERIOD_S
+from dahliaarch_standins.soak.following import Answer, APPLY_S, ConfigurationCheck
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
 TIME = 'a configuration is in force in time'
@@ -21,15 +21,15 @@
     """Versions 1 at 0 s and 2 at 10 s; instances calm since 0 s."""
 
     def __init__(self, slow_names=()):
-        self.contact = Contact(('a', 'b'), slow_names)
+        self.contact = DisturbanceTracker(('a', 'b'), slow_names)
         self.contact.begin(('a', 'b'))
         self.contact.end(('a', 'b'), 0.0)
         self.versions = [version(1, 0.0), version(2, 10.0, (KEY, OTHER_KEY))]
-        self.check = FollowingCheck(self.versions, self.contact, APPLY_S)
+        self.check = ConfigurationCheck(self.versions, self.contact, APPLY_S)
 
     def take(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
         before = len(self.check.violations)
-        self.check.take(Answer('a', incarnation, Probe(route, key), status, sent_s))
+        self.check.check_answer(Answer('a', incarnation, Probe(route, key), status, sent_s))
         return [each.promise for each in self.check.violations[before:]]
 
 
@@ -74,8 +74,8 @@
     checked.contact.begin(('a',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('a',), 21.0)
-    assert not checked.take('only-2', 404, 21.0 + CONTACT_S - 0.1)
-    assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [TIME]
+    assert not checked.take('only-2', 404, 21.0 + QUIET_PERIOD_S - 0.1)
+    assert checked.take('only-2', 404, 21.0 + QUIET_PERIOD_S + 0.1) == [TIME]
 
 
 def test_a_disturbance_of_another_instance_excuses_nothing(checked):
@@ -97,9 +97,9 @@
 
 
 def test_a_store_that_forgets_its_history_stretches_the_bound(checked):
-    checked.contact.lose_history(11.0)
+    checked.contact.record_history_loss(11.0)
     assert not checked.take('only-2', 404, 13.0)
-    assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [TIME]
+    assert checked.take('only-2', 404, 11.0 + QUIET_PERIOD_S + 0.1) == [TIME]
 
 
 def test_a_slow_link_is_bound_while_a_fast_one_is_in_touch():
@@ -107,7 +107,7 @@
     checked.contact.begin(('b',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('b',), 20.0)
-    assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [TIME]
+    assert checked.take('only-2', 404, 20.1 + QUIET_PERIOD_S) == [TIME]
 
 
 def test_an_incarnation_that_showed_a_version_does_not_go_back(checked):
--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -8,7 +8,13 @@
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
 from dahliaarch_standins.platform.workers import Ended, Noted, Started
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
-from dahliaarch_standins.soak.violations import doubled_runs, false_ends, may_be_given_up, still_running, Submission
+from dahliaarch_standins.soak.violations import (
+    duplicate_runs,
+    may_be_given_up,
+    still_running,
+    Submission,
+    wrong_final_states,
+)
 
 # The kinds of faults to draw from when a seed failed: kinds that came later would
 # make it another plan.
@@ -114,12 +120,12 @@
 )
 def test_a_job_may_be_shown_as_failed_only_after_two_crashes_under_a_task(job_id, state, is_false):
     excused = may_be_given_up([Crashed('a.0.0.0', 'b.0.0.0'), Crashed('a.0.0.0', 'b.0.0.1')])
-    found = list(false_ends({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
+    found = list(wrong_final_states({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
     assert bool(found) is is_false
 
 
 def test_no_runs_are_no_doubled_runs():
-    assert not list(doubled_runs([]))
+    assert not list(duplicate_runs([]))
 
 
 def worker_with(starts, ends, noted=()):
@@ -149,7 +155,7 @@
 )
 def test_each_run_has_the_end_of_its_own_incarnation(ends, noted, promises):
     worker = worker_with([(0, 1.0), (1, 3.0)], ends, noted)
-    assert [found.promise for found in doubled_runs([worker])] == promises
+    assert [found.promise for found in duplicate_runs([worker])] == promises
 
 
 class Busy:
