--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -34,7 +34,7 @@
 NEW_TASK = TaskKey(NEW, 0, 0, 0)
 
 
-class WatchedStore(KeptStore):
+class RecordingStore(KeptStore):
     """A store that notes whether a worker is lapsed by each roster that it takes, and can fall silent."""
 
     def __init__(self, items, workers):
@@ -91,7 +91,7 @@
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
     # Else a next owner would start its tasks elsewhere while they run there.
     workers = Workers()
-    store = WatchedStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
     store.is_silent = True
     starts_while_silent = []
 
@@ -109,7 +109,7 @@
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
     workers = Workers()
-    store = WatchedStore([worker_entry('w0')], workers)
+    store = RecordingStore([worker_entry('w0')], workers)
     update = decode_job_record(kept_job(NEW, time.time()))
 
     def holds(owner):
@@ -149,7 +149,7 @@
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(silence):
     # The first roster of an owner said that it was not, before it counted as silent.
     workers = SilentWorkers(silence)
-    store = WatchedStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.noted
     assert all(is_lapsed for is_lapsed, _ in store.noted)
