--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -42,7 +42,7 @@
         self.workers = workers
         self.is_silent = False
         # Whether w0 is lapsed by the roster, and how many starts had been ordered by then.
-        self.noted = []
+        self.recorded_rosters = []
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         if self.is_silent:
@@ -51,7 +51,7 @@
             if write.key.startswith(ROSTER_PREFIX):
                 for entry in decode(write.value, list[RosterEntry], 'roster'):
                     if entry.profile.worker_id == 'w0':
-                        self.noted.append((entry.is_lapsed, len(self.workers.starts)))
+                        self.recorded_rosters.append((entry.is_lapsed, len(self.workers.starts)))
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
@@ -104,7 +104,7 @@
     anyio.run(take_over, store, workers, holds, 5.0)
     assert not any(starts_while_silent)
     assert workers.starts == [('w0', TASK)]
-    assert store.noted[-1] == (False, 0)
+    assert store.recorded_rosters[-1] == (False, 0)
 
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
@@ -116,15 +116,15 @@
         worker = owner.scheduler.worker_by_id.get('w0')
         if worker is not None and worker.is_surveyed and 'w0' not in workers.silent_until_s:
             workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
-        if any(is_lapsed for is_lapsed, _ in store.noted):
+        if any(is_lapsed for is_lapsed, _ in store.recorded_rosters):
             workers.silent_until_s['w0'] = 0.0
             submitted(owner, update)
         return workers.starts
 
     anyio.run(take_over, store, workers, holds, 3.0 * LONGEST_LEASE_S)
     assert workers.starts == [('w0', NEW_TASK)]
-    assert [is_lapsed for is_lapsed, _ in store.noted] == [False, True, False]
-    assert store.noted[-1] == (False, 0)
+    assert [is_lapsed for is_lapsed, _ in store.recorded_rosters] == [False, True, False]
+    assert store.recorded_rosters[-1] == (False, 0)
 
 
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
@@ -151,8 +151,8 @@
     workers = SilentWorkers(silence)
     store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
-    assert store.noted
-    assert all(is_lapsed for is_lapsed, _ in store.noted)
+    assert store.recorded_rosters
+    assert all(is_lapsed for is_lapsed, _ in store.recorded_rosters)
 
 
 def test_a_worker_is_not_lapsed_while_a_late_start_may_begin_on_its_next_incarnation():
