--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -55,7 +55,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowlyKeepingStore(KeptStore):
+class SlowCommitStore(KeptStore):
     """A store that needs longer for a write than the roster stays as it is."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
@@ -130,7 +130,7 @@
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
     # It waited for a moment at which the store held the whole roster as it was.
     workers = Workers()
-    store = SlowlyKeepingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
+    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
     listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def holds(owner):
