--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -63,7 +63,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SilentWorkers(Workers):
+class UnresponsiveWorkers(Workers):
     """Workers of which one cannot be reached, or answers nothing."""
 
     def __init__(self, silence):
@@ -148,7 +148,7 @@
 @pytest.mark.parametrize('silence', [WorkerUnreachableError, WorkerUnansweredError])
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(silence):
     # The first roster of an owner said that it was not, before it counted as silent.
-    workers = SilentWorkers(silence)
+    workers = UnresponsiveWorkers(silence)
     store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.recorded_rosters
