--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -66,16 +66,16 @@
 class UnresponsiveWorkers(Workers):
     """Workers of which one cannot be reached, or answers nothing."""
 
-    def __init__(self, silence):
+    def __init__(self, failure):
         super().__init__()
-        self.silence = silence
+        self.failure = failure
 
     async def survey(self, address, incarnation, *, timeout_s, **options):
         if incarnation != 'w0':
             return await super().survey(address, incarnation, **options)
-        if self.silence is WorkerUnansweredError:
+        if self.failure is WorkerUnansweredError:
             await anyio.sleep(timeout_s)
-        raise self.silence('silent')
+        raise self.failure('silent')
 
 
 @pytest.mark.parametrize('is_lapsed', [True, False])
@@ -145,10 +145,10 @@
     assert any(worker == 'w0' for worker, _ in workers.starts)
 
 
-@pytest.mark.parametrize('silence', [WorkerUnreachableError, WorkerUnansweredError])
-def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(silence):
+@pytest.mark.parametrize('failure', [WorkerUnreachableError, WorkerUnansweredError])
+def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
     # The first roster of an owner said that it was not, before it counted as silent.
-    workers = UnresponsiveWorkers(silence)
+    workers = UnresponsiveWorkers(failure)
     store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.recorded_rosters
