--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -24,7 +24,7 @@
     LONGEST_LEASE_S,
     NEW,
     roster,
-    submitted,
+    submit_if_ready,
     take_over,
     worker_entry,
     Workers,
@@ -118,7 +118,7 @@
             workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
         if any(is_lapsed for is_lapsed, _ in store.recorded_rosters):
             workers.silent_until_s['w0'] = 0.0
-            submitted(owner, update)
+            submit_if_ready(owner, update)
         return workers.starts
 
     anyio.run(take_over, store, workers, holds, 3.0 * LONGEST_LEASE_S)
@@ -134,7 +134,7 @@
     listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def holds(owner):
-        submitted(owner, listed)
+        submit_if_ready(owner, listed)
         changing = owner.scheduler.worker_by_id.get('w1')
         if changing is not None:
             memory_mb = 200_000 + int(time.monotonic() * 10) % 1000
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -147,7 +147,7 @@
     return JobListed(record.spec, record.queue, EPOCH + 1, EPOCH)
 
 
-def submitted(owner, update):
+def submit_if_ready(owner, update):
     """Hand a job to an owner that decides; an owner knows a job once."""
     if owner.is_ready:
         owner.post(update)
@@ -213,7 +213,7 @@
     # The previous owner kept no assignments, so that the job before may run on the silent worker.
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     update = decode_job_record(kept_job(NEW, time.time()))
-    anyio.run(take_over, store, workers, lambda owner: submitted(owner, update) and workers.starts, 0.8)
+    anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
 
 
