--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -95,13 +95,13 @@
     store.is_silent = True
     starts_while_silent = []
 
-    def holds(owner):
+    def condition(owner):
         if owner.is_ready and workers.surveys['w0'] > 1 and store.is_silent:
             starts_while_silent.append(len(workers.starts))
             store.is_silent = len(starts_while_silent) < 30
         return workers.starts
 
-    anyio.run(take_over, store, workers, holds, 5.0)
+    anyio.run(take_over, store, workers, condition, 5.0)
     assert not any(starts_while_silent)
     assert workers.starts == [('w0', TASK)]
     assert store.recorded_rosters[-1] == (False, 0)
@@ -112,7 +112,7 @@
     store = RecordingStore([worker_entry('w0')], workers)
     update = decode_job_record(kept_job(NEW, time.time()))
 
-    def holds(owner):
+    def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
         if worker is not None and worker.is_surveyed and 'w0' not in workers.silent_until_s:
             workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
@@ -121,7 +121,7 @@
             submit_if_ready(owner, update)
         return workers.starts
 
-    anyio.run(take_over, store, workers, holds, 3.0 * LONGEST_LEASE_S)
+    anyio.run(take_over, store, workers, condition, 3.0 * LONGEST_LEASE_S)
     assert workers.starts == [('w0', NEW_TASK)]
     assert [is_lapsed for is_lapsed, _ in store.recorded_rosters] == [False, True, False]
     assert store.recorded_rosters[-1] == (False, 0)
@@ -133,7 +133,7 @@
     store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
     listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
-    def holds(owner):
+    def condition(owner):
         submit_if_ready(owner, listed)
         changing = owner.scheduler.worker_by_id.get('w1')
         if changing is not None:
@@ -141,7 +141,7 @@
             changing.profile = changing.profile._replace(capacity=Resources(64_000, memory_mb, 8))
         return any(worker == 'w0' for worker, _ in workers.starts)
 
-    anyio.run(take_over, store, workers, holds, 3.0)
+    anyio.run(take_over, store, workers, condition, 3.0)
     assert any(worker == 'w0' for worker, _ in workers.starts)
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -127,7 +127,7 @@
     return Item(job_key(job_id), encode(JobRecord(spec, QUEUE)), 1)
 
 
-async def take_over(store, workers, holds, within_s, configuration=None):
+async def take_over(store, workers, condition, within_s, configuration=None):
     """Run an owner until something holds of it, or for so long; return it."""
     settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
     owner = PoolOwner(settings, store, workers, tuple, Metrics())
@@ -136,7 +136,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(owner.run)
         with anyio.move_on_after(within_s):
-            while not holds(owner):
+            while not condition(owner):
                 await anyio.sleep(0.02)
         tasks.cancel_scope.cancel()
     return owner
