--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -27,7 +27,7 @@
 SETTINGS = LinkSettings(retry_s=0.01)
 
 
-class CutWorker(Sessions):
+class DisconnectedWorker(Sessions):
     """A worker that answers one survey and can't be reached after that."""
 
     def __init__(self, failure):
@@ -62,7 +62,7 @@
     async def survey():
         owner = Owner()
         context = LinkContext(
-            CutWorker(failure),
+            DisconnectedWorker(failure),
             7,
             SETTINGS,
             Metrics(),
