--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -56,7 +56,7 @@
         return any(isinstance(message, kind) for message in self.posted)
 
 
-def posted_after(failure, lease, *, is_draining=False):
+def run_until_silent(failure, lease, *, is_draining=False):
     """Return what a link tells of a worker that fails so, until it is known as silent."""
 
     async def survey():
@@ -96,7 +96,7 @@
     longest lease after the last survey before it said that it leaves. Only that
     end, or another incarnation at its address, tells that nothing runs there.
     """
-    owner = posted_after(WorkerUnreachableError('refused'), Lease(), is_draining=True)
+    owner = run_until_silent(WorkerUnreachableError('refused'), Lease(), is_draining=True)
     assert not owner.has_been_posted(WorkerOver)
 
 
@@ -113,7 +113,7 @@
     """
     lease = Lease()
     begun_s = time.monotonic()
-    owner = posted_after(failure, lease, is_draining=is_draining)
+    owner = run_until_silent(failure, lease, is_draining=is_draining)
     assert owner.has_been_posted(WorkerSurveyed)
     assert lease.latest_end_s() >= begun_s + SETTINGS.lease_s
 
