--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -131,8 +131,8 @@
         return Survey(100.0, (), ())
 
 
-@pytest.mark.parametrize('times', [1.5, 3.5])
-def test_a_worker_that_answers_late_is_contacted_before_its_lease_ends(times):
+@pytest.mark.parametrize('timeout_multiple', [1.5, 3.5])
+def test_a_worker_that_answers_late_is_contacted_before_its_lease_ends(timeout_multiple):
     """A task ran again after its worker had listed its end in answer after answer.
 
     The owner had little processor time and read answers later than the 0.6 s that a
@@ -162,7 +162,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
-            worker.late_s = settings.answer_timeout_s * times
+            worker.late_s = settings.answer_timeout_s * timeout_multiple
             before = len(owner.posted)
             await anyio.sleep(settings.lease_s)
             tasks.cancel_scope.cancel()
