--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -121,12 +121,12 @@
 class LateWorker(Sessions):
     """A worker whose answers come later than the owner usually waits."""
 
-    def __init__(self, late_s):
-        self.late_s = late_s
+    def __init__(self, delay_s):
+        self.delay_s = delay_s
 
     async def survey(self, address, incarnation, *, wait_s, timeout_s, **order):
-        await anyio.sleep(min(wait_s + self.late_s, timeout_s))
-        if wait_s + self.late_s > timeout_s:
+        await anyio.sleep(min(wait_s + self.delay_s, timeout_s))
+        if wait_s + self.delay_s > timeout_s:
             raise WorkerUnansweredError('late')
         return Survey(100.0, (), ())
 
@@ -162,7 +162,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
-            worker.late_s = settings.answer_timeout_s * timeout_multiple
+            worker.delay_s = settings.answer_timeout_s * timeout_multiple
             before = len(owner.posted)
             await anyio.sleep(settings.lease_s)
             tasks.cancel_scope.cancel()
