--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -194,7 +194,7 @@
         return Survey(100.0, (), () if self.has_forgotten else ended)
 
 
-def play_lossy(worker, seconds):
+def run_lossy_link(worker, seconds):
     """Return what the link to a worker told, and the link, after so long."""
     owner = Owner()
 
@@ -224,14 +224,14 @@
 
 def test_a_worker_is_not_silent_where_two_of_three_of_its_answers_are_lost():
     # After a change of the owner such workers got no starts for seconds, one after the other, beside an idle pool.
-    owner, _ = play_lossy(LossyWorker(), 4.0)
+    owner, _ = run_lossy_link(LossyWorker(), 4.0)
     assert not owner.has_been_posted(WorkerSilent)
     assert sum(isinstance(message, WorkerSurveyed) for message in owner.posted) >= 4
 
 
 def test_what_is_asked_beside_a_survey_renews_and_acknowledges_nothing():
     worker = LossyWorker()
-    _, link = play_lossy(worker, 2.0)
+    _, link = run_lossy_link(worker, 2.0)
     renewing = [survey for survey in worker.surveys if survey[1] is not None]
     assert all(acknowledged == 0 for acknowledged, lease in worker.surveys if lease is None)
     assert any(acknowledged for acknowledged, _ in renewing)
@@ -242,7 +242,7 @@
 def test_an_acknowledgement_that_is_answered_late_is_waited_for():
     # Given up, it would have the worker's next incarnation probed with starts that are stopped at once.
     worker = LossyWorker(acknowledged_after_s=0.4)
-    _, link = play_lossy(worker, 2.0)
+    _, link = run_lossy_link(worker, 2.0)
     assert any(acknowledged for acknowledged, _ in worker.surveys)
     assert any(lease is None for _, lease in worker.surveys[1:])
     assert link.unanswered_acknowledgement_s < 0
