--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -176,7 +176,7 @@
 
     def __init__(self, acknowledged_after_s=None):
         self.acknowledged_after_s = acknowledged_after_s
-        self.has_forgotten = False
+        self.has_discarded_end = False
         self.surveys = []
 
     async def survey(self, address, incarnation, *, timeout_s, wait_s, acknowledged, lease_until_s, **order):
@@ -184,14 +184,14 @@
         ended = (ListedEnd(1, RunEnd('w', TaskKey('a' * 16, 0, 0, 0), 1, EndKind.DONE)),)
         if self.acknowledged_after_s is not None:
             await anyio.sleep(self.acknowledged_after_s if acknowledged else wait_s)
-            self.has_forgotten |= bool(acknowledged)
+            self.has_discarded_end |= bool(acknowledged)
         elif len(self.surveys) % 3:
             await anyio.sleep(timeout_s)
             # What is asked beside another survey needs a new connection.
             raise WorkerUnansweredError('lost') if lease_until_s else WorkerHandshakeError('lost')
         else:
             await anyio.sleep(wait_s)
-        return Survey(100.0, (), () if self.has_forgotten else ended)
+        return Survey(100.0, (), () if self.has_discarded_end else ended)
 
 
 def run_lossy_link(worker, seconds):
