--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -174,16 +174,16 @@
 class LossyWorker(Sessions):
     """A worker of whose answers two of three are lost, or of which those that acknowledge come late."""
 
-    def __init__(self, acknowledged_after_s=None):
-        self.acknowledged_after_s = acknowledged_after_s
+    def __init__(self, acknowledgement_delay_s=None):
+        self.acknowledgement_delay_s = acknowledgement_delay_s
         self.has_discarded_end = False
         self.surveys = []
 
     async def survey(self, address, incarnation, *, timeout_s, wait_s, acknowledged, lease_until_s, **order):
         self.surveys.append((acknowledged, lease_until_s))
         ended = (ListedEnd(1, RunEnd('w', TaskKey('a' * 16, 0, 0, 0), 1, EndKind.DONE)),)
-        if self.acknowledged_after_s is not None:
-            await anyio.sleep(self.acknowledged_after_s if acknowledged else wait_s)
+        if self.acknowledgement_delay_s is not None:
+            await anyio.sleep(self.acknowledgement_delay_s if acknowledged else wait_s)
             self.has_discarded_end |= bool(acknowledged)
         elif len(self.surveys) % 3:
             await anyio.sleep(timeout_s)
@@ -241,7 +241,7 @@
 
 def test_an_acknowledgement_that_is_answered_late_is_waited_for():
     # Given up, it would have the worker's next incarnation probed with starts that are stopped at once.
-    worker = LossyWorker(acknowledged_after_s=0.4)
+    worker = LossyWorker(acknowledgement_delay_s=0.4)
     _, link = run_lossy_link(worker, 2.0)
     assert any(acknowledged for acknowledged, _ in worker.surveys)
     assert any(lease is None for _, lease in worker.surveys[1:])
