--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -9,7 +9,7 @@
 from .test_repeated_orders import KEY, link_to, Worker
 
 
-class Gates(Worker):
+class GatedWorker(Worker):
     """A worker that answers the start of each run when it is told to, or lets it go unanswered."""
 
     def __init__(self, unanswered):
@@ -30,7 +30,7 @@
     """The answer to the one removed the note of the other, whose own answer then found none."""
 
     async def scenario():
-        worker = Gates(unanswered)
+        worker = GatedWorker(unanswered)
         link = link_to(worker)
         async with anyio.create_task_group() as tasks:
             for run in (1, 2):
