--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -43,6 +43,6 @@
                 await anyio.sleep(0.01)
         return link.unanswered_starts
 
-    noted = anyio.run(scenario)
+    recorded = anyio.run(scenario)
     if unanswered:
-        assert KEY in noted
+        assert KEY in recorded
