--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize('order', [(1, 2), (2, 1)])
 @pytest.mark.parametrize('unanswered', [{1}, {2}, {1, 2}, set()])
-def test_tries_that_overlap_are_noted_if_one_got_no_answer(order, unanswered):
+def test_overlapping_attempts_are_recorded_if_one_is_unanswered(order, unanswered):
     """The answer to the one removed the note of the other, whose own answer then found none."""
 
     async def scenario():
