--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -35,7 +35,7 @@
     def __init__(self):
         self.items = {OWNER_KEY: Item(OWNER_KEY, b'', EPOCH)}
         self.revision = EPOCH
-        self.late = None
+        self.delayed_commit = None
         self.commits = 0
         self.most_entries = 0
 
@@ -43,7 +43,7 @@
         self.commits += 1
         self.most_entries = max(self.most_entries, len(conditions) + len(writes) + len(removals))
         if self.commits == 1 and writes:
-            self.late = (conditions, writes)
+            self.delayed_commit = (conditions, writes)
             raise StoreUnansweredError('late')
         return self.apply(conditions, writes)
 
@@ -112,7 +112,7 @@
     anyio.run(keep, recorder, lambda: progress_key(JOB) in store.items)
     end(scheduler, 1)
     anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
-    store.apply(*store.late)
+    store.apply(*store.delayed_commit)
     assert store.done_tasks() == {0, 1}
     assert not deposed
 
@@ -123,7 +123,7 @@
     recorder = recorder_of(store, scheduler, deposed)
     end(scheduler, 0)
     anyio.run(keep, recorder, lambda: store.commits >= 1)
-    store.apply(*store.late)
+    store.apply(*store.delayed_commit)
     end(scheduler, 1)
     anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
     assert not deposed
@@ -215,4 +215,4 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    assert store.apply(*store.late).status is CommitStatus.CONDITION_FAILED
+    assert store.apply(*store.delayed_commit).status is CommitStatus.CONDITION_FAILED
