--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -37,11 +37,11 @@
         self.revision = EPOCH
         self.delayed_commit = None
         self.commits = 0
-        self.most_entries = 0
+        self.max_entries = 0
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         self.commits += 1
-        self.most_entries = max(self.most_entries, len(conditions) + len(writes) + len(removals))
+        self.max_entries = max(self.max_entries, len(conditions) + len(writes) + len(removals))
         if self.commits == 1 and writes:
             self.delayed_commit = (conditions, writes)
             raise StoreUnansweredError('late')
@@ -139,7 +139,7 @@
         scheduler.cancel(spec.job_id, Moment(0.0, 1.0))
     anyio.run(recorder_of(store, scheduler, []).remove_ended, 100.0)
     assert not scheduler.job_by_id
-    assert store.most_entries <= MAX_TRANSACTION_ENTRIES
+    assert store.max_entries <= MAX_TRANSACTION_ENTRIES
 
 
 class RefusingStore(LateStore):
