--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -63,7 +63,7 @@
         return set(progress.steps[0].done)
 
 
-def end(scheduler, index):
+def end_task(scheduler, index):
     scheduler.run_ended(RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.DONE), Moment(1.0, 1.0))
 
 
@@ -108,9 +108,9 @@
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
     recorder = recorder_of(store, scheduler, deposed)
-    end(scheduler, 0)
+    end_task(scheduler, 0)
     anyio.run(keep, recorder, lambda: progress_key(JOB) in store.items)
-    end(scheduler, 1)
+    end_task(scheduler, 1)
     anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
     store.apply(*store.delayed_commit)
     assert store.done_tasks() == {0, 1}
@@ -121,10 +121,10 @@
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
     recorder = recorder_of(store, scheduler, deposed)
-    end(scheduler, 0)
+    end_task(scheduler, 0)
     anyio.run(keep, recorder, lambda: store.commits >= 1)
     store.apply(*store.delayed_commit)
-    end(scheduler, 1)
+    end_task(scheduler, 1)
     anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
     assert not deposed
 
@@ -181,7 +181,7 @@
         tasks.start_soon(recorder.run)
         await anyio.sleep(0.01)
         begun_s = time.monotonic()
-        end(scheduler, index)
+        end_task(scheduler, index)
         recorder.flush_requested.set()
         while progress_key(JOB) not in store.items:
             await anyio.sleep(0.001)
@@ -194,7 +194,7 @@
     scheduler = scheduler_with_job()
     assert anyio.run(time_to_keep, scheduler, 0) > 0.025
     for index in (1, 2):
-        end(scheduler, index)
+        end_task(scheduler, index)
     assert anyio.run(time_to_keep, scheduler, 3) < 0.02
 
 
