--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -67,7 +67,7 @@
     scheduler.run_ended(RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.DONE), Moment(1.0, 1.0))
 
 
-def roster_of(*, is_lapsed):
+def make_roster(*, is_lapsed):
     profile = WorkerProfile('w', 'svc', 'z', Resources(64_000, 262_144, 8), ('a', 'r0'))
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
@@ -202,7 +202,7 @@
     # The late write would tell the next owner of a worker what holds no more.
     store = LateStore()
     recorder = recorder_of(store, Scheduler(SchedulerSettings(), EPOCH), [])
-    first, second = roster_of(is_lapsed=False), roster_of(is_lapsed=True)
+    first, second = make_roster(is_lapsed=False), make_roster(is_lapsed=True)
 
     async def scenario():
         async with anyio.create_task_group() as tasks:
