--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -72,7 +72,7 @@
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
 
-def recorder_of(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
+def make_recorder(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
     timing = StoreTiming(retry_s=0.01)
     return Recorder(
         store,
@@ -107,7 +107,7 @@
 def test_a_late_write_of_the_same_owner_does_not_undo_a_newer_one():
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
-    recorder = recorder_of(store, scheduler, deposed)
+    recorder = make_recorder(store, scheduler, deposed)
     end_task(scheduler, 0)
     anyio.run(keep, recorder, lambda: progress_key(JOB) in store.items)
     end_task(scheduler, 1)
@@ -120,7 +120,7 @@
 def test_a_write_that_was_carried_out_unanswered_does_not_depose_its_owner():
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
-    recorder = recorder_of(store, scheduler, deposed)
+    recorder = make_recorder(store, scheduler, deposed)
     end_task(scheduler, 0)
     anyio.run(keep, recorder, lambda: store.commits >= 1)
     store.apply(*store.delayed_commit)
@@ -137,7 +137,7 @@
         spec = JobSpec(f'{number:016x}', '', 'q', '', (StepSpec(1, Resources(1, 1, 1)),))
         scheduler.add_job(spec, queue, Moment(0.0, 1.0))
         scheduler.cancel(spec.job_id, Moment(0.0, 1.0))
-    anyio.run(recorder_of(store, scheduler, []).remove_ended, 100.0)
+    anyio.run(make_recorder(store, scheduler, []).remove_ended, 100.0)
     assert not scheduler.job_by_id
     assert store.max_entries <= MAX_TRANSACTION_ENTRIES
 
@@ -165,7 +165,7 @@
         spec = JobSpec(job_id, '', 'q', '', (StepSpec(1, Resources(1, 1, 1)),))
         scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
         scheduler.run_ended(RunEnd('w', TaskKey(job_id, 0, 0, 0), 1, EndKind.DONE), Moment(1.0, 1.0))
-    recorder = recorder_of(store, scheduler, [], kept.append)
+    recorder = make_recorder(store, scheduler, [], kept.append)
     anyio.run(keep, recorder, lambda: kept)
     assert all(job.is_end_saved for job in scheduler.job_by_id.values())
     # Twenty transactions, and those refused among them.
@@ -176,7 +176,7 @@
     """Return how long after an end of a task it is kept, in seconds."""
     store = LateStore()
     store.commits = 1
-    recorder = recorder_of(store, scheduler, [])
+    recorder = make_recorder(store, scheduler, [])
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
         await anyio.sleep(0.01)
@@ -201,7 +201,7 @@
 def test_a_roster_that_got_no_answer_is_written_over_by_the_one_before():
     # The late write would tell the next owner of a worker what holds no more.
     store = LateStore()
-    recorder = recorder_of(store, Scheduler(SchedulerSettings(), EPOCH), [])
+    recorder = make_recorder(store, Scheduler(SchedulerSettings(), EPOCH), [])
     first, second = make_roster(is_lapsed=False), make_roster(is_lapsed=True)
 
     async def scenario():
