--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -87,7 +87,7 @@
     )
 
 
-async def keep(recorder, until):
+async def run_recorder(recorder, until):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
         recorder.flush_requested.set()
@@ -109,9 +109,9 @@
     scheduler = scheduler_with_job()
     recorder = make_recorder(store, scheduler, deposed)
     end_task(scheduler, 0)
-    anyio.run(keep, recorder, lambda: progress_key(JOB) in store.items)
+    anyio.run(run_recorder, recorder, lambda: progress_key(JOB) in store.items)
     end_task(scheduler, 1)
-    anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
+    anyio.run(run_recorder, recorder, lambda: store.done_tasks() == {0, 1})
     store.apply(*store.delayed_commit)
     assert store.done_tasks() == {0, 1}
     assert not deposed
@@ -122,10 +122,10 @@
     scheduler = scheduler_with_job()
     recorder = make_recorder(store, scheduler, deposed)
     end_task(scheduler, 0)
-    anyio.run(keep, recorder, lambda: store.commits >= 1)
+    anyio.run(run_recorder, recorder, lambda: store.commits >= 1)
     store.apply(*store.delayed_commit)
     end_task(scheduler, 1)
-    anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
+    anyio.run(run_recorder, recorder, lambda: store.done_tasks() == {0, 1})
     assert not deposed
 
 
@@ -166,7 +166,7 @@
         scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
         scheduler.run_ended(RunEnd('w', TaskKey(job_id, 0, 0, 0), 1, EndKind.DONE), Moment(1.0, 1.0))
     recorder = make_recorder(store, scheduler, [], kept.append)
-    anyio.run(keep, recorder, lambda: kept)
+    anyio.run(run_recorder, recorder, lambda: kept)
     assert all(job.is_end_saved for job in scheduler.job_by_id.values())
     # Twenty transactions, and those refused among them.
     assert store.commits <= 25
