--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -172,7 +172,7 @@
     assert store.commits <= 25
 
 
-async def time_to_keep(scheduler, index):
+async def measure_persist_delay(scheduler, index):
     """Return how long after an end of a task it is kept, in seconds."""
     store = LateStore()
     store.commits = 1
@@ -192,10 +192,10 @@
 def test_the_end_of_a_job_is_kept_at_once_and_ends_of_tasks_are_gathered():
     """Its owner is told of a job's end only once it is kept; 0.03 s of gathering made urgent jobs late."""
     scheduler = scheduler_with_job()
-    assert anyio.run(time_to_keep, scheduler, 0) > 0.025
+    assert anyio.run(measure_persist_delay, scheduler, 0) > 0.025
     for index in (1, 2):
         end_task(scheduler, index)
-    assert anyio.run(time_to_keep, scheduler, 3) < 0.02
+    assert anyio.run(measure_persist_delay, scheduler, 3) < 0.02
 
 
 def test_a_roster_that_got_no_answer_is_written_over_by_the_one_before():
