--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -158,15 +158,15 @@
     They need many transactions. When one failed, all jobs were written again, from the first: with one of five
     transactions refused, twenty in a row never came, and ends are acknowledged only once everything is kept.
     """
-    store, kept = RefusingStore(), []
+    store, persisted = RefusingStore(), []
     scheduler = Scheduler(SchedulerSettings(), EPOCH)
     for number in range(300):
         job_id = f'{number:016x}'
         spec = JobSpec(job_id, '', 'q', '', (StepSpec(1, Resources(1, 1, 1)),))
         scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
         scheduler.run_ended(RunEnd('w', TaskKey(job_id, 0, 0, 0), 1, EndKind.DONE), Moment(1.0, 1.0))
-    recorder = make_recorder(store, scheduler, [], kept.append)
-    anyio.run(run_recorder, recorder, lambda: kept)
+    recorder = make_recorder(store, scheduler, [], persisted.append)
+    anyio.run(run_recorder, recorder, lambda: persisted)
     assert all(job.is_end_saved for job in scheduler.job_by_id.values())
     # Twenty transactions, and those refused among them.
     assert store.commits <= 25
