--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -62,14 +62,14 @@
         raise WorkerUnansweredError('silent')
 
 
-def context_of(worker):
+def make_context(worker):
     settings = LinkSettings(lease_s=6.0)
     turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
     return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
 
 
 def link_to(worker):
-    return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context_of(worker))
+    return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker))
 
 
 def play(worker, scenario, *, is_draining=False):
@@ -124,7 +124,7 @@
 
     async def run():
         turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
-        context = context_of(worker)._replace(start_limits=turns, post=posted.append)
+        context = make_context(worker)._replace(start_limits=turns, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
@@ -148,7 +148,7 @@
 
     async def run():
         link = WorkerLink(
-            WorkerIncarnation('w'), Address('h', 1), Lease(), context_of(worker)._replace(post=posted.append)
+            WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker)._replace(post=posted.append)
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
