--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -6,7 +6,7 @@
 from dahliaarch_kernel.scheduler import StartRun
 from dahliaarch_platform.workers import OrderReply, OrderStatus, StartOrder, WorkerUnansweredError
 
-from .test_repeated_orders import KEY, link_to, Worker
+from .test_repeated_orders import KEY, make_link, Worker
 
 
 class GatedWorker(Worker):
@@ -31,7 +31,7 @@
 
     async def scenario():
         worker = GatedWorker(unanswered)
-        link = link_to(worker)
+        link = make_link(worker)
         async with anyio.create_task_group() as tasks:
             for run in (1, 2):
                 effect = StartRun('w', KEY, run, '')
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -68,14 +68,14 @@
     return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
 
 
-def link_to(worker):
+def make_link(worker):
     return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker))
 
 
 def play(worker, scenario, *, is_draining=False):
     async def run():
         async with anyio.create_task_group() as tasks:
-            link = link_to(worker)
+            link = make_link(worker)
             link.is_draining = is_draining
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
