--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -72,7 +72,7 @@
     return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker))
 
 
-def play(worker, scenario, *, is_draining=False):
+def run_scenario(worker, scenario, *, is_draining=False):
     async def run():
         async with anyio.create_task_group() as tasks:
             link = make_link(worker)
@@ -99,7 +99,7 @@
         await anyio.sleep(2.0)
         assert worker.stops >= before + STOPS
 
-    play(worker, scenario)
+    run_scenario(worker, scenario)
 
 
 @pytest.mark.parametrize(('is_draining', 'longest_s'), [(False, 6.0), (True, 2.0)])
@@ -113,7 +113,7 @@
         assert (worker.surveys - before) * longest_s >= 2 * (anyio.current_time() - begun_s)
         assert worker.surveys - before <= 1 + 4 * PLAYED_S / longest_s
 
-    play(worker, scenario, is_draining=is_draining)
+    run_scenario(worker, scenario, is_draining=is_draining)
 
 
 @pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
