--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -28,7 +28,7 @@
 from ..messages import RunRuledOut
 from .sessions import Sessions
 
-PLAYED_S = 4.0
+SCENARIO_S = 4.0
 ENDS = 60
 STOPS = 100
 KEY = TaskKey('a' * 16, 0, 0, 0)
@@ -92,7 +92,7 @@
         worker.answers = False
         for index in range(STOPS):
             link.stop(StopRun('w', TaskKey('a' * 16, 0, 0, index), 1, 'needless'))
-        await anyio.sleep(PLAYED_S)
+        await anyio.sleep(SCENARIO_S)
         assert worker.stops <= 3 * STOPS
         # They are once it answers again.
         before, worker.answers = worker.stops, True
@@ -108,10 +108,10 @@
 
     async def scenario(link):
         begun_s, before = anyio.current_time(), worker.surveys
-        await anyio.sleep(PLAYED_S)
+        await anyio.sleep(SCENARIO_S)
         # The lease is renewed three times in its duration all the same.
         assert (worker.surveys - before) * longest_s >= 2 * (anyio.current_time() - begun_s)
-        assert worker.surveys - before <= 1 + 4 * PLAYED_S / longest_s
+        assert worker.surveys - before <= 1 + 4 * SCENARIO_S / longest_s
 
     run_scenario(worker, scenario, is_draining=is_draining)
 
