--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -64,8 +64,8 @@
 
 def make_context(worker):
     settings = LinkSettings(lease_s=6.0)
-    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
-    return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
+    limits = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
+    return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, limits)
 
 
 def make_link(worker):
@@ -123,8 +123,8 @@
     posted = []
 
     async def run():
-        turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
-        context = make_context(worker)._replace(start_limits=turns, post=posted.append)
+        limits = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
+        context = make_context(worker)._replace(start_limits=limits, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
@@ -132,7 +132,7 @@
             link.start(StartRun('w', KEY, 1, '', RANK_ORDINARY, 1.0, ''), '')
             await anyio.sleep(0.05)
             setattr(link, change, True)
-            turns.other.release()
+            limits.other.release()
             await anyio.sleep(0.1)
             tasks.cancel_scope.cancel()
 
