--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -102,16 +102,16 @@
     run_scenario(worker, scenario)
 
 
-@pytest.mark.parametrize(('is_draining', 'longest_s'), [(False, 6.0), (True, 2.0)])
-def test_ends_that_can_not_be_kept_are_seldom_listed_again(is_draining, longest_s):
+@pytest.mark.parametrize(('is_draining', 'lease_s'), [(False, 6.0), (True, 2.0)])
+def test_ends_that_can_not_be_kept_are_seldom_listed_again(is_draining, lease_s):
     worker = Worker(ENDS)
 
     async def scenario(link):
         begun_s, before = anyio.current_time(), worker.surveys
         await anyio.sleep(SCENARIO_S)
         # The lease is renewed three times in its duration all the same.
-        assert (worker.surveys - before) * longest_s >= 2 * (anyio.current_time() - begun_s)
-        assert worker.surveys - before <= 1 + 4 * SCENARIO_S / longest_s
+        assert (worker.surveys - before) * lease_s >= 2 * (anyio.current_time() - begun_s)
+        assert worker.surveys - before <= 1 + 4 * SCENARIO_S / lease_s
 
     run_scenario(worker, scenario, is_draining=is_draining)
 
