--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(('is_draining', 'lease_s'), [(False, 6.0), (True, 2.0)])
-def test_ends_that_can_not_be_kept_are_seldom_listed_again(is_draining, lease_s):
+def test_ends_that_cannot_be_persisted_are_seldom_listed_again(is_draining, lease_s):
     worker = Worker(ENDS)
 
     async def scenario(link):
