--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
-def test_a_start_that_waited_for_its_turn_is_not_sent_to_a_worker_that_leaves_or_lost_the_room(change):
+def test_a_start_that_waited_for_a_slot_is_not_sent_to_a_draining_or_overcommitted_worker(change):
     """Behind hundreds of unanswered starts a turn comes seconds later; what starts then dies with its worker."""
     worker = Worker()
     posted = []
