--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -19,7 +19,7 @@
 KEY = TaskKey('a' * 16, 0, 0, 0)
 
 
-class Waiting:
+class LimiterHarness:
     """Starts to one worker of which one may be under way at a time, under a clock that is set."""
 
     def __init__(self):
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
 def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
-    waiting = Waiting()
+    waiting = LimiterHarness()
     assert anyio.run(waiting.play, 0.4, 3, rank) == 3
     assert waiting.shown('waiting_starts', queue=queue) == 0
     assert waiting.shown('start_turn_seconds_count', queue=queue) == 3
@@ -69,7 +69,7 @@
 
 
 def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(lines):
-    waiting = Waiting()
+    waiting = LimiterHarness()
 
     async def run():
         await waiting.play(1.5)
@@ -83,7 +83,7 @@
 
 
 def test_a_start_that_is_given_up_while_it_waits_leaves_no_turn_taken():
-    waiting = Waiting()
+    waiting = LimiterHarness()
 
     async def run():
         await waiting.turns.other.acquire()
@@ -106,7 +106,7 @@
     starts = scheduler.decide(now)
     assert len(starts) == 2
 
-    waiting = Waiting()
+    waiting = LimiterHarness()
     gauges = LoadGauges(scheduler, waiting.metrics)
     with gauges:
         gauges.update(1001.5)
