--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -60,20 +60,20 @@
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
 def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
-    waiting = LimiterHarness()
-    assert anyio.run(waiting.play, 0.4, 3, rank) == 3
-    assert waiting.shown('waiting_starts', queue=queue) == 0
-    assert waiting.shown('start_turn_seconds_count', queue=queue) == 3
-    assert waiting.shown('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
+    harness = LimiterHarness()
+    assert anyio.run(harness.play, 0.4, 3, rank) == 3
+    assert harness.shown('waiting_starts', queue=queue) == 0
+    assert harness.shown('start_turn_seconds_count', queue=queue) == 3
+    assert harness.shown('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
     assert not lines
 
 
 def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(lines):
-    waiting = LimiterHarness()
+    harness = LimiterHarness()
 
     async def run():
-        await waiting.play(1.5)
-        await waiting.play(1.2)
+        await harness.play(1.5)
+        await harness.play(1.2)
 
     anyio.run(run)
     assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in lines] == [
@@ -83,17 +83,17 @@
 
 
 def test_a_start_that_is_given_up_while_it_waits_leaves_no_turn_taken():
-    waiting = LimiterHarness()
+    harness = LimiterHarness()
 
     async def run():
-        await waiting.turns.other.acquire()
+        await harness.turns.other.acquire()
         with anyio.move_on_after(0.05):
-            await waiting.take_turn(RANK_ORDINARY)
-        waiting.turns.other.release()
-        return waiting.turns.other.value
+            await harness.take_turn(RANK_ORDINARY)
+        harness.turns.other.release()
+        return harness.turns.other.value
 
     assert anyio.run(run) == 1
-    assert waiting.shown('waiting_starts', queue='other') == 0
+    assert harness.shown('waiting_starts', queue='other') == 0
 
 
 def test_runs_without_an_answer_are_shown_until_they_are_confirmed_or_the_owner_is_replaced():
@@ -106,17 +106,17 @@
     starts = scheduler.decide(now)
     assert len(starts) == 2
 
-    waiting = LimiterHarness()
-    gauges = LoadGauges(scheduler, waiting.metrics)
+    harness = LimiterHarness()
+    gauges = LoadGauges(scheduler, harness.metrics)
     with gauges:
         gauges.update(1001.5)
-        assert waiting.shown('unconfirmed_runs') == 2
-        assert waiting.shown('oldest_unconfirmed_run_seconds') == 1.5
+        assert harness.shown('unconfirmed_runs') == 2
+        assert harness.shown('oldest_unconfirmed_run_seconds') == 1.5
         scheduler.run_started('w', starts[0].key, starts[0].run, now)
         gauges.update(1001.6)
-        assert waiting.shown('unconfirmed_runs') == 2
+        assert harness.shown('unconfirmed_runs') == 2
         gauges.update(1002.0)
-        assert waiting.shown('unconfirmed_runs') == 1
-        assert waiting.shown('active_jobs') == 1
-    assert waiting.shown('unconfirmed_runs') == 0
-    assert waiting.shown('active_jobs') == 0
+        assert harness.shown('unconfirmed_runs') == 1
+        assert harness.shown('active_jobs') == 1
+    assert harness.shown('unconfirmed_runs') == 0
+    assert harness.shown('active_jobs') == 0
