--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -29,7 +29,7 @@
         context = SimpleNamespace(metrics=self.metrics, start_limits=self.turns, clock=lambda: self.now_s)
         self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
-    def shown(self, name, **labels):
+    def metric_value(self, name, **labels):
         return self.metrics.registry.get_sample_value(f'dahliaarch_{name}', labels)
 
     async def take_turn(self, rank):
@@ -45,7 +45,7 @@
             for _ in range(starts):
                 tasks.start_soon(self.take_turn, rank)
             await anyio.wait_all_tasks_blocked()
-            waiting = self.shown('waiting_starts', queue=queue)
+            waiting = self.metric_value('waiting_starts', queue=queue)
             self.now_s += waited_s
             turn.release()
         return waiting
@@ -62,9 +62,9 @@
 def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
     harness = LimiterHarness()
     assert anyio.run(harness.play, 0.4, 3, rank) == 3
-    assert harness.shown('waiting_starts', queue=queue) == 0
-    assert harness.shown('start_turn_seconds_count', queue=queue) == 3
-    assert harness.shown('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
+    assert harness.metric_value('waiting_starts', queue=queue) == 0
+    assert harness.metric_value('start_turn_seconds_count', queue=queue) == 3
+    assert harness.metric_value('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
     assert not lines
 
 
@@ -93,7 +93,7 @@
         return harness.turns.other.value
 
     assert anyio.run(run) == 1
-    assert harness.shown('waiting_starts', queue='other') == 0
+    assert harness.metric_value('waiting_starts', queue='other') == 0
 
 
 def test_runs_without_an_answer_are_shown_until_they_are_confirmed_or_the_owner_is_replaced():
@@ -110,13 +110,13 @@
     gauges = LoadGauges(scheduler, harness.metrics)
     with gauges:
         gauges.update(1001.5)
-        assert harness.shown('unconfirmed_runs') == 2
-        assert harness.shown('oldest_unconfirmed_run_seconds') == 1.5
+        assert harness.metric_value('unconfirmed_runs') == 2
+        assert harness.metric_value('oldest_unconfirmed_run_seconds') == 1.5
         scheduler.run_started('w', starts[0].key, starts[0].run, now)
         gauges.update(1001.6)
-        assert harness.shown('unconfirmed_runs') == 2
+        assert harness.metric_value('unconfirmed_runs') == 2
         gauges.update(1002.0)
-        assert harness.shown('unconfirmed_runs') == 1
-        assert harness.shown('active_jobs') == 1
-    assert harness.shown('unconfirmed_runs') == 0
-    assert harness.shown('active_jobs') == 0
+        assert harness.metric_value('unconfirmed_runs') == 1
+        assert harness.metric_value('active_jobs') == 1
+    assert harness.metric_value('unconfirmed_runs') == 0
+    assert harness.metric_value('active_jobs') == 0
