--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -32,7 +32,7 @@
     def metric_value(self, name, **labels):
         return self.metrics.registry.get_sample_value(f'dahliaarch_{name}', labels)
 
-    async def take_turn(self, rank):
+    async def use_slot(self, rank):
         async with self.queue.slot(StartRun('w', KEY, 1, '', rank, 1.0, '')):
             pass
 
@@ -43,7 +43,7 @@
         await turn.acquire()
         async with anyio.create_task_group() as tasks:
             for _ in range(starts):
-                tasks.start_soon(self.take_turn, rank)
+                tasks.start_soon(self.use_slot, rank)
             await anyio.wait_all_tasks_blocked()
             waiting = self.metric_value('waiting_starts', queue=queue)
             self.now_s += waited_s
@@ -88,7 +88,7 @@
     async def run():
         await harness.turns.other.acquire()
         with anyio.move_on_after(0.05):
-            await harness.take_turn(RANK_ORDINARY)
+            await harness.use_slot(RANK_ORDINARY)
         harness.turns.other.release()
         return harness.turns.other.value
 
