--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -36,7 +36,7 @@
         async with self.queue.slot(StartRun('w', KEY, 1, '', rank, 1.0, '')):
             pass
 
-    async def play(self, waited_s, starts=3, rank=RANK_ORDINARY):
+    async def run_starts(self, waited_s, starts=3, rank=RANK_ORDINARY):
         """Let starts wait for so long behind another; return how many waited."""
         turn = self.turns.urgent if rank == RANK_URGENT else self.turns.other
         queue = 'urgent' if rank == RANK_URGENT else 'other'
@@ -61,7 +61,7 @@
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
 def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
     harness = LimiterHarness()
-    assert anyio.run(harness.play, 0.4, 3, rank) == 3
+    assert anyio.run(harness.run_starts, 0.4, 3, rank) == 3
     assert harness.metric_value('waiting_starts', queue=queue) == 0
     assert harness.metric_value('start_turn_seconds_count', queue=queue) == 3
     assert harness.metric_value('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
@@ -72,8 +72,8 @@
     harness = LimiterHarness()
 
     async def run():
-        await harness.play(1.5)
-        await harness.play(1.2)
+        await harness.run_starts(1.5)
+        await harness.run_starts(1.2)
 
     anyio.run(run)
     assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in lines] == [
