--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -25,8 +25,8 @@
     def __init__(self):
         self.now_s = 100.0
         self.metrics = Metrics()
-        self.turns = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
-        context = SimpleNamespace(metrics=self.metrics, start_limits=self.turns, clock=lambda: self.now_s)
+        self.limits = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
+        context = SimpleNamespace(metrics=self.metrics, start_limits=self.limits, clock=lambda: self.now_s)
         self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
     def metric_value(self, name, **labels):
@@ -38,7 +38,7 @@
 
     async def run_starts(self, waited_s, starts=3, rank=RANK_ORDINARY):
         """Let starts wait for so long behind another; return how many waited."""
-        turn = self.turns.urgent if rank == RANK_URGENT else self.turns.other
+        turn = self.limits.urgent if rank == RANK_URGENT else self.limits.other
         queue = 'urgent' if rank == RANK_URGENT else 'other'
         await turn.acquire()
         async with anyio.create_task_group() as tasks:
@@ -86,11 +86,11 @@
     harness = LimiterHarness()
 
     async def run():
-        await harness.turns.other.acquire()
+        await harness.limits.other.acquire()
         with anyio.move_on_after(0.05):
             await harness.use_slot(RANK_ORDINARY)
-        harness.turns.other.release()
-        return harness.turns.other.value
+        harness.limits.other.release()
+        return harness.limits.other.value
 
     assert anyio.run(run) == 1
     assert harness.metric_value('waiting_starts', queue='other') == 0
