--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -38,16 +38,16 @@
 
     async def run_starts(self, waited_s, starts=3, rank=RANK_ORDINARY):
         """Let starts wait for so long behind another; return how many waited."""
-        turn = self.limits.urgent if rank == RANK_URGENT else self.limits.other
+        limit = self.limits.urgent if rank == RANK_URGENT else self.limits.other
         queue = 'urgent' if rank == RANK_URGENT else 'other'
-        await turn.acquire()
+        await limit.acquire()
         async with anyio.create_task_group() as tasks:
             for _ in range(starts):
                 tasks.start_soon(self.use_slot, rank)
             await anyio.wait_all_tasks_blocked()
             waiting = self.metric_value('waiting_starts', queue=queue)
             self.now_s += waited_s
-            turn.release()
+            limit.release()
         return waiting
 
 
