--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -52,23 +52,23 @@
 
 
 @pytest.fixture
-def lines(monkeypatch):
+def log_lines(monkeypatch):
     found = []
     monkeypatch.setattr(start_turns, 'log_event', lambda event, **fields: found.append((event, fields)))
     return found
 
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
-def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
+def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, log_lines):
     harness = LimiterHarness()
     assert anyio.run(harness.run_starts, 0.4, 3, rank) == 3
     assert harness.metric_value('waiting_starts', queue=queue) == 0
     assert harness.metric_value('start_turn_seconds_count', queue=queue) == 3
     assert harness.metric_value('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
-    assert not lines
+    assert not log_lines
 
 
-def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(lines):
+def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(log_lines):
     harness = LimiterHarness()
 
     async def run():
@@ -76,7 +76,7 @@
         await harness.run_starts(1.2)
 
     anyio.run(run)
-    assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in lines] == [
+    assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in log_lines] == [
         ('start_turn_late', 1.5, 1),
         ('start_turn_late', 1.2, 3),
     ]
