--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -82,7 +82,7 @@
     ]
 
 
-def test_a_start_that_is_given_up_while_it_waits_leaves_no_turn_taken():
+def test_a_start_that_is_cancelled_while_it_waits_holds_no_slot():
     harness = LimiterHarness()
 
     async def run():
