--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
-def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, log_lines):
+def test_starts_that_wait_for_a_slot_are_counted_with_their_waits(rank, queue, log_lines):
     harness = LimiterHarness()
     assert anyio.run(harness.run_starts, 0.4, 3, rank) == 3
     assert harness.metric_value('waiting_starts', queue=queue) == 0
