--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -62,7 +62,7 @@
         updated.set()
 
 
-async def stop_and_hear():
+async def measure_stop_report():
     """Return how long after its end the second run is known to have ended, and how often the worker was asked."""
     worker, reported = StoppingWorker(), anyio.Event()
 
@@ -91,7 +91,7 @@
 
 
 def test_the_end_of_a_stopped_run_is_reported_at_once():
-    took_s, surveys = anyio.run(stop_and_hear)
+    took_s, surveys = anyio.run(measure_stop_report)
     assert took_s < 0.04
     # One for the first end, one or two until the second.
     assert surveys <= 4
