--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -74,8 +74,8 @@
         if any(end.key == SECOND for end in message.ended):
             reported.set()
 
-    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
-    context = LinkContext(worker, 7, LinkSettings(), Metrics(), post, lambda: None, time.monotonic, turns)
+    limits = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
+    context = LinkContext(worker, 7, LinkSettings(), Metrics(), post, lambda: None, time.monotonic, limits)
     link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
