--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -57,7 +57,7 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-class Suspended:
+class SuspendableClock:
     """A steady clock that counts the time for which the machine was suspended."""
 
     def __init__(self):
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    found = Suspended()
+    found = SuspendableClock()
     monkeypatch.setattr(core, 'steady_s', found)
     return found
 
