--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -61,10 +61,10 @@
     """A steady clock that counts the time for which the machine was suspended."""
 
     def __init__(self):
-        self.for_s = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self):
-        return steady_s() + self.for_s
+        return steady_s() + self.suspended_s
 
 
 @pytest.fixture
@@ -87,7 +87,7 @@
             with anyio.fail_after(5):
                 while not owner.is_ready:
                     await anyio.sleep(0.01)
-            clock.for_s += SUSPENDED_S
+            clock.suspended_s += SUSPENDED_S
             owner.post(job_update(EPOCH))
             await after_ready(owner)
             tasks.cancel_scope.cancel()
