--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -74,7 +74,7 @@
     return found
 
 
-def play(clock, authority, after_ready):
+def run_suspended_owner(clock, authority, after_ready):
     """Run an owner with authority, suspend its machine, hand it a job; return its workers."""
     workers = Workers()
 
@@ -100,7 +100,7 @@
     async def wait(owner):
         await anyio.sleep(0.5)
 
-    assert not play(clock, Authority(LEASE_S), wait).starts
+    assert not run_suspended_owner(clock, Authority(LEASE_S), wait).starts
 
 
 def test_it_goes_on_as_soon_as_it_is_confirmed(clock):
@@ -111,7 +111,7 @@
         authority.confirm(clock())
         await anyio.sleep(0.5)
 
-    assert play(clock, authority, confirm).starts == [TaskKey(NEW, 0, 0, 0)]
+    assert run_suspended_owner(clock, authority, confirm).starts == [TaskKey(NEW, 0, 0, 0)]
 
 
 def test_it_renews_no_lease_on_a_worker_meanwhile(clock):
@@ -123,7 +123,7 @@
         woken.append(time.monotonic())
         await anyio.sleep(0.5)
 
-    workers = play(clock, Authority(LEASE_S), wait)
+    workers = run_suspended_owner(clock, Authority(LEASE_S), wait)
     assert workers.leases_at
     assert max(workers.leases_at) < woken[0]
 
@@ -133,7 +133,7 @@
         owner._links.get('w0').start(StartRun('w0', TaskKey(NEW, 0, 0, 0), 1, ''), '')
         await anyio.sleep(0.2)
 
-    assert not play(clock, Authority(LEASE_S), start).starts
+    assert not run_suspended_owner(clock, Authority(LEASE_S), start).starts
 
 
 class SilentStore:
