--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -116,16 +116,16 @@
 
 def test_it_renews_no_lease_on_a_worker_meanwhile(clock):
     """A successor waits for the leases that were given before it took the pool, and for no later ones."""
-    woken = []
+    resumed_at_s = []
 
     async def wait(owner):
         await anyio.sleep(0.1)
-        woken.append(time.monotonic())
+        resumed_at_s.append(time.monotonic())
         await anyio.sleep(0.5)
 
     workers = run_suspended_owner(clock, Authority(LEASE_S), wait)
     assert workers.leases_at
-    assert max(workers.leases_at) < woken[0]
+    assert max(workers.leases_at) < resumed_at_s[0]
 
 
 def test_a_start_whose_turn_comes_after_the_machine_woke_is_not_sent(clock):
