--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -42,12 +42,12 @@
 
     def __init__(self):
         self.starts = []
-        self.leases_at = []
+        self.renewed_at_s = []
         self.running = ()
 
     async def survey(self, address, incarnation, *, lease_until_s, **options):
         if lease_until_s is not None:
-            self.leases_at.append(time.monotonic())
+            self.renewed_at_s.append(time.monotonic())
         await anyio.sleep(0.05)
         return Survey(time.monotonic(), self.running, ())
 
@@ -124,8 +124,8 @@
         await anyio.sleep(0.5)
 
     workers = run_suspended_owner(clock, Authority(LEASE_S), wait)
-    assert workers.leases_at
-    assert max(workers.leases_at) < resumed_at_s[0]
+    assert workers.renewed_at_s
+    assert max(workers.renewed_at_s) < resumed_at_s[0]
 
 
 def test_a_start_whose_turn_comes_after_the_machine_woke_is_not_sent(clock):
