--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -152,7 +152,7 @@
     assert not authority.holds(steady_s())
 
 
-class Peers:
+class StubPeers:
     """Peers that answer heartbeats, or don't."""
 
     def __init__(self, replies):
@@ -196,7 +196,7 @@
 )
 def test_while_the_store_is_away_most_instances_confirm_an_owner(replies, holds):
     authority = Authority(LEASE_S)
-    anyio.run(membership_with(Peers(replies), authority)._heartbeat_all, EPOCH)
+    anyio.run(membership_with(StubPeers(replies), authority)._heartbeat_all, EPOCH)
     assert authority.holds(steady_s()) is holds
 
 
@@ -209,7 +209,7 @@
     outdated = []
 
     async def run():
-        peers = Peers([HeartbeatReply(1, EPOCH + 1), HeartbeatReply(1, EPOCH + 1)])
+        peers = StubPeers([HeartbeatReply(1, EPOCH + 1), HeartbeatReply(1, EPOCH + 1)])
         await membership_with(peers, Authority(LEASE_S), outdated.append)._heartbeat_all(EPOCH)
 
     anyio.run(run)
