--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -174,7 +174,7 @@
         """Take in a version."""
 
 
-def membership_with(peers, authority, outdated=lambda epoch: None):
+def make_membership(peers, authority, outdated=lambda epoch: None):
     found = Membership(
         Member('i', 'a', 'h', 99), None, StoreTiming(), Follower(), PeerFeed(), peers, authority, outdated
     )
@@ -196,7 +196,7 @@
 )
 def test_while_the_store_is_away_most_instances_confirm_an_owner(replies, holds):
     authority = Authority(LEASE_S)
-    anyio.run(membership_with(StubPeers(replies), authority)._heartbeat_all, EPOCH)
+    anyio.run(make_membership(StubPeers(replies), authority)._heartbeat_all, EPOCH)
     assert authority.holds(steady_s()) is holds
 
 
@@ -210,7 +210,7 @@
 
     async def run():
         peers = StubPeers([HeartbeatReply(1, EPOCH + 1), HeartbeatReply(1, EPOCH + 1)])
-        await membership_with(peers, Authority(LEASE_S), outdated.append)._heartbeat_all(EPOCH)
+        await make_membership(peers, Authority(LEASE_S), outdated.append)._heartbeat_all(EPOCH)
 
     anyio.run(run)
     assert outdated == [EPOCH + 1] * 2
