--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -31,7 +31,7 @@
 from ..settings import OwnerSettings
 from .sessions import Sessions
 from .test_takeover import EPOCH, KeptStore, LONGEST_LEASE_S, NEW, worker_entry
-from .test_two_owners import job_update
+from .test_two_owners import make_job_listed
 
 LEASE_S = 2.0
 SUSPENDED_S = 5.0
@@ -88,7 +88,7 @@
                 while not owner.is_ready:
                     await anyio.sleep(0.01)
             clock.suspended_s += SUSPENDED_S
-            owner.post(job_update(EPOCH))
+            owner.post(make_job_listed(EPOCH))
             await after_ready(owner)
             tasks.cancel_scope.cancel()
 
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -65,7 +65,7 @@
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
-def job_update(owner_epoch):
+def make_job_listed(owner_epoch):
     """Return a job that was accepted after the successor took the pool, by an instance that knew some owner."""
     spec = JobSpec(NEW, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
     return JobListed(spec, QUEUE, SUCCESSOR + 7, owner_epoch)
@@ -90,7 +90,7 @@
                 tasks.start_soon(owner.run)
                 await ready(owner)
             for owner in (old, new):
-                owner.post(job_update(owner_epoch))
+                owner.post(make_job_listed(owner_epoch))
             await anyio.sleep(within_s)
             tasks.cancel_scope.cancel()
 
@@ -112,5 +112,5 @@
 
 
 def test_a_record_from_before_owners_were_named_names_none():
-    spec = job_update(0).spec
+    spec = make_job_listed(0).spec
     assert decode(encode((spec, QUEUE)), JobRecord, 'job record') == JobRecord(spec, QUEUE, 0)
