--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -103,7 +103,7 @@
     assert not run_suspended_owner(clock, Authority(LEASE_S), wait).starts
 
 
-def test_it_goes_on_as_soon_as_it_is_confirmed(clock):
+def test_a_suspended_owner_resumes_as_soon_as_it_is_confirmed(clock):
     authority = Authority(LEASE_S)
 
     async def confirm(owner):
