--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -114,7 +114,7 @@
     assert run_suspended_owner(clock, authority, confirm).starts == [TaskKey(NEW, 0, 0, 0)]
 
 
-def test_it_renews_no_lease_on_a_worker_meanwhile(clock):
+def test_a_suspended_owner_renews_no_worker_lease_before_it_is_confirmed(clock):
     """A successor waits for the leases that were given before it took the pool, and for no later ones."""
     resumed_at_s = []
 
