--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -128,7 +128,7 @@
     assert max(workers.renewed_at_s) < resumed_at_s[0]
 
 
-def test_a_start_whose_turn_comes_after_the_machine_woke_is_not_sent(clock):
+def test_a_start_that_gets_its_slot_after_the_machine_resumed_is_not_sent(clock):
     async def start(owner):
         owner._links.get('w0').start(StartRun('w0', TaskKey(NEW, 0, 0, 0), 1, ''), '')
         await anyio.sleep(0.2)
