--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -234,7 +234,7 @@
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
 
 
-class LosingWorkers(Workers):
+class LossyWorkers(Workers):
     """Workers that leave so many surveys without an answer before they answer one."""
 
     def __init__(self, lost_by_id):
@@ -252,7 +252,7 @@
 def test_jobs_of_the_owner_before_do_not_wait_long_where_some_answers_are_lost():
     # Each answer that a worker owed was waited for twice as long as the one before, and every job of a previous owner
     # waited for the last worker.
-    workers = LosingWorkers({'w0': 4})
+    workers = LossyWorkers({'w0': 4})
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
