--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -237,13 +237,13 @@
 class LossyWorkers(Workers):
     """Workers that leave so many surveys without an answer before they answer one."""
 
-    def __init__(self, lost_by_id):
+    def __init__(self, unanswered_by_id):
         super().__init__()
-        self.lost_by_id = lost_by_id
+        self.unanswered_by_id = unanswered_by_id
 
     async def survey(self, address, incarnation, *, timeout_s, **options):
-        if self.lost_by_id.get(incarnation, 0):
-            self.lost_by_id[incarnation] -= 1
+        if self.unanswered_by_id.get(incarnation, 0):
+            self.unanswered_by_id[incarnation] -= 1
             await anyio.sleep(timeout_s)
             raise WorkerUnansweredError('lost')
         return await super().survey(address, incarnation, **options)
