--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -258,7 +258,7 @@
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
 
-class RefusingWorkers(Workers):
+class UnhealthyWorkers(Workers):
     """Workers of which one answers every call with the word that it is not well."""
 
     async def survey(self, address, incarnation, **options):
@@ -269,7 +269,7 @@
 
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # Nobody tells a new owner that the job has never been started, so that it may run on that worker.
-    workers = RefusingWorkers()
+    workers = UnhealthyWorkers()
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
     assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
