--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -188,11 +188,11 @@
     # They were taken in without a pause, and nothing else was answered for tenths of a second.
     known = set()
 
-    def note_known(owner):
+    def record_job_count(owner):
         known.add(len(owner.scheduler.job_by_id))
         return owner.is_ready
 
-    anyio.run(take_over, KeptStore(many_jobs()), Workers(), note_known, 30.0)
+    anyio.run(take_over, KeptStore(many_jobs()), Workers(), record_job_count, 30.0)
     assert len(known - {0, MANY + 1}) >= 3
 
 
