--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -32,7 +32,7 @@
 JOB = TaskKey(NEW, 0, 0, 0)
 
 
-class SplitWorkers(Sessions):
+class PartitionedWorkers(Sessions):
     """Two workers: the successor does not reach the first of them."""
 
     def __init__(self):
@@ -79,7 +79,7 @@
 
 def starts_with_two_owners(owner_epoch, within_s):
     """Return the starts of a job that both owners know of."""
-    workers = SplitWorkers()
+    workers = PartitionedWorkers()
 
     async def run():
         old = owner_of(EPOCH, KeptStore([worker_entry('w0')]), workers)
