--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -40,22 +40,22 @@
         self.running_by_id = {'w0': (), 'w1': ()}
 
     async def survey(self, address, incarnation, *, fence, wait_s, **options):
-        self._reach(incarnation, fence)
+        self._check_reachable(incarnation, fence)
         await anyio.sleep(min(wait_s, 0.05))
         return Survey(time.monotonic(), self.running_by_id[incarnation], ())
 
     async def start(self, address, incarnation, order, *, fence, timeout_s):
-        self._reach(incarnation, fence)
+        self._check_reachable(incarnation, fence)
         self.starts.append((incarnation, order.key, fence))
         self.running_by_id[incarnation] += (ListedRun(order.key, order.run, '', 1.0),)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
-        self._reach(incarnation, fence)
+        self._check_reachable(incarnation, fence)
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
     @staticmethod
-    def _reach(incarnation, fence):
+    def _check_reachable(incarnation, fence):
         if incarnation == 'w0' and fence >= fence_of(SUCCESSOR, 0):
             raise WorkerUnreachableError('cut off')
 
