--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -60,7 +60,7 @@
             raise WorkerUnreachableError('cut off')
 
 
-def owner_of(epoch, store, workers):
+def make_owner(epoch, store, workers):
     settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
@@ -82,9 +82,9 @@
     workers = PartitionedWorkers()
 
     async def run():
-        old = owner_of(EPOCH, KeptStore([worker_entry('w0')]), workers)
+        old = make_owner(EPOCH, KeptStore([worker_entry('w0')]), workers)
         # The old owner kept a roster, and no assignments that its successor could read.
-        new = owner_of(SUCCESSOR, KeptStore([worker_entry('w0'), worker_entry('w1'), roster('w0')]), workers)
+        new = make_owner(SUCCESSOR, KeptStore([worker_entry('w0'), worker_entry('w1'), roster('w0')]), workers)
         async with anyio.create_task_group() as tasks:
             for owner in (old, new):
                 tasks.start_soon(owner.run)
