--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -71,7 +71,7 @@
     return JobListed(spec, QUEUE, SUCCESSOR + 7, owner_epoch)
 
 
-async def ready(owner):
+async def wait_ready(owner):
     with anyio.fail_after(5):
         while not owner.is_ready:
             await anyio.sleep(0.01)
@@ -88,7 +88,7 @@
         async with anyio.create_task_group() as tasks:
             for owner in (old, new):
                 tasks.start_soon(owner.run)
-                await ready(owner)
+                await wait_ready(owner)
             for owner in (old, new):
                 owner.post(make_job_listed(owner_epoch))
             await anyio.sleep(within_s)
