--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -17,7 +17,7 @@
 from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
 from .sessions import Sessions
 
-TURNS = 32
+START_LIMIT = 32
 # Accelerators of a worker, each of which gets a task.
 ACCELERATORS = 8
 # A ready task must run within this time where the pool has room for it.
@@ -94,7 +94,7 @@
     def __init__(self, workers):
         self.workers = workers
         self.told_at_s = {}
-        self._turns = StartLimits(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
+        self._turns = StartLimits(anyio.Semaphore(START_LIMIT), anyio.Semaphore(START_LIMIT))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
     def run_in(self, tasks):
