--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -23,7 +23,7 @@
 # A ready task must run within this time where the pool has room for it.
 MAX_STALL_S = 3.0
 # Of that, what is left to a start on another worker.
-SECOND_START_S = 0.5
+RETRY_START_S = 0.5
 # Workers that leave starts unanswered, of 176 in all.
 UNANSWERING = 22
 JOB_ID = 'a' * 16
@@ -162,7 +162,7 @@
             never = RunRuledOut('w0', start.key, start.run)
             told_s = await pool.wait_told(never, MAX_STALL_S)
             assert told_s is not None
-            assert told_s - begun_s < MAX_STALL_S - SECOND_START_S
+            assert told_s - begun_s < MAX_STALL_S - RETRY_START_S
 
     play([Worker(answers_stops=True)], scenario)
 
@@ -176,7 +176,7 @@
         pool.links[0].start(start, '')
         told_s = await pool.wait_told(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * MAX_STALL_S)
         assert told_s is not None
-        assert told_s - begun_s < MAX_STALL_S - SECOND_START_S
+        assert told_s - begun_s < MAX_STALL_S - RETRY_START_S
 
     play([Worker(answers_stops=answers_stops)], scenario)
 
