--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -25,7 +25,7 @@
 # Of that, what is left to a start on another worker.
 RETRY_START_S = 0.5
 # Workers that leave starts unanswered, of 176 in all.
-UNANSWERING = 22
+UNRESPONSIVE_WORKERS = 22
 JOB_ID = 'a' * 16
 
 
@@ -134,7 +134,7 @@
 
 
 def test_starts_do_not_wait_for_their_turn_behind_those_of_workers_that_answer_none():
-    workers = [Worker(answers_stops=True) for _ in range(UNANSWERING)]
+    workers = [Worker(answers_stops=True) for _ in range(UNRESPONSIVE_WORKERS)]
     workers.append(Worker(answers_starts=True))
 
     async def scenario(pool):
@@ -142,7 +142,7 @@
         for number, link in enumerate(pool.links):
             for index in range(ACCELERATORS):
                 link.start(start_of(f'w{number}', number * ACCELERATORS + index), '')
-        last = start_of(f'w{UNANSWERING}', UNANSWERING * ACCELERATORS + ACCELERATORS - 1)
+        last = start_of(f'w{UNRESPONSIVE_WORKERS}', UNRESPONSIVE_WORKERS * ACCELERATORS + ACCELERATORS - 1)
         told_s = await pool.wait_told(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
         assert told_s is not None
         assert told_s - begun_s < 1.0
