--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -93,7 +93,7 @@
 
     def __init__(self, workers):
         self.workers = workers
-        self.told_at_s = {}
+        self.posted_at_s = {}
         self._turns = StartLimits(anyio.Semaphore(START_LIMIT), anyio.Semaphore(START_LIMIT))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
@@ -105,15 +105,15 @@
     async def wait_told(self, message, timeout_s):
         """Return when a message was told."""
         with anyio.move_on_after(timeout_s):
-            while message not in self.told_at_s:
+            while message not in self.posted_at_s:
                 await anyio.sleep(0.005)
-        return self.told_at_s.get(message)
+        return self.posted_at_s.get(message)
 
     def _post(self, message):
         if isinstance(message, WorkerSurveyed):
             self.links[int(message.worker_id[1:])].acknowledge(message.last_end)
         if isinstance(message, RunRuledOut | StartAcknowledged):
-            self.told_at_s.setdefault(message, anyio.current_time())
+            self.posted_at_s.setdefault(message, anyio.current_time())
 
     def _link(self, number, worker):
         settings = LinkSettings(lease_s=6.0)
@@ -191,7 +191,7 @@
         pool.links[0].start(start, '')
         await anyio.sleep(4.0)
         has_started = start.key in worker.running
-        is_given_up = any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
+        is_given_up = any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
         assert has_started is not is_given_up
 
     play([worker], scenario)
@@ -207,6 +207,6 @@
         pool.links[0].start(start_of('w0', 0), '')
         await anyio.sleep(4.0)
         assert not worker.stopped
-        assert not any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
+        assert not any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
 
     play([worker], scenario)
