--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -143,9 +143,9 @@
             for index in range(ACCELERATORS):
                 link.start(start_of(f'w{number}', number * ACCELERATORS + index), '')
         last = start_of(f'w{UNRESPONSIVE_WORKERS}', UNRESPONSIVE_WORKERS * ACCELERATORS + ACCELERATORS - 1)
-        told_s = await pool.wait_posted(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
-        assert told_s is not None
-        assert told_s - begun_s < 1.0
+        posted_s = await pool.wait_posted(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
+        assert posted_s is not None
+        assert posted_s - begun_s < 1.0
 
     play(workers, scenario)
 
@@ -160,9 +160,9 @@
             pool.links[0].start(start, '')
         for start in starts:
             never = RunRuledOut('w0', start.key, start.run)
-            told_s = await pool.wait_posted(never, MAX_STALL_S)
-            assert told_s is not None
-            assert told_s - begun_s < MAX_STALL_S - RETRY_START_S
+            posted_s = await pool.wait_posted(never, MAX_STALL_S)
+            assert posted_s is not None
+            assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
     play([Worker(answers_stops=True)], scenario)
 
@@ -174,9 +174,9 @@
     async def scenario(pool):
         begun_s, start = anyio.current_time(), start_of('w0', 0)
         pool.links[0].start(start, '')
-        told_s = await pool.wait_posted(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * MAX_STALL_S)
-        assert told_s is not None
-        assert told_s - begun_s < MAX_STALL_S - RETRY_START_S
+        posted_s = await pool.wait_posted(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * MAX_STALL_S)
+        assert posted_s is not None
+        assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
     play([Worker(answers_stops=answers_stops)], scenario)
 
