--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -83,7 +83,7 @@
         return OrderReply(OrderStatus.DONE, anyio.current_time())
 
 
-def start_of(worker_id, number):
+def make_start(worker_id, number):
     key = TaskKey(JOB_ID, 0, 0, number)
     return StartRun(worker_id, key, number + 1, '', RANK_ORDINARY, 1.0, '')
 
@@ -141,8 +141,8 @@
         begun_s = anyio.current_time()
         for number, link in enumerate(pool.links):
             for index in range(ACCELERATORS):
-                link.start(start_of(f'w{number}', number * ACCELERATORS + index), '')
-        last = start_of(f'w{UNRESPONSIVE_WORKERS}', UNRESPONSIVE_WORKERS * ACCELERATORS + ACCELERATORS - 1)
+                link.start(make_start(f'w{number}', number * ACCELERATORS + index), '')
+        last = make_start(f'w{UNRESPONSIVE_WORKERS}', UNRESPONSIVE_WORKERS * ACCELERATORS + ACCELERATORS - 1)
         posted_s = await pool.wait_posted(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
         assert posted_s is not None
         assert posted_s - begun_s < 1.0
@@ -155,7 +155,7 @@
 
     async def scenario(pool):
         begun_s = anyio.current_time()
-        starts = [start_of('w0', index) for index in range(3 * ACCELERATORS)]
+        starts = [make_start('w0', index) for index in range(3 * ACCELERATORS)]
         for start in starts:
             pool.links[0].start(start, '')
         for start in starts:
@@ -172,7 +172,7 @@
     """It held its task and room for good where stops got no answer either."""
 
     async def scenario(pool):
-        begun_s, start = anyio.current_time(), start_of('w0', 0)
+        begun_s, start = anyio.current_time(), make_start('w0', 0)
         pool.links[0].start(start, '')
         posted_s = await pool.wait_posted(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * MAX_STALL_S)
         assert posted_s is not None
@@ -187,7 +187,7 @@
     worker = Worker(late_s=late_s)
 
     async def scenario(pool):
-        start = start_of('w0', 0)
+        start = make_start('w0', 0)
         pool.links[0].start(start, '')
         await anyio.sleep(4.0)
         has_started = start.key in worker.running
@@ -204,7 +204,7 @@
     worker = Worker(answers_stops=answers_stops, late_s=late_s, work_s=0.05)
 
     async def scenario(pool):
-        pool.links[0].start(start_of('w0', 0), '')
+        pool.links[0].start(make_start('w0', 0), '')
         await anyio.sleep(4.0)
         assert not worker.stopped
         assert not any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
