--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -121,7 +121,7 @@
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
 
-def play(workers, scenario):
+def run_scenario(workers, scenario):
     async def run():
         pool = Pool(workers)
         async with anyio.create_task_group() as tasks:
@@ -147,7 +147,7 @@
         assert posted_s is not None
         assert posted_s - begun_s < 1.0
 
-    play(workers, scenario)
+    run_scenario(workers, scenario)
 
 
 def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_given_back_in_time():
@@ -164,7 +164,7 @@
             assert posted_s is not None
             assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
-    play([Worker(answers_stops=True)], scenario)
+    run_scenario([Worker(answers_stops=True)], scenario)
 
 
 @pytest.mark.parametrize('answers_stops', [True, False])
@@ -178,7 +178,7 @@
         assert posted_s is not None
         assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
-    play([Worker(answers_stops=answers_stops)], scenario)
+    run_scenario([Worker(answers_stops=answers_stops)], scenario)
 
 
 @pytest.mark.parametrize('late_s', [0.5, 1.4, 1.9, 2.5])
@@ -194,7 +194,7 @@
         is_given_up = any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
         assert has_started is not is_given_up
 
-    play([worker], scenario)
+    run_scenario([worker], scenario)
 
 
 @pytest.mark.parametrize('answers_stops', [True, False])
@@ -209,4 +209,4 @@
         assert not worker.stopped
         assert not any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
 
-    play([worker], scenario)
+    run_scenario([worker], scenario)
