--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -32,10 +32,10 @@
 class Worker(Sessions):
     """A worker that answers surveys, and orders if told so; it carries out late starts while their lease lasts."""
 
-    def __init__(self, *, answers_starts=False, answers_stops=False, late_s=None, work_s=60.0):
+    def __init__(self, *, answers_starts=False, answers_stops=False, start_delay_s=None, work_s=60.0):
         self.answers_starts = answers_starts
         self.answers_stops = answers_stops
-        self.late_s = late_s
+        self.start_delay_s = start_delay_s
         self.work_s = work_s
         self.ended = []
         self.highest = 0
@@ -57,13 +57,13 @@
             await anyio.sleep(0.002)
             self.running[order.key] = order.run
             return OrderReply(OrderStatus.DONE, anyio.current_time())
-        if self.late_s is not None:
+        if self.start_delay_s is not None:
             self.tasks.start_soon(self._start_late, order)
         await anyio.sleep(timeout_s)
         raise WorkerUnansweredError('silent')
 
     async def _start_late(self, order):
-        await anyio.sleep(self.late_s)
+        await anyio.sleep(self.start_delay_s)
         is_stopped = (order.key, order.run) in self.stopped
         if anyio.current_time() >= order.lease_until_s or is_stopped or order.run <= self.highest:
             return
@@ -181,10 +181,10 @@
     run_scenario([Worker(answers_stops=answers_stops)], scenario)
 
 
-@pytest.mark.parametrize('late_s', [0.5, 1.4, 1.9, 2.5])
-def test_a_run_that_started_late_is_not_given_up(late_s):
+@pytest.mark.parametrize('start_delay_s', [0.5, 1.4, 1.9, 2.5])
+def test_a_run_that_started_late_is_not_given_up(start_delay_s):
     """Nothing but an acknowledged stop or the end of its lease rules a late start out."""
-    worker = Worker(late_s=late_s)
+    worker = Worker(start_delay_s=start_delay_s)
 
     async def scenario(pool):
         start = make_start('w0', 0)
@@ -198,10 +198,10 @@
 
 
 @pytest.mark.parametrize('answers_stops', [True, False])
-@pytest.mark.parametrize('late_s', [0.0, 0.4])
-def test_a_run_whose_end_a_survey_listed_is_neither_stopped_nor_given_up(answers_stops, late_s):
+@pytest.mark.parametrize('start_delay_s', [0.0, 0.4])
+def test_a_run_whose_end_a_survey_listed_is_neither_stopped_nor_given_up(answers_stops, start_delay_s):
     """Its start got no answer, but what became of it is known."""
-    worker = Worker(answers_stops=answers_stops, late_s=late_s, work_s=0.05)
+    worker = Worker(answers_stops=answers_stops, start_delay_s=start_delay_s, work_s=0.05)
 
     async def scenario(pool):
         pool.links[0].start(make_start('w0', 0), '')
