--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -58,11 +58,11 @@
             self.running[order.key] = order.run
             return OrderReply(OrderStatus.DONE, anyio.current_time())
         if self.start_delay_s is not None:
-            self.tasks.start_soon(self._start_late, order)
+            self.tasks.start_soon(self._start_delayed, order)
         await anyio.sleep(timeout_s)
         raise WorkerUnansweredError('silent')
 
-    async def _start_late(self, order):
+    async def _start_delayed(self, order):
         await anyio.sleep(self.start_delay_s)
         is_stopped = (order.key, order.run) in self.stopped
         if anyio.current_time() >= order.lease_until_s or is_stopped or order.run <= self.highest:
