--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -94,7 +94,7 @@
     def __init__(self, workers):
         self.workers = workers
         self.posted_at_s = {}
-        self._turns = StartLimits(anyio.Semaphore(START_LIMIT), anyio.Semaphore(START_LIMIT))
+        self._limits = StartLimits(anyio.Semaphore(START_LIMIT), anyio.Semaphore(START_LIMIT))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
     def run_in(self, tasks):
@@ -117,7 +117,7 @@
 
     def _link(self, number, worker):
         settings = LinkSettings(lease_s=6.0)
-        context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._turns)
+        context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._limits)
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
 
