--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -159,8 +159,8 @@
         for start in starts:
             pool.links[0].start(start, '')
         for start in starts:
-            never = RunRuledOut('w0', start.key, start.run)
-            posted_s = await pool.wait_posted(never, MAX_STALL_S)
+            ruled_out = RunRuledOut('w0', start.key, start.run)
+            posted_s = await pool.wait_posted(ruled_out, MAX_STALL_S)
             assert posted_s is not None
             assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
