--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -133,7 +133,7 @@
     anyio.run(run)
 
 
-def test_starts_do_not_wait_for_their_turn_behind_those_of_workers_that_answer_none():
+def test_starts_do_not_wait_for_slots_held_by_unresponsive_workers():
     workers = [Worker(answers_stops=True) for _ in range(UNRESPONSIVE_WORKERS)]
     workers.append(Worker(answers_starts=True))
 
