--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -150,7 +150,7 @@
     run_scenario(workers, scenario)
 
 
-def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_given_back_in_time():
+def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_ruled_out_in_time():
     """Their tasks may run on any other worker meanwhile."""
 
     async def scenario(pool):
