--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -1,4 +1,4 @@
-"""Workers whose leases had ended in silence before a takeover, or end after it."""
+"""Tests of workers whose leases ended without an answer, before a takeover or after it."""
 
 import time
 
@@ -35,13 +35,13 @@
 
 
 class RecordingStore(KeptStore):
-    """A store that notes whether a worker is lapsed by each roster that it takes, and can fall silent."""
+    """A store that records, per roster written, whether worker w0 is marked as lapsed, and that can stop answering."""
 
     def __init__(self, items, workers):
         super().__init__(items)
         self.workers = workers
         self.is_silent = False
-        # Whether w0 is lapsed by the roster, and how many starts had been ordered by then.
+        # Per roster: whether it marks w0 as lapsed, and the number of starts ordered until then.
         self.recorded_rosters = []
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
@@ -56,7 +56,7 @@
 
 
 class SlowCommitStore(KeptStore):
-    """A store that needs longer for a write than the roster stays as it is."""
+    """A store whose writes take longer than the interval between two changes of the roster."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         await anyio.sleep(0.3)
@@ -64,7 +64,7 @@
 
 
 class UnresponsiveWorkers(Workers):
-    """Workers of which one cannot be reached, or answers nothing."""
+    """Workers of which one, w0, is unreachable or does not answer."""
 
     def __init__(self, failure):
         super().__init__()
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize('is_lapsed', [True, False])
 def test_jobs_of_the_owner_before_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
-    # After a takeover every such job stood for 8.2 s beside an idle pool, though the worker had long been given up.
+    # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     items = [kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
@@ -89,7 +89,7 @@
 
 
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
-    # Else a next owner would start its tasks elsewhere while they run there.
+    # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
     store = RecordingStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
     store.is_silent = True
@@ -128,7 +128,7 @@
 
 
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
-    # It waited for a moment at which the store held the whole roster as it was.
+    # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
     store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
     listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize('failure', [WorkerUnreachableError, WorkerUnansweredError])
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
-    # The first roster of an owner said that it was not, before it counted as silent.
+    # The first roster that a new owner wrote marked the worker as not lapsed, since it did not count as silent yet.
     workers = UnresponsiveWorkers(failure)
     store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
