--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -1,4 +1,4 @@
-"""What an owner may conclude from answers of a worker, and from their absence."""
+"""Tests of what a worker link concludes from answers of its worker and from missing answers."""
 
 import time
 
@@ -28,7 +28,7 @@
 
 
 class DisconnectedWorker(Sessions):
-    """A worker that answers one survey and can't be reached after that."""
+    """A worker that answers one survey and fails all later ones."""
 
     def __init__(self, failure):
         self.failure = failure
@@ -43,7 +43,7 @@
 
 
 class Owner:
-    """What a link tells its owner."""
+    """An owner that records the messages of a link."""
 
     def __init__(self):
         self.posted = []
@@ -57,7 +57,7 @@
 
 
 def run_until_silent(failure, lease, *, is_draining=False):
-    """Return what a link tells of a worker that fails so, until it is known as silent."""
+    """Run a link until it reports its worker as silent; return the owner with the posted messages."""
 
     async def survey():
         owner = Owner()
@@ -85,16 +85,16 @@
 
 
 def test_a_worker_that_leaves_is_not_over_while_its_connections_fail():
-    """A task ran twice: on a worker behind a cut and on another.
-
-    A worker says that it leaves; then a cut parts it from the instances and from
-    the store. Its entry lapses, and connections to it fail or are refused, just as
-    if it had left. It was taken for over at once and its tasks were ordered
-    elsewhere: in the owner's log `worker_listed` with `draining`, `worker_silent`
-    after 0.30 s, `worker_unlisted`, `worker_over` 0.15 s later and `run_ordered` for
-    the same tasks 1 ms after that. But it runs on until its lease ends, up to the
-    longest lease after the last survey before it said that it leaves. Only that
-    end, or another incarnation at its address, tells that nothing runs there.
+    """A task ran on two workers at once, one of them draining and partitioned from the pool.
+
+    The worker announces that it drains; then a network partition separates it from
+    the instances and the store. Its entry expires and connections to it fail or are
+    refused, as if it had exited. The owner took it for over at once and started its
+    tasks elsewhere: `worker_listed` with `draining`, `worker_silent` after 0.30 s,
+    `worker_unlisted`, `worker_over` 0.15 s later, `run_ordered` for the same tasks
+    1 ms after that. The worker keeps running until its lease ends, up to the longest
+    lease after the last survey before it announced that it drains. Only the end of
+    the lease, or another incarnation at its address, shows that nothing runs there.
     """
     owner = run_until_silent(WorkerUnreachableError('refused'), Lease(), is_draining=True)
     assert not owner.has_been_posted(WorkerOver)
@@ -103,13 +103,14 @@
 @pytest.mark.parametrize('failure', [WorkerUnreachableError('refused'), WorkerUnansweredError('silence')])
 @pytest.mark.parametrize('is_draining', [True, False])
 def test_a_new_owner_waits_for_the_lease_that_an_earlier_one_may_have_given(failure, is_draining):
-    """A task could run twice after a takeover: on a worker that was cut off and on another.
-
-    A previous owner gave a worker the longest lease. The new one learns from the
-    worker once, and then no more. It knew of no lease but its own: none where its
-    second survey finds no connection, and 2 s on a worker that leaves. It ordered
-    the worker's tasks elsewhere after that, while the worker runs them until the
-    earlier lease ends, up to the longest lease after its first answer.
+    """A task could run on two workers after a takeover, one of them disconnected.
+
+    The previous owner granted the worker the longest lease. The new owner gets one
+    answer from the worker and none after that. It considered only the lease that it
+    had granted itself: none if its second survey finds no connection, 2 s on a
+    draining worker. It then started the worker's tasks elsewhere, while the worker
+    runs them until the earlier lease ends, up to the longest lease after its first
+    answer.
     """
     lease = Lease()
     begun_s = time.monotonic()
@@ -119,7 +120,7 @@
 
 
 class LateWorker(Sessions):
-    """A worker whose answers come later than the owner usually waits."""
+    """A worker that answers surveys after a delay, which may exceed the timeout of the owner."""
 
     def __init__(self, delay_s):
         self.delay_s = delay_s
@@ -133,15 +134,15 @@
 
 @pytest.mark.parametrize('timeout_multiple', [1.5, 3.5])
 def test_a_worker_that_answers_late_is_contacted_before_its_lease_ends(timeout_multiple):
-    """A task ran again after its worker had listed its end in answer after answer.
-
-    The owner had little processor time and read answers later than the 0.6 s that a
-    survey waits. It gave each up with its connection, and the next waited no longer:
-    `worker_silent`, though the worker had answered every one. When its lease had
-    ended, the owner ordered the worker's tasks elsewhere, and then an answer came that
-    had listed them as done all the time. What settled it: every such lease had ended
-    0.5 to 1.3 s before the next start, and with surveys that wait longer each time no
-    task ran again (four plays; before, in four of nine).
+    """A task ran again although its worker had listed its end in several answers.
+
+    The owner was short of CPU time and read answers later than the 0.6 s timeout of a
+    survey. It closed the connection each time and retried with the same timeout, which
+    led to `worker_silent` although the worker had answered every survey. Once the lease
+    had ended, the owner started the worker's tasks elsewhere, and then read an answer
+    that listed them as done. Every such lease had ended 0.5 to 1.3 s before the next
+    start. With a timeout that grows per attempt no task ran again in four runs; before,
+    one did in four of nine.
     """
 
     async def survey():
@@ -172,7 +173,7 @@
 
 
 class LossyWorker(Sessions):
-    """A worker of whose answers two of three are lost, or of which those that acknowledge come late."""
+    """A worker that loses two of three answers, or delays the answers to surveys that acknowledge ends."""
 
     def __init__(self, acknowledgement_delay_s=None):
         self.acknowledgement_delay_s = acknowledgement_delay_s
@@ -187,7 +188,7 @@
             self.has_discarded_end |= bool(acknowledged)
         elif len(self.surveys) % 3:
             await anyio.sleep(timeout_s)
-            # What is asked beside another survey needs a new connection.
+            # A survey sent while another is pending needs a new connection.
             raise WorkerUnansweredError('lost') if lease_until_s else WorkerHandshakeError('lost')
         else:
             await anyio.sleep(wait_s)
@@ -195,7 +196,7 @@
 
 
 def run_lossy_link(worker, seconds):
-    """Return what the link to a worker told, and the link, after so long."""
+    """Run a link to a worker for some seconds; return the owner with the posted messages, and the link."""
     owner = Owner()
 
     async def survey():
@@ -223,7 +224,7 @@
 
 
 def test_a_worker_is_not_silent_where_two_of_three_of_its_answers_are_lost():
-    # After a change of the owner such workers got no starts for seconds, one after the other, beside an idle pool.
+    # After a takeover such workers, one after the other, got no starts for seconds while the pool was idle.
     owner, _ = run_lossy_link(LossyWorker(), 4.0)
     assert not owner.has_been_posted(WorkerSilent)
     assert sum(isinstance(message, WorkerSurveyed) for message in owner.posted) >= 4
@@ -235,12 +236,12 @@
     renewing = [survey for survey in worker.surveys if survey[1] is not None]
     assert all(acknowledged == 0 for acknowledged, lease in worker.surveys if lease is None)
     assert any(acknowledged for acknowledged, _ in renewing)
-    # The acknowledgement that got no answer may be carried out late, though another question was answered.
+    # The worker may still process an unanswered acknowledgement, even if it has answered a later survey.
     assert link.unanswered_acknowledgement_s > 0
 
 
 def test_an_acknowledgement_that_is_answered_late_is_waited_for():
-    # Given up, it would have the worker's next incarnation probed with starts that are stopped at once.
+    # If it were abandoned, the next incarnation would be probed with starts that are stopped at once.
     worker = LossyWorker(acknowledgement_delay_s=0.4)
     _, link = run_lossy_link(worker, 2.0)
     assert any(acknowledged for acknowledged, _ in worker.surveys)
