--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -1,4 +1,7 @@
-"""Two runs of a task may be tried at one worker at a time: the first is ruled out while a try of it is under way."""
+"""Tests of concurrent start attempts for two runs of a task at one worker.
+
+They overlap if the first run is ruled out while an attempt to start it is pending.
+"""
 
 import anyio
 import pytest
@@ -10,7 +13,7 @@
 
 
 class GatedWorker(Worker):
-    """A worker that answers the start of each run when it is told to, or lets it go unanswered."""
+    """A worker that completes each start when its gate opens, with an answer or without one."""
 
     def __init__(self, unanswered):
         super().__init__()
@@ -27,7 +30,7 @@
 @pytest.mark.parametrize('order', [(1, 2), (2, 1)])
 @pytest.mark.parametrize('unanswered', [{1}, {2}, {1, 2}, set()])
 def test_overlapping_attempts_are_recorded_if_one_is_unanswered(order, unanswered):
-    """The answer to the one removed the note of the other, whose own answer then found none."""
+    """The answer to one attempt removed the record of the other, which was then missing when that one ended."""
 
     async def scenario():
         worker = GatedWorker(unanswered)
