--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Writes that the store carries out late must not undo newer ones."""
+"""Tests of the recorder: delayed, refused and unanswered writes, and their number and latency."""
 
 import time
 
@@ -30,7 +30,7 @@
 
 
 class LateStore:
-    """A store whose first transaction is carried out only when it is told so."""
+    """A store that leaves its first transaction unanswered and applies it only on request."""
 
     def __init__(self):
         self.items = {OWNER_KEY: Item(OWNER_KEY, b'', EPOCH)}
@@ -143,7 +143,7 @@
 
 
 class RefusingStore(LateStore):
-    """A store that refuses every fifth transaction."""
+    """A store that rejects every fifth transaction."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         self.commits += 1
@@ -153,10 +153,10 @@
 
 
 def test_what_is_kept_is_not_written_again_when_a_later_write_fails():
-    """After an outage the ends of hundreds of jobs were written and none was ever acknowledged.
+    """After a store outage the ends of hundreds of jobs were written repeatedly and none was acknowledged.
 
-    They need many transactions. When one failed, all jobs were written again, from the first: with one of five
-    transactions refused, twenty in a row never came, and ends are acknowledged only once everything is kept.
+    The ends take about twenty transactions. After a failed one all jobs were written again from the first: with one
+    transaction in five refused, twenty in a row never succeed, and ends are acknowledged only once all are persisted.
     """
     store, persisted = RefusingStore(), []
     scheduler = Scheduler(SchedulerSettings(), EPOCH)
@@ -168,12 +168,12 @@
     recorder = make_recorder(store, scheduler, [], persisted.append)
     anyio.run(run_recorder, recorder, lambda: persisted)
     assert all(job.is_end_saved for job in scheduler.job_by_id.values())
-    # Twenty transactions, and those refused among them.
+    # Twenty transactions and the refused ones.
     assert store.commits <= 25
 
 
 async def measure_persist_delay(scheduler, index):
-    """Return how long after an end of a task it is kept, in seconds."""
+    """Return the time from the end of a task until it is persisted, in seconds."""
     store = LateStore()
     store.commits = 1
     recorder = make_recorder(store, scheduler, [])
@@ -190,7 +190,7 @@
 
 
 def test_the_end_of_a_job_is_kept_at_once_and_ends_of_tasks_are_gathered():
-    """Its owner is told of a job's end only once it is kept; 0.03 s of gathering made urgent jobs late."""
+    """The end of a job is reported only once it is persisted; batching for 0.03 s made urgent jobs late."""
     scheduler = scheduler_with_job()
     assert anyio.run(measure_persist_delay, scheduler, 0) > 0.025
     for index in (1, 2):
@@ -199,7 +199,7 @@
 
 
 def test_a_roster_that_got_no_answer_is_written_over_by_the_one_before():
-    # The late write would tell the next owner of a worker what holds no more.
+    # If it is applied late, the unanswered write would give the next owner an outdated state of a worker.
     store = LateStore()
     recorder = make_recorder(store, Scheduler(SchedulerSettings(), EPOCH), [])
     first, second = make_roster(is_lapsed=False), make_roster(is_lapsed=True)
