--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -1,14 +1,12 @@
-"""What an owner sends to a worker again and again stays small, whatever waits.
+"""Tests that repeated requests to workers use little bandwidth however many are pending.
 
-What happens: hundreds of stops to workers that do not answer, or hundreds of ends that the store can't keep, fill a
-slow link for good, so that no worker is contacted any more and all work is given up.
+Retries at a fixed interval saturated a slow network link permanently: no worker could be reached any more, and all work
+was given up. There were two cases:
 
-The sequence: a link of 5 Mbit/s was full of starts for a moment; those that went unanswered were taken back, each by a
-stop that was sent again each 0.85 s whether the worker answered anything or not. 1,400 of them are 400 KB/s, which kept
-the link full, so that none was answered. Likewise, each survey lists all ends that are not acknowledged, and they were
-asked for each 0.4 s: thirty ends on each of 176 workers, after a minute without the store, are 710 KB/s.
-
-The cause: repeats at a fixed pace of something that grows.
+- Starts filled a link of 5 Mbit/s for a moment. Each unanswered one was withdrawn by a stop that was sent again every
+  0.85 s whether or not the worker answered; 1,400 stops are 400 KB/s, which kept the link full, so none was answered.
+- Each survey lists all unacknowledged ends, and surveys were sent every 0.4 s. After a minute without the store, thirty
+  ends on each of 176 workers are 710 KB/s.
 """
 
 import anyio
@@ -35,7 +33,7 @@
 
 
 class Worker(Sessions):
-    """A worker that lists ends, or answers nothing."""
+    """A worker that lists a fixed number of ends, never answers stops, and can stop answering surveys."""
 
     def __init__(self, ends=0):
         self.ends = ends
@@ -94,7 +92,7 @@
             link.stop(StopRun('w', TaskKey('a' * 16, 0, 0, index), 1, 'needless'))
         await anyio.sleep(SCENARIO_S)
         assert worker.stops <= 3 * STOPS
-        # They are once it answers again.
+        # They are repeated once it answers again.
         before, worker.answers = worker.stops, True
         await anyio.sleep(2.0)
         assert worker.stops >= before + STOPS
@@ -109,7 +107,7 @@
     async def scenario(link):
         begun_s, before = anyio.current_time(), worker.surveys
         await anyio.sleep(SCENARIO_S)
-        # The lease is renewed three times in its duration all the same.
+        # The lease is still renewed about three times per lease duration.
         assert (worker.surveys - before) * lease_s >= 2 * (anyio.current_time() - begun_s)
         assert worker.surveys - before <= 1 + 4 * SCENARIO_S / lease_s
 
@@ -118,7 +116,7 @@
 
 @pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
 def test_a_start_that_waited_for_a_slot_is_not_sent_to_a_draining_or_overcommitted_worker(change):
-    """Behind hundreds of unanswered starts a turn comes seconds later; what starts then dies with its worker."""
+    """A start may wait seconds for a slot behind hundreds of unanswered ones; its run would be lost with the worker."""
     worker = Worker()
     posted = []
 
@@ -142,7 +140,7 @@
 
 
 def test_a_start_after_the_end_of_its_worker_does_not_end_the_process():
-    # A start that was kept meanwhile came after the incarnation's end and before that was taken in.
+    # A held start was released after the incarnation had ended and before the owner had processed that end.
     worker = Worker()
     posted = []
 
