--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -1,4 +1,4 @@
-"""What an operator sees of starts that wait for their turn, and of those without an answer."""
+"""Tests of the metrics and log lines on starts that wait for a slot and on unconfirmed runs."""
 
 from types import SimpleNamespace
 
@@ -20,7 +20,7 @@
 
 
 class LimiterHarness:
-    """Starts to one worker of which one may be under way at a time, under a clock that is set."""
+    """A start limiter of one worker with a global limit of one start per class, and a manual clock."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -37,7 +37,7 @@
             pass
 
     async def run_starts(self, waited_s, starts=3, rank=RANK_ORDINARY):
-        """Let starts wait for so long behind another; return how many waited."""
+        """Let starts wait behind another one while the clock advances; return how many waited."""
         limit = self.limits.urgent if rank == RANK_URGENT else self.limits.other
         queue = 'urgent' if rank == RANK_URGENT else 'other'
         await limit.acquire()
