--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -1,8 +1,8 @@
-"""Room that is made by stops is used as soon as it is there.
+"""Tests that capacity freed by stops is used as soon as the stopped runs end.
 
-Urgent jobs that waited for stops began 0.93 s after they came in the mean, though
-workers take 0.9 s at most and 0.6 s in the mean for a stop: while a stop was under
-way its worker was asked every 0.15 s, and an end was reported at the next question.
+Urgent jobs that waited for stops started 0.93 s after their arrival on average,
+although workers take 0.6 s for a stop on average and 0.9 s at most: while a stop was
+pending, its worker was polled every 0.15 s, and an end was reported at the next poll.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 from .sessions import Sessions
 
 FIRST, SECOND = (TaskKey('a' * 16, 0, 0, index) for index in range(2))
-# When each of two stops takes effect, in seconds after it was ordered.
+# Time from each stop order until its run ends, in seconds.
 END_S = {FIRST: 0.05, SECOND: 0.26}
 
 
 class StoppingWorker(Sessions):
-    """A worker that runs two tasks, and answers a survey that waits as soon as one has ended."""
+    """A worker that runs two tasks and answers a pending survey as soon as one of them ends."""
 
     def __init__(self):
         self.ended_at_s = {}
@@ -39,7 +39,7 @@
 
     async def survey(self, address, incarnation, *, acknowledged, wait_s, **order):
         self.surveys += 1
-        # What was acknowledged is forgotten for good.
+        # Acknowledged ends are never listed again.
         self.acknowledged = max(self.acknowledged, acknowledged)
         if len(self.ended_at_s) <= self.acknowledged:
             with anyio.move_on_after(wait_s):
@@ -63,13 +63,13 @@
 
 
 async def measure_stop_report():
-    """Return how long after its end the second run is known to have ended, and how often the worker was asked."""
+    """Return the time from the end of the second run until it is reported, and the number of surveys sent."""
     worker, reported = StoppingWorker(), anyio.Event()
 
     def post(message):
         if not isinstance(message, WorkerSurveyed):
             return
-        # Ends are kept within milliseconds.
+        # Ends are persisted, and then acknowledged, within milliseconds.
         asyncio.get_running_loop().call_later(0.01, link.acknowledge, message.last_end)
         if any(end.key == SECOND for end in message.ended):
             reported.set()
@@ -93,5 +93,5 @@
 def test_the_end_of_a_stopped_run_is_reported_at_once():
     took_s, surveys = anyio.run(measure_stop_report)
     assert took_s < 0.04
-    # One for the first end, one or two until the second.
+    # One survey for the first end, one or two more until the second.
     assert surveys <= 4
