--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -1,10 +1,11 @@
-"""An owner whose machine was suspended, or that knows neither the store nor its peers.
-
-While a machine is suspended its steady clock stops, and the leases of others
-run on. An owner that woke gave orders at once, as one that had renewed its lease a
-moment ago; another instance had taken the pool meanwhile, and workers that it did
-not reach took them. A frozen process did the same: nothing looked at the age of its
-authority before an order went out, only the next renewal told, up to 0.6 s later.
+"""Tests of an owner whose machine was suspended, or that reaches neither the store nor its peers.
+
+While a machine is suspended, its steady clock stops and the leases of others keep
+running. After it resumed, an owner sent orders at once, as if it had just renewed its
+lease; another instance had taken the pool over meanwhile, and workers that the new
+owner did not reach accepted the orders. A frozen process did the same: the age of its
+authority was not checked before an order was sent, only at the next renewal, up to
+0.6 s later.
 """
 
 import time
@@ -38,7 +39,7 @@
 
 
 class Workers(Sessions):
-    """Workers in memory that note starts and the leases that surveys give."""
+    """In-memory workers that record starts and the times at which surveys renew leases."""
 
     def __init__(self):
         self.starts = []
@@ -58,7 +59,7 @@
 
 
 class SuspendableClock:
-    """A steady clock that counts the time for which the machine was suspended."""
+    """A steady clock that includes the time for which the machine was suspended."""
 
     def __init__(self):
         self.suspended_s = 0.0
@@ -75,7 +76,7 @@
 
 
 def run_suspended_owner(clock, authority, after_ready):
-    """Run an owner with authority, suspend its machine, hand it a job; return its workers."""
+    """Run an owner with confirmed authority, suspend its machine, submit a job; return its workers."""
     workers = Workers()
 
     async def run():
@@ -115,7 +116,7 @@
 
 
 def test_a_suspended_owner_renews_no_worker_lease_before_it_is_confirmed(clock):
-    """A successor waits for the leases that were given before it took the pool, and for no later ones."""
+    """A successor waits for the leases that were granted before its takeover, not for later ones."""
     resumed_at_s = []
 
     async def wait(owner):
@@ -137,7 +138,7 @@
 
 
 class SilentStore:
-    """A store that answers nothing."""
+    """A store that does not answer."""
 
     async def renew_lease(self, lease, *, timeout_s):
         raise StoreUnansweredError('silent')
@@ -153,7 +154,7 @@
 
 
 class StubPeers:
-    """Peers that answer heartbeats, or don't."""
+    """Peers with a fixed reply to heartbeats each, or none."""
 
     def __init__(self, replies):
         self.replies = replies
@@ -171,7 +172,7 @@
 
 class PeerFeed:
     def announce(self, member, version):
-        """Take in a version."""
+        """Ignore the version."""
 
 
 def make_membership(peers, authority, outdated=lambda epoch: None):
@@ -201,10 +202,10 @@
 
 
 def test_an_owner_that_was_told_of_a_newer_one_is_replaced_for_good():
-    """The instances that told it start again, know of no owner, and would confirm the first that contacts them.
+    """An outdated owner kept sending heartbeats after its peers had reported a newer epoch.
 
-    What they remembered held for an incarnation of theirs; it did not come back. The owner had been told, and went on
-    asking.
+    Peers remember the owner's epoch in memory only: after a restart they would confirm the first owner that contacts
+    them, even an outdated one.
     """
     outdated = []
 
