--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""What an owner takes over from the one before it."""
+"""Tests of what an owner takes over from its predecessor."""
 
 import time
 from collections import Counter
@@ -35,16 +35,16 @@
 STEP = StepSpec(1, Resources(1000, 1000, 1), 20.0)
 LAST = 'f' * 16
 NEW = 'e' * 16
-# Jobs that a store keeps at a time, at sixty a second: each for three minutes.
+# Number of jobs in the store at sixty jobs per second, each retained for three minutes.
 MANY = 10_800
-# Longest lease that workers grant.
+# Longest lease that workers accept, in seconds.
 LONGEST_LEASE_S = 4.0
 
 
 class KeptStore:
-    """A store that lists what it holds and takes every write.
+    """An in-memory store that lists its items and accepts every write without applying it.
 
-    The history of jobs is gone once, after which later items are there.
+    If there are later items, the first watch on jobs reports that the history is gone, and the items are added.
     """
 
     def __init__(self, items, later=()):
@@ -66,7 +66,7 @@
 
 
 class SlowStore(KeptStore):
-    """The same, each answer after a quarter of a second."""
+    """A store that takes ``answer_s`` for each page."""
 
     answer_s = 0.25
 
@@ -76,7 +76,7 @@
 
 
 class Workers(Sessions):
-    """Workers in memory: one runs a task and falls silent after its first answer, others are idle."""
+    """In-memory workers: those that run tasks answer only their first survey, the others are idle."""
 
     def __init__(self, running=()):
         self.running_by_id = dict(running)
@@ -116,7 +116,7 @@
 
 
 def roster(worker_id, *, is_lapsed=False):
-    """Return a roster that no owner has written after which it kept assignments."""
+    """Return a roster with one worker, from an owner that persisted no assignments after it."""
     profile = WorkerProfile(worker_id, 'svc', 'z', Resources(64_000, 262_144, 8), ('a', 'r0'))
     entry = RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id), is_lapsed)
     return Item(roster_key(0), encode([entry]), 2)
@@ -128,7 +128,7 @@
 
 
 async def take_over(store, workers, condition, within_s, configuration=None):
-    """Run an owner until something holds of it, or for so long; return it."""
+    """Run an owner until it meets a condition or a time limit has passed; return it."""
     settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
     owner = PoolOwner(settings, store, workers, tuple, Metrics())
     if configuration is not None:
@@ -148,7 +148,7 @@
 
 
 def submit_if_ready(owner, update):
-    """Hand a job to an owner that decides; an owner knows a job once."""
+    """Submit a job if the owner is ready; return whether it is. Repeated submissions have no effect."""
     if owner.is_ready:
         owner.post(update)
     return owner.is_ready
@@ -164,13 +164,13 @@
 
 
 def many_jobs():
-    """Return more records than the owner's inbox takes, and one more job."""
+    """Return more job records than the owner's inbox holds, and the record of one more job."""
     now_s = time.time()
     return [*(kept_job(f'{number:016x}', now_s) for number in range(MANY)), kept_job(LAST, now_s)]
 
 
 def test_no_cancellation_is_lost_among_many_jobs():
-    """Beyond the room of the owner's inbox they were dropped, and cancelled jobs ran again."""
+    """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
     store = KeptStore([*many_jobs(), Item(cancel_key(LAST), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
     assert len(owner.scheduler.job_by_id) == MANY + 1
@@ -178,14 +178,14 @@
 
 
 def test_no_cancellation_is_lost_when_many_jobs_are_read_anew():
-    """They were dropped likewise once the history was gone, and never told again."""
+    """They were also dropped when jobs were read again because the history was gone, and never delivered later."""
     store = KeptStore([kept_job(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
 
 def test_an_owner_does_not_stop_its_instance_while_it_takes_many_jobs_in():
-    # They were taken in without a pause, and nothing else was answered for tenths of a second.
+    # Jobs were added without yielding to the event loop, and nothing else was answered for tenths of a second.
     job_counts = set()
 
     def record_job_count(owner):
@@ -197,7 +197,7 @@
 
 
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_owner_before():
-    """Its runs were given up at once and started elsewhere, while they ran on."""
+    """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(LAST, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
@@ -207,10 +207,10 @@
 
 
 def test_a_job_that_comes_after_a_takeover_does_not_wait_for_workers_that_are_silent():
-    """With one worker gone since the previous owner, urgent jobs began 1.2 s after a takeover and ended late."""
+    """With one worker lost since the previous owner, urgent jobs started 1.2 s after a takeover and ended late."""
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
-    # The previous owner kept no assignments, so that the job before may run on the silent worker.
+    # The previous owner persisted no assignments, so its job may be running on the silent worker.
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     update = decode_job_record(kept_job(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
@@ -218,7 +218,7 @@
 
 
 def test_jobs_of_the_owner_before_begin_once_the_last_silent_worker_has_answered():
-    """They waited for its longest lease, as if it had stayed silent."""
+    """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
@@ -227,7 +227,7 @@
 
 
 def test_what_is_read_at_a_takeover_is_read_at_once():
-    """From a store that takes 0.25 s for an answer, four reads in turn were a second without decisions."""
+    """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
     store = SlowStore([kept_job(LAST, time.time()), worker_entry('w0')])
     begun_s = time.monotonic()
     anyio.run(take_over, store, Workers(), is_ready, 5.0)
@@ -235,7 +235,7 @@
 
 
 class LossyWorkers(Workers):
-    """Workers that leave so many surveys without an answer before they answer one."""
+    """Workers that leave a given number of surveys unanswered before they answer one."""
 
     def __init__(self, unanswered_by_id):
         super().__init__()
@@ -250,8 +250,8 @@
 
 
 def test_jobs_of_the_owner_before_do_not_wait_long_where_some_answers_are_lost():
-    # Each answer that a worker owed was waited for twice as long as the one before, and every job of a previous owner
-    # waited for the last worker.
+    # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
+    # worker had answered.
     workers = LossyWorkers({'w0': 4})
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
@@ -259,7 +259,7 @@
 
 
 class UnhealthyWorkers(Workers):
-    """Workers of which one answers every call with the word that it is not well."""
+    """Workers of which one, w0, answers every survey with the status that it is unhealthy."""
 
     async def survey(self, address, incarnation, **options):
         if incarnation == 'w0':
@@ -268,7 +268,7 @@
 
 
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
-    # Nobody tells a new owner that the job has never been started, so that it may run on that worker.
+    # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
     store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
