--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -1,11 +1,12 @@
-"""Two owners at a time: one has taken the pool, the other does not know of it yet.
-
-A task ran on two workers at once. The store turned the owner away and served the
-others, one of which took the pool. A job was accepted 15 ms before the old owner
-known of its successor, by an instance that did not know either and told the old
-one, which started it. The new owner took the job for its own, since the revision
-of its acceptance lay above its epoch (4790 and 4783), and started it at once,
-0.36 s after the first run began; that ran on a worker which was silent to it.
+"""Tests of two concurrent owners, the older of which does not know of its successor yet.
+
+A task ran on two workers at once. The store rejected the requests of the owner and
+served the other instances, one of which took the pool over. An instance that did not
+know of the takeover accepted a job 15 ms before the old owner learned of it, and
+forwarded the job to the old owner, which started it. The new owner assumed that it
+alone knew of the job, since the revision of its acceptance was above its own epoch
+(4790 and 4783), and started it at once, 0.36 s after the first run, which ran on a
+worker that did not answer the new owner.
 """
 
 import time
@@ -33,7 +34,7 @@
 
 
 class PartitionedWorkers(Sessions):
-    """Two workers: the successor does not reach the first of them."""
+    """Two workers, the first of which is unreachable for the successor."""
 
     def __init__(self):
         self.starts = []
@@ -66,7 +67,7 @@
 
 
 def make_job_listed(owner_epoch):
-    """Return a job that was accepted after the successor took the pool, by an instance that knew some owner."""
+    """Return a job accepted after the takeover by an instance that knew the owner with the given epoch."""
     spec = JobSpec(NEW, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
     return JobListed(spec, QUEUE, SUCCESSOR + 7, owner_epoch)
 
@@ -78,12 +79,12 @@
 
 
 def starts_with_two_owners(owner_epoch, within_s):
-    """Return the starts of a job that both owners know of."""
+    """Return the starts of a job that both owners are informed of."""
     workers = PartitionedWorkers()
 
     async def run():
         old = make_owner(EPOCH, KeptStore([worker_entry('w0')]), workers)
-        # The old owner kept a roster, and no assignments that its successor could read.
+        # The old owner persisted a roster but no assignments that its successor could read.
         new = make_owner(SUCCESSOR, KeptStore([worker_entry('w0'), worker_entry('w1'), roster('w0')]), workers)
         async with anyio.create_task_group() as tasks:
             for owner in (old, new):
@@ -103,7 +104,7 @@
 
 
 def test_a_job_that_nobody_was_told_of_waits_likewise():
-    """The old owner's own watch of the store may show it."""
+    """The old owner may have learned of it through its own watch on the store."""
     assert len(starts_with_two_owners(0, LONGEST_LEASE_S - 1.0)) == 1
 
 
