--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -1,4 +1,4 @@
-"""Starts that get no answer hold up neither other workers' starts nor their own tasks for long."""
+"""Tests that unanswered starts delay neither starts on other workers nor their own tasks for long."""
 
 import anyio
 import pytest
@@ -18,19 +18,19 @@
 from .sessions import Sessions
 
 START_LIMIT = 32
-# Accelerators of a worker, each of which gets a task.
+# Accelerators per worker, each of which gets one task.
 ACCELERATORS = 8
-# A ready task must run within this time where the pool has room for it.
+# Time within which a ready task must start if the pool has capacity for it, in seconds.
 MAX_STALL_S = 3.0
-# Of that, what is left to a start on another worker.
+# Part of that time reserved for a start on another worker, in seconds.
 RETRY_START_S = 0.5
-# Workers that leave starts unanswered, of 176 in all.
+# Number of workers that leave starts unanswered; the pool that this models has 176 workers.
 UNRESPONSIVE_WORKERS = 22
 JOB_ID = 'a' * 16
 
 
 class Worker(Sessions):
-    """A worker that answers surveys, and orders if told so; it carries out late starts while their lease lasts."""
+    """A worker that answers surveys, and orders if configured; it executes delayed starts within their lease."""
 
     def __init__(self, *, answers_starts=False, answers_stops=False, start_delay_s=None, work_s=60.0):
         self.answers_starts = answers_starts
@@ -89,7 +89,7 @@
 
 
 class Pool:
-    """Links to workers, and what they tell."""
+    """Links to workers and the times of the messages that they post."""
 
     def __init__(self, workers):
         self.workers = workers
@@ -103,7 +103,7 @@
             tasks.start_soon(link.run)
 
     async def wait_posted(self, message, timeout_s):
-        """Return when a message was told."""
+        """Return when a message was posted, or None after the timeout."""
         with anyio.move_on_after(timeout_s):
             while message not in self.posted_at_s:
                 await anyio.sleep(0.005)
@@ -117,7 +117,9 @@
 
     def _link(self, number, worker):
         settings = LinkSettings(lease_s=6.0)
-        context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._limits)
+        context = LinkContext(
+            worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._limits
+        )
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
 
@@ -151,7 +153,7 @@
 
 
 def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_ruled_out_in_time():
-    """Their tasks may run on any other worker meanwhile."""
+    """Their tasks could run on other workers meanwhile."""
 
     async def scenario(pool):
         begun_s = anyio.current_time()
@@ -169,7 +171,7 @@
 
 @pytest.mark.parametrize('answers_stops', [True, False])
 def test_a_run_whose_start_got_no_answer_is_given_up_once_it_can_not_start_any_more(answers_stops):
-    """It held its task and room for good where stops got no answer either."""
+    """If stops were not answered either, it blocked its task and occupied capacity forever."""
 
     async def scenario(pool):
         begun_s, start = anyio.current_time(), make_start('w0', 0)
@@ -183,7 +185,7 @@
 
 @pytest.mark.parametrize('start_delay_s', [0.5, 1.4, 1.9, 2.5])
 def test_a_run_that_started_late_is_not_given_up(start_delay_s):
-    """Nothing but an acknowledged stop or the end of its lease rules a late start out."""
+    """Only an acknowledged stop or the end of its lease rules out that a delayed start still takes effect."""
     worker = Worker(start_delay_s=start_delay_s)
 
     async def scenario(pool):
@@ -200,7 +202,7 @@
 @pytest.mark.parametrize('answers_stops', [True, False])
 @pytest.mark.parametrize('start_delay_s', [0.0, 0.4])
 def test_a_run_whose_end_a_survey_listed_is_neither_stopped_nor_given_up(answers_stops, start_delay_s):
-    """Its start got no answer, but what became of it is known."""
+    """Its start got no answer, but the survey shows its outcome."""
     worker = Worker(answers_stops=answers_stops, start_delay_s=start_delay_s, work_s=0.05)
 
     async def scenario(pool):
