--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -84,7 +84,7 @@
     return anyio.run(survey)
 
 
-def test_a_worker_that_leaves_is_not_over_while_its_connections_fail():
+def test_a_draining_worker_is_not_over_while_its_connections_fail():
     """A task ran on two workers at once, one of them draining and partitioned from the pool.
 
     The worker announces that it drains; then a network partition separates it from
