--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize('failure', [WorkerUnreachableError('refused'), WorkerUnansweredError('silence')])
 @pytest.mark.parametrize('is_draining', [True, False])
-def test_a_new_owner_waits_for_the_lease_that_an_earlier_one_may_have_given(failure, is_draining):
+def test_a_new_owner_waits_for_the_lease_that_its_predecessor_may_have_granted(failure, is_draining):
     """A task could run on two workers after a takeover, one of them disconnected.
 
     The previous owner granted the worker the longest lease. The new owner gets one
