--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -230,7 +230,7 @@
     assert sum(isinstance(message, WorkerSurveyed) for message in owner.posted) >= 4
 
 
-def test_what_is_asked_beside_a_survey_renews_and_acknowledges_nothing():
+def test_a_hedge_of_a_survey_renews_and_acknowledges_nothing():
     worker = LossyWorker()
     _, link = run_lossy_link(worker, 2.0)
     renewing = [survey for survey in worker.surveys if survey[1] is not None]
