--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -240,7 +240,7 @@
     assert link.unanswered_acknowledgement_s > 0
 
 
-def test_an_acknowledgement_that_is_answered_late_is_waited_for():
+def test_an_acknowledgement_that_is_answered_late_is_awaited():
     # If it were abandoned, the next incarnation would be probed with starts that are stopped at once.
     worker = LossyWorker(acknowledgement_delay_s=0.4)
     _, link = run_lossy_link(worker, 2.0)
