--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize('is_lapsed', [True, False])
-def test_jobs_of_the_owner_before_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
+def test_jobs_of_the_previous_owner_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
     # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
