--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -217,7 +217,7 @@
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
 
 
-def test_jobs_of_the_owner_before_begin_once_the_last_silent_worker_has_answered():
+def test_jobs_of_the_previous_owner_start_once_the_last_silent_worker_has_answered():
     """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
