--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -196,7 +196,7 @@
     assert len(job_counts - {0, MANY + 1}) >= 3
 
 
-def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_owner_before():
+def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_previous_owner():
     """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(LAST, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
