--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -184,7 +184,7 @@
     assert phase_of_last(owner) == 'cancelled'
 
 
-def test_an_owner_does_not_stop_its_instance_while_it_takes_many_jobs_in():
+def test_an_owner_does_not_block_its_instance_while_it_adds_many_jobs():
     # Jobs were added without yielding to the event loop, and nothing else was answered for tenths of a second.
     job_counts = set()
 
