--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -152,7 +152,7 @@
         return self.apply(conditions, writes)
 
 
-def test_what_is_kept_is_not_written_again_when_a_later_write_fails():
+def test_persisted_progress_is_not_written_again_when_a_later_write_fails():
     """After a store outage the ends of hundreds of jobs were written repeatedly and none was acknowledged.
 
     The ends take about twenty transactions. After a failed one all jobs were written again from the first: with one
