--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -189,7 +189,7 @@
     return time.monotonic() - begun_s
 
 
-def test_the_end_of_a_job_is_kept_at_once_and_ends_of_tasks_are_gathered():
+def test_the_end_of_a_job_is_persisted_at_once_and_ends_of_tasks_are_batched():
     """The end of a job is reported only once it is persisted; batching for 0.03 s made urgent jobs late."""
     scheduler = scheduler_with_job()
     assert anyio.run(measure_persist_delay, scheduler, 0) > 0.025
