--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -198,7 +198,7 @@
     assert anyio.run(measure_persist_delay, scheduler, 3) < 0.02
 
 
-def test_a_roster_that_got_no_answer_is_written_over_by_the_one_before():
+def test_an_unanswered_roster_write_is_overwritten_by_the_previous_roster():
     # If it is applied late, the unanswered write would give the next owner an outdated state of a worker.
     store = LateStore()
     recorder = make_recorder(store, Scheduler(SchedulerSettings(), EPOCH), [])
