--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -117,7 +117,7 @@
     assert not deposed
 
 
-def test_a_write_that_was_carried_out_unanswered_does_not_depose_its_owner():
+def test_a_write_that_was_applied_but_unanswered_does_not_depose_its_owner():
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
     recorder = make_recorder(store, scheduler, deposed)
