--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -103,7 +103,7 @@
     assert starts_with_two_owners(EPOCH, LONGEST_LEASE_S - 1.0) == [('w0', JOB, fence_of(EPOCH, 1))]
 
 
-def test_a_job_that_nobody_was_told_of_waits_likewise():
+def test_a_job_accepted_without_a_known_owner_waits_for_workers_that_may_run_it():
     """The old owner may have learned of it through its own watch on the store."""
     assert len(starts_with_two_owners(0, LONGEST_LEASE_S - 1.0)) == 1
 
