--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -112,6 +112,6 @@
     assert starts_with_two_owners(SUCCESSOR, 0.5) == [('w1', JOB, fence_of(SUCCESSOR, 1))]
 
 
-def test_a_record_from_before_owners_were_named_names_none():
+def test_a_record_without_an_owner_epoch_decodes_with_epoch_zero():
     spec = make_job_listed(0).spec
     assert decode(encode((spec, QUEUE)), JobRecord, 'job record') == JobRecord(spec, QUEUE, 0)
