--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -217,7 +217,7 @@
     assert outdated == [EPOCH + 1] * 2
 
 
-def test_an_instance_owns_no_pool_of_which_it_was_told_that_another_does():
+def test_an_instance_that_is_told_of_a_newer_owner_gives_up_ownership():
     member = Member('i0', 'a', 'h', 1)
     ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_able=True)
     ownership.observe(Owner(member, EPOCH))
