--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -97,7 +97,7 @@
     return workers
 
 
-def test_an_owner_that_was_suspended_orders_nothing_before_it_is_confirmed(clock):
+def test_a_suspended_owner_orders_nothing_before_it_is_confirmed(clock):
     async def wait(owner):
         await anyio.sleep(0.5)
 
