--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -195,7 +195,7 @@
     ],
     ids=['alone', 'most', 'few', 'none', 'a newer owner'],
 )
-def test_while_the_store_is_away_most_instances_confirm_an_owner(replies, holds):
+def test_while_the_store_is_unavailable_a_majority_of_instances_confirms_an_owner(replies, holds):
     authority = Authority(LEASE_S)
     anyio.run(make_membership(StubPeers(replies), authority)._heartbeat_all, EPOCH)
     assert authority.holds(steady_s()) is holds
