--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -201,7 +201,7 @@
     assert authority.holds(steady_s()) is holds
 
 
-def test_an_owner_that_was_told_of_a_newer_one_is_replaced_for_good():
+def test_an_owner_that_is_told_of_a_newer_one_is_deposed_for_good():
     """An outdated owner kept sending heartbeats after its peers had reported a newer epoch.
 
     Peers remember the owner's epoch in memory only: after a restart they would confirm the first owner that contacts
