--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -42,7 +42,7 @@
         raise self.failure
 
 
-class Owner:
+class RecordingOwner:
     """An owner that records the messages of a link."""
 
     def __init__(self):
@@ -60,7 +60,7 @@
     """Run a link until it reports its worker as silent; return the owner with the posted messages."""
 
     async def survey():
-        owner = Owner()
+        owner = RecordingOwner()
         context = LinkContext(
             DisconnectedWorker(failure),
             7,
@@ -146,7 +146,7 @@
     """
 
     async def survey():
-        owner = Owner()
+        owner = RecordingOwner()
         settings = SETTINGS._replace(lease_s=0.6, answer_timeout_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
         worker = LateWorker(0.0)
         context = LinkContext(
@@ -197,7 +197,7 @@
 
 def run_lossy_link(worker, seconds):
     """Run a link to a worker for some seconds; return the owner with the posted messages, and the link."""
-    owner = Owner()
+    owner = RecordingOwner()
 
     async def survey():
         context = LinkContext(
