--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -52,7 +52,7 @@
         self.posted.append(message)
         return True
 
-    def has_been_posted(self, kind):
+    def has_posted(self, kind):
         return any(isinstance(message, kind) for message in self.posted)
 
 
@@ -76,7 +76,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
             with anyio.fail_after(5):
-                while not owner.has_been_posted(WorkerSilent):
+                while not owner.has_posted(WorkerSilent):
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
         return owner
@@ -97,7 +97,7 @@
     the lease, or another incarnation at its address, shows that nothing runs there.
     """
     owner = run_until_silent(WorkerUnreachableError('refused'), Lease(), is_draining=True)
-    assert not owner.has_been_posted(WorkerOver)
+    assert not owner.has_posted(WorkerOver)
 
 
 @pytest.mark.parametrize('failure', [WorkerUnreachableError('refused'), WorkerUnansweredError('silence')])
@@ -115,7 +115,7 @@
     lease = Lease()
     begun_s = time.monotonic()
     owner = run_until_silent(failure, lease, is_draining=is_draining)
-    assert owner.has_been_posted(WorkerSurveyed)
+    assert owner.has_posted(WorkerSurveyed)
     assert lease.latest_end_s() >= begun_s + SETTINGS.lease_s
 
 
@@ -226,7 +226,7 @@
 def test_a_worker_is_not_silent_where_two_of_three_of_its_answers_are_lost():
     # After a takeover such workers, one after the other, got no starts for seconds while the pool was idle.
     owner, _ = run_lossy_link(LossyWorker(), 4.0)
-    assert not owner.has_been_posted(WorkerSilent)
+    assert not owner.has_posted(WorkerSilent)
     assert sum(isinstance(message, WorkerSurveyed) for message in owner.posted) >= 4
 
 
