--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -53,9 +53,9 @@
 
 @pytest.fixture
 def log_lines(monkeypatch):
-    found = []
-    monkeypatch.setattr(start_turns, 'log_event', lambda event, **fields: found.append((event, fields)))
-    return found
+    events = []
+    monkeypatch.setattr(start_turns, 'log_event', lambda event, **fields: events.append((event, fields)))
+    return events
 
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
