--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -59,7 +59,7 @@
 def run_until_silent(failure, lease, *, is_draining=False):
     """Run a link until it reports its worker as silent; return the owner with the posted messages."""
 
-    async def survey():
+    async def run_link():
         owner = RecordingOwner()
         context = LinkContext(
             DisconnectedWorker(failure),
@@ -81,7 +81,7 @@
             tasks.cancel_scope.cancel()
         return owner
 
-    return anyio.run(survey)
+    return anyio.run(run_link)
 
 
 def test_a_draining_worker_is_not_over_while_its_connections_fail():
@@ -145,7 +145,7 @@
     one did in four of nine.
     """
 
-    async def survey():
+    async def run_link():
         owner = RecordingOwner()
         settings = SETTINGS._replace(lease_s=0.6, answer_timeout_s=0.06, survey_wait_s=0.1, idle_survey_wait_s=0.1)
         worker = LateWorker(0.0)
@@ -169,7 +169,7 @@
             tasks.cancel_scope.cancel()
         return owner.posted[before:]
 
-    assert any(isinstance(message, WorkerSurveyed) for message in anyio.run(survey))
+    assert any(isinstance(message, WorkerSurveyed) for message in anyio.run(run_link))
 
 
 class LossyWorker(Sessions):
@@ -199,7 +199,7 @@
     """Run a link to a worker for some seconds; return the owner with the posted messages, and the link."""
     owner = RecordingOwner()
 
-    async def survey():
+    async def run_link():
         context = LinkContext(
             worker,
             7,
@@ -220,7 +220,7 @@
             tasks.cancel_scope.cancel()
         return link
 
-    return owner, anyio.run(survey)
+    return owner, anyio.run(run_link)
 
 
 def test_a_worker_is_not_silent_where_two_of_three_of_its_answers_are_lost():
