--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -70,9 +70,9 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    found = SuspendableClock()
-    monkeypatch.setattr(core, 'steady_s', found)
-    return found
+    suspendable_clock = SuspendableClock()
+    monkeypatch.setattr(core, 'steady_s', suspendable_clock)
+    return suspendable_clock
 
 
 def run_suspended_owner(clock, authority, after_ready):
