--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -47,16 +47,16 @@
     If there are later items, the first watch on jobs reports that the history is gone, and the items are added.
     """
 
-    def __init__(self, items, later=()):
+    def __init__(self, items, later_items=()):
         self.items = items
-        self.later = later
+        self.later_items = later_items
 
     async def read_page(self, prefix, after='', *, timeout_s):
         return Page(tuple(item for item in self.items if item.key.startswith(prefix)), EPOCH)
 
     async def watch(self, prefix, after, *, wait_s, timeout_s, **options):
-        if prefix == JOBS_PREFIX and self.later:
-            self.items, self.later = [*self.items, *self.later], ()
+        if prefix == JOBS_PREFIX and self.later_items:
+            self.items, self.later_items = [*self.items, *self.later_items], ()
             return None
         await anyio.sleep(wait_s)
         return Page((), after)
