--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -176,12 +176,12 @@
 
 
 def make_membership(peers, authority, outdated=lambda epoch: None):
-    found = Membership(
+    membership = Membership(
         Member('i', 'a', 'h', 99), None, StoreTiming(), Follower(), PeerFeed(), peers, authority, outdated
     )
     for number, _ in enumerate(peers.replies):
-        found.add(Member(f'i{number}', 'a', 'h', number))
-    return found
+        membership.add(Member(f'i{number}', 'a', 'h', number))
+    return membership
 
 
 @pytest.mark.parametrize(
