--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -1,7 +1,8 @@
 """Tests that repeated requests to workers use little bandwidth however many are pending.
 
-Retries at a fixed interval saturated a slow network link permanently: no worker could be reached any more, and all work
-was given up. There were two cases:
+Hundreds of stops to workers that do not answer, or hundreds of ends that the store cannot persist, saturated a slow
+network link permanently: no worker could be reached any more, and all work was given up. The cause was that a growing
+number of items was sent again at a fixed interval:
 
 - Starts filled a link of 5 Mbit/s for a moment. Each unanswered one was withdrawn by a stop that was sent again every
   0.85 s whether or not the worker answered; 1,400 stops are 400 KB/s, which kept the link full, so none was answered.
