--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -1,4 +1,4 @@
-"""Workers whose leases had ended in silence before a takeover, or end after it."""
+"""Tests of workers whose leases ended without an answer, before a takeover or after it."""
 
 import time
 
@@ -24,7 +24,7 @@
     LONGEST_LEASE_S,
     NEW,
     roster,
-    submitted,
+    submit_if_ready,
     take_over,
     worker_entry,
     Workers,
@@ -34,15 +34,15 @@
 NEW_TASK = TaskKey(NEW, 0, 0, 0)
 
 
-class WatchedStore(KeptStore):
-    """A store that notes whether a worker is lapsed by each roster that it takes, and can fall silent."""
+class RecordingStore(KeptStore):
+    """A store that records, per roster written, whether worker w0 is marked as lapsed, and that can stop answering."""
 
     def __init__(self, items, workers):
         super().__init__(items)
         self.workers = workers
         self.is_silent = False
-        # Whether w0 is lapsed by the roster, and how many starts had been ordered by then.
-        self.noted = []
+        # Per roster: whether it marks w0 as lapsed, and the number of starts ordered until then.
+        self.recorded_rosters = []
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         if self.is_silent:
@@ -51,36 +51,36 @@
             if write.key.startswith(ROSTER_PREFIX):
                 for entry in decode(write.value, list[RosterEntry], 'roster'):
                     if entry.profile.worker_id == 'w0':
-                        self.noted.append((entry.is_lapsed, len(self.workers.starts)))
+                        self.recorded_rosters.append((entry.is_lapsed, len(self.workers.starts)))
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowlyKeepingStore(KeptStore):
-    """A store that needs longer for a write than the roster stays as it is."""
+class SlowCommitStore(KeptStore):
+    """A store whose writes take longer than the interval between two changes of the roster."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         await anyio.sleep(0.3)
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SilentWorkers(Workers):
-    """Workers of which one cannot be reached, or answers nothing."""
+class UnresponsiveWorkers(Workers):
+    """Workers of which one, w0, is unreachable or does not answer."""
 
-    def __init__(self, silence):
+    def __init__(self, failure):
         super().__init__()
-        self.silence = silence
+        self.failure = failure
 
     async def survey(self, address, incarnation, *, timeout_s, **options):
         if incarnation != 'w0':
             return await super().survey(address, incarnation, **options)
-        if self.silence is WorkerUnansweredError:
+        if self.failure is WorkerUnansweredError:
             await anyio.sleep(timeout_s)
-        raise self.silence('silent')
+        raise self.failure('silent')
 
 
 @pytest.mark.parametrize('is_lapsed', [True, False])
-def test_jobs_of_the_owner_before_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
-    # After a takeover every such job stood for 8.2 s beside an idle pool, though the worker had long been given up.
+def test_jobs_of_the_previous_owner_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
+    # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     items = [kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
@@ -89,70 +89,70 @@
 
 
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
-    # Else a next owner would start its tasks elsewhere while they run there.
+    # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
-    store = WatchedStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
     store.is_silent = True
     starts_while_silent = []
 
-    def holds(owner):
+    def condition(owner):
         if owner.is_ready and workers.surveys['w0'] > 1 and store.is_silent:
             starts_while_silent.append(len(workers.starts))
             store.is_silent = len(starts_while_silent) < 30
         return workers.starts
 
-    anyio.run(take_over, store, workers, holds, 5.0)
+    anyio.run(take_over, store, workers, condition, 5.0)
     assert not any(starts_while_silent)
     assert workers.starts == [('w0', TASK)]
-    assert store.noted[-1] == (False, 0)
+    assert store.recorded_rosters[-1] == (False, 0)
 
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
     workers = Workers()
-    store = WatchedStore([worker_entry('w0')], workers)
+    store = RecordingStore([worker_entry('w0')], workers)
     update = decode_job_record(kept_job(NEW, time.time()))
 
-    def holds(owner):
+    def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
         if worker is not None and worker.is_surveyed and 'w0' not in workers.silent_until_s:
             workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
-        if any(is_lapsed for is_lapsed, _ in store.noted):
+        if any(is_lapsed for is_lapsed, _ in store.recorded_rosters):
             workers.silent_until_s['w0'] = 0.0
-            submitted(owner, update)
+            submit_if_ready(owner, update)
         return workers.starts
 
-    anyio.run(take_over, store, workers, holds, 3.0 * LONGEST_LEASE_S)
+    anyio.run(take_over, store, workers, condition, 3.0 * LONGEST_LEASE_S)
     assert workers.starts == [('w0', NEW_TASK)]
-    assert [is_lapsed for is_lapsed, _ in store.noted] == [False, True, False]
-    assert store.noted[-1] == (False, 0)
+    assert [is_lapsed for is_lapsed, _ in store.recorded_rosters] == [False, True, False]
+    assert store.recorded_rosters[-1] == (False, 0)
 
 
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
-    # It waited for a moment at which the store held the whole roster as it was.
+    # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
-    store = SlowlyKeepingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
+    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
     listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
-    def holds(owner):
-        submitted(owner, listed)
+    def condition(owner):
+        submit_if_ready(owner, listed)
         changing = owner.scheduler.worker_by_id.get('w1')
         if changing is not None:
             memory_mb = 200_000 + int(time.monotonic() * 10) % 1000
             changing.profile = changing.profile._replace(capacity=Resources(64_000, memory_mb, 8))
         return any(worker == 'w0' for worker, _ in workers.starts)
 
-    anyio.run(take_over, store, workers, holds, 3.0)
+    anyio.run(take_over, store, workers, condition, 3.0)
     assert any(worker == 'w0' for worker, _ in workers.starts)
 
 
-@pytest.mark.parametrize('silence', [WorkerUnreachableError, WorkerUnansweredError])
-def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(silence):
-    # The first roster of an owner said that it was not, before it counted as silent.
-    workers = SilentWorkers(silence)
-    store = WatchedStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
+@pytest.mark.parametrize('failure', [WorkerUnreachableError, WorkerUnansweredError])
+def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
+    # The first roster that a new owner wrote marked the worker as not lapsed, since it did not count as silent yet.
+    workers = UnresponsiveWorkers(failure)
+    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
-    assert store.noted
-    assert all(is_lapsed for is_lapsed, _ in store.noted)
+    assert store.recorded_rosters
+    assert all(is_lapsed for is_lapsed, _ in store.recorded_rosters)
 
 
 def test_a_worker_is_not_lapsed_while_a_late_start_may_begin_on_its_next_incarnation():
--- a/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_overlapping_tries.py
@@ -1,4 +1,7 @@
-"""Two runs of a task may be tried at one worker at a time: the first is ruled out while a try of it is under way."""
+"""Tests of concurrent start attempts for two runs of a task at one worker.
+
+They overlap if the first run is ruled out while an attempt to start it is pending.
+"""
 
 import anyio
 import pytest
@@ -6,11 +9,11 @@
 from dahliaarch_kernel.scheduler import StartRun
 from dahliaarch_platform.workers import OrderReply, OrderStatus, StartOrder, WorkerUnansweredError
 
-from .test_repeated_orders import KEY, link_to, Worker
+from .test_repeated_orders import KEY, make_link, Worker
 
 
-class Gates(Worker):
-    """A worker that answers the start of each run when it is told to, or lets it go unanswered."""
+class GatedWorker(Worker):
+    """A worker that completes each start when its gate opens, with an answer or without one."""
 
     def __init__(self, unanswered):
         super().__init__()
@@ -26,12 +29,12 @@
 
 @pytest.mark.parametrize('order', [(1, 2), (2, 1)])
 @pytest.mark.parametrize('unanswered', [{1}, {2}, {1, 2}, set()])
-def test_tries_that_overlap_are_noted_if_one_got_no_answer(order, unanswered):
-    """The answer to the one removed the note of the other, whose own answer then found none."""
+def test_overlapping_attempts_are_recorded_if_one_is_unanswered(order, unanswered):
+    """The answer to one attempt removed the record of the other, which was then missing when that one ended."""
 
     async def scenario():
-        worker = Gates(unanswered)
-        link = link_to(worker)
+        worker = GatedWorker(unanswered)
+        link = make_link(worker)
         async with anyio.create_task_group() as tasks:
             for run in (1, 2):
                 effect = StartRun('w', KEY, run, '')
@@ -43,6 +46,6 @@
                 await anyio.sleep(0.01)
         return link.unanswered_starts
 
-    noted = anyio.run(scenario)
+    recorded = anyio.run(scenario)
     if unanswered:
-        assert KEY in noted
+        assert KEY in recorded
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -1,4 +1,4 @@
-"""Starts that get no answer hold up neither other workers' starts nor their own tasks for long."""
+"""Tests that unanswered starts delay neither starts on other workers nor their own tasks for long."""
 
 import anyio
 import pytest
@@ -17,25 +17,25 @@
 from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
 from .sessions import Sessions
 
-TURNS = 32
-# Accelerators of a worker, each of which gets a task.
+START_LIMIT = 32
+# Accelerators per worker, each of which gets one task.
 ACCELERATORS = 8
-# A ready task must run within this time where the pool has room for it.
-LONGEST_STALL_S = 3.0
-# Of that, what is left to a start on another worker.
-SECOND_START_S = 0.5
-# Workers that leave starts unanswered, of 176 in all.
-UNANSWERING = 22
+# Time within which a ready task must start if the pool has capacity for it, in seconds.
+MAX_STALL_S = 3.0
+# Part of that time reserved for a start on another worker, in seconds.
+RETRY_START_S = 0.5
+# Number of workers that leave starts unanswered; the pool that this models has 176 workers.
+UNRESPONSIVE_WORKERS = 22
 JOB_ID = 'a' * 16
 
 
 class Worker(Sessions):
-    """A worker that answers surveys, and orders if told so; it carries out late starts while their lease lasts."""
+    """A worker that answers surveys, and orders if configured; it executes delayed starts within their lease."""
 
-    def __init__(self, *, answers_starts=False, answers_stops=False, late_s=None, work_s=60.0):
+    def __init__(self, *, answers_starts=False, answers_stops=False, start_delay_s=None, work_s=60.0):
         self.answers_starts = answers_starts
         self.answers_stops = answers_stops
-        self.late_s = late_s
+        self.start_delay_s = start_delay_s
         self.work_s = work_s
         self.ended = []
         self.highest = 0
@@ -57,13 +57,13 @@
             await anyio.sleep(0.002)
             self.running[order.key] = order.run
             return OrderReply(OrderStatus.DONE, anyio.current_time())
-        if self.late_s is not None:
-            self.tasks.start_soon(self._start_late, order)
+        if self.start_delay_s is not None:
+            self.tasks.start_soon(self._start_delayed, order)
         await anyio.sleep(timeout_s)
         raise WorkerUnansweredError('silent')
 
-    async def _start_late(self, order):
-        await anyio.sleep(self.late_s)
+    async def _start_delayed(self, order):
+        await anyio.sleep(self.start_delay_s)
         is_stopped = (order.key, order.run) in self.stopped
         if anyio.current_time() >= order.lease_until_s or is_stopped or order.run <= self.highest:
             return
@@ -83,18 +83,18 @@
         return OrderReply(OrderStatus.DONE, anyio.current_time())
 
 
-def start_of(worker_id, number):
+def make_start(worker_id, number):
     key = TaskKey(JOB_ID, 0, 0, number)
     return StartRun(worker_id, key, number + 1, '', RANK_ORDINARY, 1.0, '')
 
 
 class Pool:
-    """Links to workers, and what they tell."""
+    """Links to workers and the times of the messages that they post."""
 
     def __init__(self, workers):
         self.workers = workers
-        self.told_at_s = {}
-        self._turns = StartLimits(anyio.Semaphore(TURNS), anyio.Semaphore(TURNS))
+        self.posted_at_s = {}
+        self._limits = StartLimits(anyio.Semaphore(START_LIMIT), anyio.Semaphore(START_LIMIT))
         self.links = [self._link(number, worker) for number, worker in enumerate(workers)]
 
     def run_in(self, tasks):
@@ -102,26 +102,28 @@
             worker.tasks = tasks
             tasks.start_soon(link.run)
 
-    async def wait_told(self, message, timeout_s):
-        """Return when a message was told."""
+    async def wait_posted(self, message, timeout_s):
+        """Return when a message was posted, or None after the timeout."""
         with anyio.move_on_after(timeout_s):
-            while message not in self.told_at_s:
+            while message not in self.posted_at_s:
                 await anyio.sleep(0.005)
-        return self.told_at_s.get(message)
+        return self.posted_at_s.get(message)
 
     def _post(self, message):
         if isinstance(message, WorkerSurveyed):
             self.links[int(message.worker_id[1:])].acknowledge(message.last_end)
         if isinstance(message, RunRuledOut | StartAcknowledged):
-            self.told_at_s.setdefault(message, anyio.current_time())
+            self.posted_at_s.setdefault(message, anyio.current_time())
 
     def _link(self, number, worker):
         settings = LinkSettings(lease_s=6.0)
-        context = LinkContext(worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._turns)
+        context = LinkContext(
+            worker, 1, settings, Metrics(), self._post, lambda: None, anyio.current_time, self._limits
+        )
         return WorkerLink(WorkerIncarnation(f'w{number}'), Address('h', 1), Lease(), context)
 
 
-def play(workers, scenario):
+def run_scenario(workers, scenario):
     async def run():
         pool = Pool(workers)
         async with anyio.create_task_group() as tasks:
@@ -133,80 +135,80 @@
     anyio.run(run)
 
 
-def test_starts_do_not_wait_for_their_turn_behind_those_of_workers_that_answer_none():
-    workers = [Worker(answers_stops=True) for _ in range(UNANSWERING)]
+def test_starts_do_not_wait_for_slots_held_by_unresponsive_workers():
+    workers = [Worker(answers_stops=True) for _ in range(UNRESPONSIVE_WORKERS)]
     workers.append(Worker(answers_starts=True))
 
     async def scenario(pool):
         begun_s = anyio.current_time()
         for number, link in enumerate(pool.links):
             for index in range(ACCELERATORS):
-                link.start(start_of(f'w{number}', number * ACCELERATORS + index), '')
-        last = start_of(f'w{UNANSWERING}', UNANSWERING * ACCELERATORS + ACCELERATORS - 1)
-        told_s = await pool.wait_told(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
-        assert told_s is not None
-        assert told_s - begun_s < 1.0
+                link.start(make_start(f'w{number}', number * ACCELERATORS + index), '')
+        last = make_start(f'w{UNRESPONSIVE_WORKERS}', UNRESPONSIVE_WORKERS * ACCELERATORS + ACCELERATORS - 1)
+        posted_s = await pool.wait_posted(StartAcknowledged(last.worker_id, last.key, last.run), 10.0)
+        assert posted_s is not None
+        assert posted_s - begun_s < 1.0
 
-    play(workers, scenario)
+    run_scenario(workers, scenario)
 
 
-def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_given_back_in_time():
-    """Their tasks may run on any other worker meanwhile."""
+def test_starts_that_wait_behind_unanswered_ones_of_their_worker_are_ruled_out_in_time():
+    """Their tasks could run on other workers meanwhile."""
 
     async def scenario(pool):
         begun_s = anyio.current_time()
-        starts = [start_of('w0', index) for index in range(3 * ACCELERATORS)]
+        starts = [make_start('w0', index) for index in range(3 * ACCELERATORS)]
         for start in starts:
             pool.links[0].start(start, '')
         for start in starts:
-            never = RunRuledOut('w0', start.key, start.run)
-            told_s = await pool.wait_told(never, LONGEST_STALL_S)
-            assert told_s is not None
-            assert told_s - begun_s < LONGEST_STALL_S - SECOND_START_S
+            ruled_out = RunRuledOut('w0', start.key, start.run)
+            posted_s = await pool.wait_posted(ruled_out, MAX_STALL_S)
+            assert posted_s is not None
+            assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
-    play([Worker(answers_stops=True)], scenario)
+    run_scenario([Worker(answers_stops=True)], scenario)
 
 
 @pytest.mark.parametrize('answers_stops', [True, False])
 def test_a_run_whose_start_got_no_answer_is_given_up_once_it_can_not_start_any_more(answers_stops):
-    """It held its task and room for good where stops got no answer either."""
+    """If stops were not answered either, it blocked its task and occupied capacity forever."""
 
     async def scenario(pool):
-        begun_s, start = anyio.current_time(), start_of('w0', 0)
+        begun_s, start = anyio.current_time(), make_start('w0', 0)
         pool.links[0].start(start, '')
-        told_s = await pool.wait_told(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * LONGEST_STALL_S)
-        assert told_s is not None
-        assert told_s - begun_s < LONGEST_STALL_S - SECOND_START_S
+        posted_s = await pool.wait_posted(RunRuledOut('w0', start.key, start.run, EndKind.REFUSED), 2 * MAX_STALL_S)
+        assert posted_s is not None
+        assert posted_s - begun_s < MAX_STALL_S - RETRY_START_S
 
-    play([Worker(answers_stops=answers_stops)], scenario)
+    run_scenario([Worker(answers_stops=answers_stops)], scenario)
 
 
-@pytest.mark.parametrize('late_s', [0.5, 1.4, 1.9, 2.5])
-def test_a_run_that_started_late_is_not_given_up(late_s):
-    """Nothing but an acknowledged stop or the end of its lease rules a late start out."""
-    worker = Worker(late_s=late_s)
+@pytest.mark.parametrize('start_delay_s', [0.5, 1.4, 1.9, 2.5])
+def test_a_run_that_started_late_is_not_given_up(start_delay_s):
+    """Only an acknowledged stop or the end of its lease rules out that a delayed start still takes effect."""
+    worker = Worker(start_delay_s=start_delay_s)
 
     async def scenario(pool):
-        start = start_of('w0', 0)
+        start = make_start('w0', 0)
         pool.links[0].start(start, '')
         await anyio.sleep(4.0)
         has_started = start.key in worker.running
-        is_given_up = any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
+        is_given_up = any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
         assert has_started is not is_given_up
 
-    play([worker], scenario)
+    run_scenario([worker], scenario)
 
 
 @pytest.mark.parametrize('answers_stops', [True, False])
-@pytest.mark.parametrize('late_s', [0.0, 0.4])
-def test_a_run_whose_end_a_survey_listed_is_neither_stopped_nor_given_up(answers_stops, late_s):
-    """Its start got no answer, but what became of it is known."""
-    worker = Worker(answers_stops=answers_stops, late_s=late_s, work_s=0.05)
+@pytest.mark.parametrize('start_delay_s', [0.0, 0.4])
+def test_a_run_whose_end_a_survey_listed_is_neither_stopped_nor_given_up(answers_stops, start_delay_s):
+    """Its start got no answer, but the survey shows its outcome."""
+    worker = Worker(answers_stops=answers_stops, start_delay_s=start_delay_s, work_s=0.05)
 
     async def scenario(pool):
-        pool.links[0].start(start_of('w0', 0), '')
+        pool.links[0].start(make_start('w0', 0), '')
         await anyio.sleep(4.0)
         assert not worker.stopped
-        assert not any(isinstance(message, RunRuledOut) for message in pool.told_at_s)
+        assert not any(isinstance(message, RunRuledOut) for message in pool.posted_at_s)
 
-    play([worker], scenario)
+    run_scenario([worker], scenario)
