--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -176,7 +176,7 @@
     return StepSpec(count, Resources(4_000, 16_000, accelerators), work_s, **fields)
 
 
-def run_all(pool, job_id, kind=EndKind.DONE):
+def end_all_runs(pool, job_id, kind=EndKind.DONE):
     for key in [key for _, key in sorted(pool.running) if key.job_id == job_id]:
         if any(each == key for _, each in pool.running):
             pool.end_unit(key, kind)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -4,7 +4,7 @@
 
 from dahliaarch_kernel.scheduler import EndKind, StartRun, StopRun
 
-from .pool import learn_slow_workers, ORDINARY, PATIENT, Pool, run_all, task, URGENT
+from .pool import end_all_runs, learn_slow_workers, ORDINARY, PATIENT, Pool, task, URGENT
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
@@ -13,9 +13,9 @@
     pool = Pool()
     pool.submit(A, task(2), task(3, after=(0,)))
     assert len(pool.step()) == 2
-    run_all(pool, A)
+    end_all_runs(pool, A)
     assert len(pool.step()) == 3
-    run_all(pool, A)
+    end_all_runs(pool, A)
     assert pool.scheduler.job_by_id[A].phase == 'succeeded'
 
 
@@ -23,7 +23,7 @@
     pool = Pool()
     pool.submit(A, task())
     pool.step()
-    run_all(pool, A)
+    end_all_runs(pool, A)
     job = pool.scheduler.job_by_id[A]
     assert job.shown_phase == 'running'
     kept = pool.scheduler.take_dirty_jobs()
@@ -221,7 +221,7 @@
     pool.submit(B, task(1, accelerators=8), queue=PATIENT)
     pool.step()
     pool.step(0.01)
-    run_all(pool, A)
+    end_all_runs(pool, A)
     assert [effect.key.job_id for effect in pool.step(0.01)] == [B]
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
@@ -5,7 +5,7 @@
 
 from dahliaarch_kernel.scheduler import EndKind
 
-from .pool import Pool, run_all, task
+from .pool import end_all_runs, Pool, task
 
 A = 'a' * 16
 
@@ -15,9 +15,9 @@
     pool = Pool()
     pool.submit(A, task(2), task(1, after=(0,)))
     pool.step()
-    run_all(pool, A, EndKind.DONE)
+    end_all_runs(pool, A, EndKind.DONE)
     pool.step()
-    run_all(pool, A, EndKind.DONE)
+    end_all_runs(pool, A, EndKind.DONE)
     pool.keep_progress()
     job = weakref.ref(pool.scheduler.job_by_id[A])
     assert job().has_ended
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -2,7 +2,7 @@
 
 from dahliaarch_kernel.scheduler import StartRun, StopRun
 
-from .pool import learn_slow_workers, ORDINARY, PATIENT, Pool, run_all, task, URGENT
+from .pool import end_all_runs, learn_slow_workers, ORDINARY, PATIENT, Pool, task, URGENT
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
@@ -28,7 +28,7 @@
     pool.submit(B, task(1, accelerators=8, gang=True), queue=URGENT)
     pool.step()
     pool.step(1.0)
-    run_all(pool, A)
+    end_all_runs(pool, A)
     pool.submit(C, task(16, work_s=9.0), queue=PATIENT)
     started = [effect.key.job_id for effect in pool.step(0.1) if isinstance(effect, StartRun)]
     assert B in started
@@ -53,7 +53,7 @@
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=3.0), queue=ORDINARY)
     pool.step(1.0)
     for number in range(16):
-        run_all(pool, f'{number:016x}')
+        end_all_runs(pool, f'{number:016x}')
         pool.submit(f'{number + 100:016x}', task(1, work_s=6.0), queue=PATIENT)
         pool.step(0.25)
     assert any(key.job_id == A for _, key in pool.running)
@@ -69,7 +69,7 @@
     pool.step(1.0)
     pool.submit(C, task(2, **wide), queue=ORDINARY)
     pool.step(1.0)
-    run_all(pool, A)
+    end_all_runs(pool, A)
     for _ in range(3):
         pool.step(0.3)
     assert any(key.job_id == B for _, key in pool.running)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -10,7 +10,7 @@
 from dahliaarch_kernel.scheduler.events import RunEnd, StepWaiting, WaitReason
 from dahliaarch_kernel.workload import JobSpec, Resources
 
-from .pool import ORDINARY, PATIENT, Pool, run_all, START_S, task, URGENT
+from .pool import end_all_runs, ORDINARY, PATIENT, Pool, START_S, task, URGENT
 
 JOB = 'a' * 16
 # Users consider a job lost when none of its tasks runs for this long although capacity is idle.
@@ -233,7 +233,7 @@
         if pool.runs_of(JOB):
             break
     assert len(pool.runs_of(JOB)) == 10
-    run_all(pool, JOB)
+    end_all_runs(pool, JOB)
 
 
 def collect_waiting_notes(pool, ticks):
