--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -182,7 +182,7 @@
             pool.end_unit(key, kind)
 
 
-def learn_slow_workers(pool, slow):
+def train_worker_paces(pool, slow):
     """Run steps whose tasks take longer on the slow workers, so that the scheduler learns the pace of each worker."""
     for number in range(6):
         job_id = f'{number + 500:016x}'
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -4,7 +4,7 @@
 
 from dahliaarch_kernel.scheduler import EndKind, StartRun, StopRun
 
-from .pool import end_all_runs, learn_slow_workers, ORDINARY, PATIENT, Pool, task, URGENT
+from .pool import end_all_runs, ORDINARY, PATIENT, Pool, task, train_worker_paces, URGENT
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
@@ -203,14 +203,14 @@
 
 def test_workers_that_take_longer_for_similar_tasks_are_classified_as_slow():
     pool = Pool(workers=6)
-    learn_slow_workers(pool, {'w1', 'w4'})
+    train_worker_paces(pool, {'w1', 'w4'})
     known = {worker_id for worker_id, worker in pool.scheduler.worker_by_id.items() if worker.slowdown > 1.15}
     assert known == {'w1', 'w4'}
 
 
 def test_urgent_work_goes_to_fast_workers_first():
     pool = Pool(workers=6)
-    learn_slow_workers(pool, {'w0', 'w1'})
+    train_worker_paces(pool, {'w0', 'w1'})
     pool.submit(A, task(4, accelerators=8, gang=True), queue=URGENT)
     assert {effect.worker_id for effect in pool.step(0.1)} == {'w2', 'w3', 'w4', 'w5'}
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -2,7 +2,7 @@
 
 from dahliaarch_kernel.scheduler import StartRun, StopRun
 
-from .pool import end_all_runs, learn_slow_workers, ORDINARY, PATIENT, Pool, task, URGENT
+from .pool import end_all_runs, ORDINARY, PATIENT, Pool, task, train_worker_paces, URGENT
 
 A, B, C = 'a' * 16, 'b' * 16, 'c' * 16
 
@@ -106,7 +106,7 @@
 def test_urgent_work_preempts_on_fast_workers_first():
     """Preemption on slow workers made urgent work late: it waited for the stops and then ran longer."""
     pool = Pool(workers=6)
-    learn_slow_workers(pool, {'w0', 'w1'})
+    train_worker_paces(pool, {'w0', 'w1'})
     pool.submit(A, task(6, accelerators=8), queue=PATIENT)
     pool.step(0.3)
     pool.submit(B, task(2, accelerators=8, gang=True), queue=URGENT)
