--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -83,7 +83,7 @@
             self.failed_runs[key].add(run)
         self.scheduler.run_ended(RunEnd(worker_id, key, run, kind, checkpoint), self.now)
 
-    def end_unit(self, key, kind):
+    def end_task_or_gang(self, key, kind):
         """End a run and, as workers do, the other members of its gang."""
         worker_id, run = next((worker, run) for (worker, each), run in self.running.items() if each == key)
         step = self.spec_by_id[key.job_id].steps[key.step]
@@ -179,7 +179,7 @@
 def end_all_runs(pool, job_id, kind=EndKind.DONE):
     for key in [key for _, key in sorted(pool.running) if key.job_id == job_id]:
         if any(each == key for _, each in pool.running):
-            pool.end_unit(key, kind)
+            pool.end_task_or_gang(key, kind)
 
 
 def train_worker_paces(pool, slow):
@@ -192,6 +192,6 @@
             pool.now_s += 1.2 if is_slow else 4.0
             for worker, key in sorted(pool.running):
                 if (worker in slow) is is_slow:
-                    pool.end_unit(key, EndKind.DONE)
+                    pool.end_task_or_gang(key, EndKind.DONE)
         pool.step(0.3)
     assert not pool.running
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -267,7 +267,7 @@
             run = pool.running.get((worker_id, key))
             work_s = pool.spec_by_id[key.job_id].steps[0].estimate_s
             if run is not None and rng.random() < 0.25 / work_s:
-                pool.end_unit(key, EndKind.DONE)
+                pool.end_task_or_gang(key, EndKind.DONE)
         pool.finish_stops()
         pool.keep_progress()
     failed = {job_id for job_id in pool.spec_by_id if phase(pool, job_id) == 'failed'}
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_decisions.py
@@ -40,7 +40,7 @@
         pool.step(0.1)
         worker, key = next(iter(pool.running))
         workers.append(worker)
-        pool.end_unit(key, EndKind.FAILED)
+        pool.end_task_or_gang(key, EndKind.FAILED)
     assert len(set(workers)) == ORDINARY.max_attempts
     assert pool.scheduler.job_by_id[A].phase == 'failed'
     assert not pool.step(0.1)
@@ -62,7 +62,7 @@
     pool.step()
     for worker, key in sorted(pool.running):
         if worker == 'w0':
-            pool.end_unit(key, EndKind.FAILED)
+            pool.end_task_or_gang(key, EndKind.FAILED)
     effects = pool.step(0.1)
     assert effects
     assert all(effect.worker_id == 'w1' for effect in effects if isinstance(effect, StartRun))
@@ -123,9 +123,9 @@
     pool.submit(A, task(2), task(1, after=(0,)))
     pool.step()
     _, key = sorted(pool.running)[0]
-    pool.end_unit(key, EndKind.DONE)
+    pool.end_task_or_gang(key, EndKind.DONE)
     _, other = sorted(pool.running)[0]
-    pool.end_unit(other, EndKind.FAILED)
+    pool.end_task_or_gang(other, EndKind.FAILED)
     kept = pool.scheduler.job_by_id[A].progress()
     successor = Pool(epoch=9)
     spec = pool.spec_by_id[A]
@@ -152,7 +152,7 @@
     for kind in (EndKind.FAILED, EndKind.FAILED, EndKind.FAILED, EndKind.DONE):
         pool.step(0.1)
         _, key = next(iter(pool.running))
-        pool.end_unit(key, kind)
+        pool.end_task_or_gang(key, kind)
         pool.done.clear()
         pool.failed_runs.clear()
     assert pool.step(1.0)
@@ -287,7 +287,7 @@
     pool.now_s += 0.1
     pool.submit(B, task(8, accelerators=1, work_s=0.5), queue=ORDINARY)
     pool.step(0.1)
-    pool.end_unit(first.key, EndKind.DONE)
+    pool.end_task_or_gang(first.key, EndKind.DONE)
     assert {effect.key.job_id for effect in pool.step(0.1)} == {A}
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -22,7 +22,7 @@
         pool.step(0.01)
         pool.now_s += work_s
         for _, key in tuple(pool.running):
-            pool.end_unit(key, EndKind.DONE)
+            pool.end_task_or_gang(key, EndKind.DONE)
     pool.step(0.01)
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -47,7 +47,7 @@
     def end(self, choice, kind):
         if self.pool.running:
             _, key = choice.choice(sorted(self.pool.running))
-            self.pool.end_unit(key, kind)
+            self.pool.end_task_or_gang(key, kind)
         self.pool.step(0.1)
 
     @rule()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -42,7 +42,7 @@
             if at_s <= self.now_s:
                 del self.ends_at_by_run[worker_id, key]
                 if (worker_id, key) in self.running:
-                    self.end_unit(key, EndKind.DONE)
+                    self.end_task_or_gang(key, EndKind.DONE)
         for effect in self.scheduler.decide(self.now):
             if not isinstance(effect, StartRun):
                 self.stops.append(effect)
@@ -341,7 +341,7 @@
     pool.tick()
     pool.submit(JOB, task(1, accelerators=8, work_s=30.0))
     pool.tick()
-    pool.end_unit(next(iter(pool.runs_of(JOB))), EndKind.FAILED)
+    pool.end_task_or_gang(next(iter(pool.runs_of(JOB))), EndKind.FAILED)
     for number in range(14):
         pool.add_worker(f'other{number}', 'r9', capacity=Resources(64_000, 262_144, 4))
     assert pool.tick_until_started(JOB, 30.0) <= LONGEST_STALL_S
