--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -107,7 +107,7 @@
         )
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
-    def keep_progress(self):
+    def save_progress(self):
         """Mark changed progress as saved to the store, as the recorder of an owner does."""
         for job_id in self.scheduler.take_dirty_jobs():
             self.scheduler.mark_saved(job_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -36,7 +36,7 @@
             crashed += 1
         for worker_id in sorted(pool.profiles):
             pool.survey(worker_id)
-        pool.keep_progress()
+        pool.save_progress()
     return crashed
 
 
@@ -69,7 +69,7 @@
     pool.submit(A, task(1))
     first_start = pool.step()[0]
     pool.crash(first_start.worker_id)
-    pool.keep_progress()
+    pool.save_progress()
     suspect = pool.step(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
     other_workers = {effect.worker_id for effect in pool.step(0.1)}
@@ -85,7 +85,7 @@
         pool.submit(job_id, task(1, accelerators=7, work_s=60.0))
     pool.submit(A, task(1))
     pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING_TASK))
-    pool.keep_progress()
+    pool.save_progress()
     has_started = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
     assert any(has_started)
 
@@ -100,7 +100,7 @@
             crashed += 1
             for worker_id, key in sorted(pool.running):
                 pool.end(worker_id, key, effect.run, EndKind.BROKEN)
-        pool.keep_progress()
+        pool.save_progress()
     assert crashed == 3
     assert phase(pool) == 'failed'
     crashes_by_index = pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
@@ -127,7 +127,7 @@
         previous_owner.now_s += 2.0
         previous_owner.survey(start.worker_id)
         previous_owner.crash(start.worker_id)
-        previous_owner.keep_progress()
+        previous_owner.save_progress()
     assert phase(previous_owner) == 'running'
     next_owner = Pool(epoch=9)
     next_owner.spec_by_id = previous_owner.spec_by_id
@@ -147,7 +147,7 @@
     for _ in range(2):
         pool.crash(pool.step(0.1)[0].worker_id)
         assert not pool.step(0.1)
-        pool.keep_progress()
+        pool.save_progress()
     assert pool.step(0.1)
 
 
@@ -269,7 +269,7 @@
             if run is not None and rng.random() < 0.25 / work_s:
                 pool.end_task_or_gang(key, EndKind.DONE)
         pool.finish_stops()
-        pool.keep_progress()
+        pool.save_progress()
     failed = {job_id for job_id in pool.spec_by_id if phase(pool, job_id) == 'failed'}
     max_starts = max((starts_by_key.get(key, 0) for key in crashing), default=0)
     return max_starts, failed - {key.job_id for key in crashing}, len(pool.spec_by_id)
@@ -319,7 +319,7 @@
             pool.survey(worker_id)
         for worker_id in started.values():
             pool.crash(worker_id)
-        pool.keep_progress()
+        pool.save_progress()
     assert phase(pool) == 'failed'
     assert max(len(crashes) for crashes in pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index.values()) <= 4
 
@@ -337,6 +337,6 @@
             others = [worker_id for worker_id in sorted(pool.profiles) if worker_id != effect.worker_id][:3]
             for worker_id in (effect.worker_id, *others):
                 pool.crash(worker_id)
-        pool.keep_progress()
+        pool.save_progress()
     assert phase(pool) == 'failed'
     assert starts == 5
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_discounted_crashes.py
@@ -23,7 +23,7 @@
             return starts[0]
         for worker_id in sorted(pool.profiles):
             pool.survey(worker_id)
-        pool.keep_progress()
+        pool.save_progress()
     return None
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
@@ -18,7 +18,7 @@
     end_all_runs(pool, A, EndKind.DONE)
     pool.step()
     end_all_runs(pool, A, EndKind.DONE)
-    pool.keep_progress()
+    pool.save_progress()
     job = weakref.ref(pool.scheduler.job_by_id[A])
     assert job().has_ended
     gc.disable()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -75,7 +75,7 @@
                 del self.pool.running[worker, key]
                 self.pool.stopping.discard((worker, key, run))
         self.pool.scheduler.worker_over(worker_id, self.pool.now)
-        self.pool.keep_progress()
+        self.pool.save_progress()
         self.pool.silent.discard(worker_id)
         self.pool.add_worker(worker_id, f'r{number // 8}')
         self.pool.step()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -31,7 +31,7 @@
     pool.scheduler.worker_replaced(worker_id, f'{worker_id}+', pool.now_s + LATE_S)
     pool.scheduler.worker_over(worker_id, pool.now)
     pool.scheduler.expect_worker(former._replace(worker_id=f'{worker_id}+'), pool.now)
-    pool.keep_progress()
+    pool.save_progress()
 
 
 def starts_after(pool, after_s):
@@ -187,7 +187,7 @@
     assert not pool.step(0.1)
     pool.add_worker(f'{start.worker_id}+', 'r0')
     pool.scheduler.worker_over(start.worker_id, pool.now)
-    pool.keep_progress()
+    pool.save_progress()
     assert len(starts_after(pool, 0.0)) == 1
 
 
