--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -121,7 +121,7 @@
         self.scheduler.worker_over(worker_id, self.now)
         self.add_worker(f'{worker_id}+', self.profiles.pop(worker_id).labels[1])
 
-    def used(self, worker_id):
+    def used_resources(self, worker_id):
         total = Resources()
         for worker, key in self.running:
             if worker == worker_id:
@@ -146,7 +146,9 @@
             assert step.label in self.profiles[effect.worker_id].labels
         self.running[effect.worker_id, key] = effect.run
         self.starts.append(effect)
-        assert self.profiles[effect.worker_id].capacity.covers(self.used(effect.worker_id)), 'worker over capacity'
+        assert self.profiles[effect.worker_id].capacity.covers(self.used_resources(effect.worker_id)), (
+            'worker over capacity'
+        )
         if step.max_per_worker:
             same = [1 for worker, each in self.running if worker == effect.worker_id and each[:3] == key[:3]]
             assert len(same) <= step.max_per_worker
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -193,7 +193,7 @@
         step = pool.spec_by_id[job_id].steps[0]
         if pool.scheduler.job_by_id[job_id].has_ended or pool.runs_of(job_id):
             return False
-        free = [profile.capacity.minus(pool.used(worker)) for worker, profile in pool.profiles.items()]
+        free = [profile.capacity.minus(pool.used_resources(worker)) for worker, profile in pool.profiles.items()]
         total = sum(profile.capacity.accelerators for profile in pool.profiles.values())
         if 2 * sum(each.accelerators for each in free) <= total:
             return False
