--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -58,7 +58,7 @@
         self.spec_by_id[job_id] = spec
         return self.scheduler.add_job(spec, queue, self.now)
 
-    def step(self, seconds=0.0):
+    def advance(self, seconds=0.0):
         """Advance the clock, run a scheduling pass, and execute and check its effects."""
         self.now_s += seconds
         effects = self.scheduler.decide(self.now)
@@ -189,11 +189,11 @@
     for number in range(6):
         job_id = f'{number + 500:016x}'
         pool.submit(job_id, task(len(pool.profiles), accelerators=8, work_s=4.0), queue=PATIENT)
-        pool.step(0.3)
+        pool.advance(0.3)
         for is_slow in (False, True):
             pool.now_s += 1.2 if is_slow else 4.0
             for worker, key in sorted(pool.running):
                 if (worker in slow) is is_slow:
                     pool.end_task_or_gang(key, EndKind.DONE)
-        pool.step(0.3)
+        pool.advance(0.3)
     assert not pool.running
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -29,7 +29,7 @@
     """Crash every worker that starts a task; return the number of crashes."""
     crashed = 0
     for _ in range(max_rounds):
-        for effect in starts_of(pool.step(0.5), key):
+        for effect in starts_of(pool.advance(0.5), key):
             pool.now_s += ran_s
             pool.survey(effect.worker_id)
             pool.crash(effect.worker_id)
@@ -67,16 +67,16 @@
 def test_a_suspect_runs_isolated_until_it_has_outlasted_its_earlier_runs():
     pool = Pool(workers=2)
     pool.submit(A, task(1))
-    first_start = pool.step()[0]
+    first_start = pool.advance()[0]
     pool.crash(first_start.worker_id)
     pool.save_progress()
-    suspect = pool.step(0.1)[0]
+    suspect = pool.advance(0.1)[0]
     pool.submit(B, task(16, accelerators=1))
-    other_workers = {effect.worker_id for effect in pool.step(0.1)}
+    other_workers = {effect.worker_id for effect in pool.advance(0.1)}
     assert suspect.worker_id not in other_workers
     pool.now_s += 1.5
     pool.survey(suspect.worker_id)
-    assert {effect.worker_id for effect in pool.step(0.1)} == {suspect.worker_id}
+    assert {effect.worker_id for effect in pool.advance(0.1)} == {suspect.worker_id}
 
 
 def test_a_suspect_does_not_wait_forever_for_an_empty_worker():
@@ -84,9 +84,9 @@
     for job_id in ('c' * 16, 'd' * 16):
         pool.submit(job_id, task(1, accelerators=7, work_s=60.0))
     pool.submit(A, task(1))
-    pool.crash(next(effect.worker_id for effect in pool.step() if effect.key == CRASHING_TASK))
+    pool.crash(next(effect.worker_id for effect in pool.advance() if effect.key == CRASHING_TASK))
     pool.save_progress()
-    has_started = [bool(starts_of(pool.step(0.5), CRASHING_TASK)) for _ in range(6)]
+    has_started = [bool(starts_of(pool.advance(0.5), CRASHING_TASK)) for _ in range(6)]
     assert any(has_started)
 
 
@@ -95,7 +95,7 @@
     pool.submit(A, task(6, accelerators=8, gang=True, work_s=9.0))
     crashed = 0
     for _ in range(30):
-        for effect in starts_of(pool.step(0.5), TaskKey(A, 0, 0, 3)):
+        for effect in starts_of(pool.advance(0.5), TaskKey(A, 0, 0, 3)):
             pool.crash(effect.worker_id)
             crashed += 1
             for worker_id, key in sorted(pool.running):
@@ -123,7 +123,7 @@
     previous_owner = Pool()
     previous_owner.submit(A, task(1, work_s=8.0))
     for _ in range(3):
-        (start,) = starts_of(previous_owner.step(0.5), CRASHING_TASK)
+        (start,) = starts_of(previous_owner.advance(0.5), CRASHING_TASK)
         previous_owner.now_s += 2.0
         previous_owner.survey(start.worker_id)
         previous_owner.crash(start.worker_id)
@@ -133,7 +133,7 @@
     next_owner.spec_by_id = previous_owner.spec_by_id
     job = previous_owner.scheduler.job_by_id[A]
     next_owner.scheduler.add_job(job.spec, job.queue, next_owner.now, progress=job.progress())
-    assert not next_owner.step(0.1)
+    assert not next_owner.advance(0.1)
     assert phase(next_owner) == 'failed'
 
 
@@ -145,20 +145,20 @@
     pool = Pool()
     pool.submit(A, task(1))
     for _ in range(2):
-        pool.crash(pool.step(0.1)[0].worker_id)
-        assert not pool.step(0.1)
+        pool.crash(pool.advance(0.1)[0].worker_id)
+        assert not pool.advance(0.1)
         pool.save_progress()
-    assert pool.step(0.1)
+    assert pool.advance(0.1)
 
 
 def test_a_task_that_is_not_a_suspect_does_not_wait_for_the_store():
     pool = Pool()
     pool.submit(A, task(1))
-    worker_id = pool.step(0.1)[0].worker_id
+    worker_id = pool.advance(0.1)[0].worker_id
     pool.now_s += 3.0
     pool.survey(worker_id)
     pool.crash(worker_id)
-    assert pool.step(0.1)
+    assert pool.advance(0.1)
 
 
 def lose_contact(pool, worker_id):
@@ -171,13 +171,13 @@
         if running_on == worker_id:
             del pool.running[running_on, key]
     pool.silent.add(worker_id)
-    pool.step(6.0)
+    pool.advance(6.0)
 
 
 def test_a_worker_that_was_only_unreachable_counts_against_no_task():
     pool = Pool(workers=12)
     pool.submit(A, task(1))
-    pool.step(0.1)
+    pool.advance(0.1)
     for _ in range(6):
         worker_id, _ = next(iter(pool.running))
         lose_contact(pool, worker_id)
@@ -191,7 +191,7 @@
 def test_a_worker_that_was_given_up_counts_once_another_incarnation_answers_there():
     pool = Pool(workers=12)
     pool.submit(A, task(1))
-    pool.step(0.1)
+    pool.advance(0.1)
     worker_id, _ = next(iter(pool.running))
     lose_contact(pool, worker_id)
     step = pool.scheduler.job_by_id[A].step_by_key[0, 0]
@@ -204,7 +204,7 @@
     pool = Pool(workers=12)
     pool.submit(A, task(1, work_s=20.0))
     for _ in range(6):
-        worker_id = starts_of(pool.step(0.1), CRASHING_TASK)[0].worker_id
+        worker_id = starts_of(pool.advance(0.1), CRASHING_TASK)[0].worker_id
         pool.add_worker(worker_id, 'r0', draining=True, leaves_in_s=1.0)
         pool.crash(worker_id)
     assert not pool.scheduler.job_by_id[A].step_by_key[0, 0].crashes_by_index
@@ -252,7 +252,7 @@
             pool.submit(job_id, step._replace(gang=rng.random() < 0.3), queue=rng.choice((URGENT, PATIENT)))
             if rng.random() < 0.15:
                 crashing.add(TaskKey(job_id, 0, 0, rng.randrange(step.task_count)))
-        started = [effect for effect in pool.step(0.25) if isinstance(effect, StartRun)]
+        started = [effect for effect in pool.advance(0.25) if isinstance(effect, StartRun)]
         for effect in started:
             starts_by_key[effect.key] = starts_by_key.get(effect.key, 0) + 1
         crashed_workers = {effect.worker_id for effect in started if effect.key in crashing}
@@ -313,7 +313,7 @@
     pool = Pool(workers=12)
     pool.submit(A, task(4, accelerators=8, work_s=9.0))
     for _ in range(12):
-        started = {effect.key: effect.worker_id for effect in pool.step(0.5) if isinstance(effect, StartRun)}
+        started = {effect.key: effect.worker_id for effect in pool.advance(0.5) if isinstance(effect, StartRun)}
         pool.now_s += 3.0
         for worker_id in started.values():
             pool.survey(worker_id)
@@ -330,7 +330,7 @@
     pool.submit(A, task(1, work_s=30.0))
     starts = 0
     for _ in range(12):
-        for effect in starts_of(pool.step(0.5), CRASHING_TASK):
+        for effect in starts_of(pool.advance(0.5), CRASHING_TASK):
             starts += 1
             pool.now_s += 3.0
             pool.survey(effect.worker_id)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_forgotten_jobs.py
@@ -14,9 +14,9 @@
     # The garbage collector skips frozen objects, so a reference cycle through the job would never be freed.
     pool = Pool()
     pool.submit(A, task(2), task(1, after=(0,)))
-    pool.step()
+    pool.advance()
     end_all_runs(pool, A, EndKind.DONE)
-    pool.step()
+    pool.advance()
     end_all_runs(pool, A, EndKind.DONE)
     pool.save_progress()
     job = weakref.ref(pool.scheduler.job_by_id[A])
@@ -24,7 +24,7 @@
     gc.disable()
     try:
         pool.scheduler.forget_job(A)
-        pool.step(1.0)
+        pool.advance(1.0)
         assert job() is None
     finally:
         gc.enable()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_health.py
@@ -19,26 +19,26 @@
     for number in range(jobs):
         job_id = f'{number + 300:016x}'
         pool.submit(job_id, task(1, accelerators=accelerators, work_s=estimate_s(number)), queue=queue)
-        pool.step(0.01)
+        pool.advance(0.01)
         pool.now_s += work_s
         for _, key in tuple(pool.running):
             pool.end_task_or_gang(key, EndKind.DONE)
-    pool.step(0.01)
+    pool.advance(0.01)
 
 
 def survey_after(pool, percent_by_worker, seconds):
     """Advance the clock and survey each worker with the given progress of its runs."""
-    pool.step(seconds)
+    pool.advance(seconds)
     for worker, percent in percent_by_worker.items():
         pool.survey(worker, percent=percent)
-    return pool.step()
+    return pool.advance()
 
 
 def test_a_run_that_is_stalled_for_some_seconds_is_not_moved_when_its_job_has_time():
     pool = Pool(workers=2)
     run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(work_s=8.0))
-    worker = pool.step(0.01)[0].worker_id
+    worker = pool.advance(0.01)[0].worker_id
     for percent in (12.0, 25.0, 25.0, 25.0, 25.0, 25.0, 25.0, 37.0):
         survey_after(pool, {worker: percent}, 1.0)
     assert not pool.stops
@@ -48,11 +48,11 @@
     pool = Pool(workers=2)
     run_jobs_that_take(pool, URGENT, 4.0, lambda number: 4.0)
     pool.submit(A, task(work_s=4.0), queue=URGENT)
-    worker = pool.step(0.01)[0].worker_id
+    worker = pool.advance(0.01)[0].worker_id
     survey_after(pool, {worker: 0.0}, 0.9)
     assert [stop.reason for stop in pool.stops] == ['stalled']
     pool.finish_stops()
-    assert pool.step(0.3)[0].worker_id != worker
+    assert pool.advance(0.3)[0].worker_id != worker
 
 
 def test_an_urgent_run_that_would_end_late_after_a_move_is_not_moved():
@@ -60,7 +60,7 @@
     pool = Pool(workers=2)
     run_jobs_that_take(pool, URGENT, 2.0, lambda number: 2.0)
     pool.submit(A, task(work_s=2.0), queue=URGENT)
-    worker = pool.step(0.01)[0].worker_id
+    worker = pool.advance(0.01)[0].worker_id
     for percent in (50.0, 50.0, 50.0):
         survey_after(pool, {worker: percent}, 1.0)
     assert not pool.stops
@@ -70,7 +70,7 @@
     pool = Pool(workers=3)
     run_jobs_that_take(pool, ORDINARY, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=8.0))
-    workers = {effect.worker_id for effect in pool.step(0.01)}
+    workers = {effect.worker_id for effect in pool.advance(0.01)}
     for percent in (1.0, 3.0, 4.0):
         survey_after(pool, dict.fromkeys(workers, percent), 1.0)
     states = [pool.scheduler.worker_by_id[worker] for worker in workers]
@@ -81,10 +81,10 @@
     pool = Pool(workers=2)
     run_jobs_that_take(pool, PATIENT, 8.0, lambda number: 8.0)
     pool.submit(A, task(2, work_s=8.0), queue=PATIENT)
-    slow = pool.step(0.01)[0].worker_id
+    slow = pool.advance(0.01)[0].worker_id
     survey_after(pool, {slow: 1.0}, 1.0)
     pool.submit(B, task())
-    assert {effect.worker_id for effect in pool.step(0.01)} == ({'w0', 'w1'} - {slow})
+    assert {effect.worker_id for effect in pool.advance(0.01)} == ({'w0', 'w1'} - {slow})
 
 
 def test_a_worker_is_not_suspected_because_of_a_queue_with_unreliable_estimates():
@@ -92,7 +92,7 @@
     pool = Pool(workers=1)
     run_jobs_that_take(pool, URGENT, 3.0, lambda number: (0.3, 1.0, 3.0, 12.0)[number % 4], jobs=24)
     pool.submit(A, task(work_s=0.3), queue=URGENT)
-    pool.step(0.01)
+    pool.advance(0.01)
     for percent in (30.0, 63.0):
         survey_after(pool, {'w0': percent}, 1.0)
     assert not pool.stops
@@ -103,7 +103,7 @@
     without = frozenset((Mechanism.MOVES_OF_STALLED,))
     pool = Pool(workers=2, settings=SchedulerSettings(without=without))
     pool.submit(A, task(work_s=6.0))
-    worker = pool.step()[0].worker_id
+    worker = pool.advance()[0].worker_id
     for _ in range(12):
         survey_after(pool, {worker: 5.0}, 1.0)
     assert not pool.stops
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -37,35 +37,35 @@
         if chained:
             steps = [step._replace(after=(number - 1,) if number else ()) for number, step in enumerate(steps)]
         self.pool.submit(f'{self.jobs:016x}', *steps, queue=queue)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds):
-        self.pool.step(seconds)
+        self.pool.advance(seconds)
 
     @rule(choice=st.randoms(use_true_random=False), kind=KINDS)
     def end(self, choice, kind):
         if self.pool.running:
             _, key = choice.choice(sorted(self.pool.running))
             self.pool.end_task_or_gang(key, kind)
-        self.pool.step(0.1)
+        self.pool.advance(0.1)
 
     @rule()
     def stops_take_effect(self):
         self.pool.finish_stops()
-        self.pool.step(0.1)
+        self.pool.advance(0.1)
 
     @rule(choice=st.randoms(use_true_random=False))
     def cancel(self, choice):
         if self.pool.spec_by_id:
             self.pool.scheduler.cancel(choice.choice(sorted(self.pool.spec_by_id)), self.pool.now)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9), percent=st.floats(0, 99))
     def survey(self, number, percent):
         if f'w{number}' not in self.pool.silent:
             self.pool.survey(f'w{number}', percent)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
     def lose_worker(self, number):
@@ -78,7 +78,7 @@
         self.pool.save_progress()
         self.pool.silent.discard(worker_id)
         self.pool.add_worker(worker_id, f'r{number // 8}')
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
     def worker_is_silent(self, number):
@@ -87,20 +87,20 @@
         lease.assume_until(self.pool.now_s + 1000.0)
         self.pool.scheduler.worker_silent(worker_id, self.pool.now)
         self.pool.silent.add(worker_id)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
     def worker_answers_again(self, number):
         self.pool.silent.discard(f'w{number}')
         self.pool.survey(f'w{number}')
-        self.pool.step()
+        self.pool.advance()
 
     @rule()
     def no_task_waits_beside_room_for_it(self):
         """Searches that failed are remembered: where room has grown they must be made again."""
         self.pool.finish_stops()
         for _ in range(3):
-            self.pool.step(0.3)
+            self.pool.advance(0.3)
         state = self.pool.scheduler._state
         if self.pool.stopping or list(state.reservations):
             return
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_policies_at_work.py
@@ -21,34 +21,34 @@
     pool, _ = make_pool(PolicySettings('mine', priority='members'))
     pool.submit(A, task(1, accelerators=8), queue=ORDINARY)
     pool.submit(B, task(3, accelerators=8), queue=PATIENT)
-    assert [effect.key.job_id for effect in pool.step()] == [B]
+    assert [effect.key.job_id for effect in pool.advance()] == [B]
 
 
 def test_a_filter_program_excludes_workers():
     pool, _ = make_pool(PolicySettings('mine', placement_filter='free < slots'))
     pool.submit(A, task())
-    assert not pool.step()
+    assert not pool.advance()
 
 
 def test_a_score_program_chooses_among_workers():
     pool, _ = make_pool(PolicySettings('mine', placement_score='0.0 - free'), workers=2)
     pool.submit(A, task())
-    first = pool.step()[0].worker_id
+    first = pool.advance()[0].worker_id
     pool.submit(B, task())
-    assert pool.step()[0].worker_id != first
+    assert pool.advance()[0].worker_id != first
 
 
 def test_a_reclaim_program_chooses_victims():
     pool, _ = make_pool(PolicySettings('mine', reclaim='checkpointable ? 100.0 : 0.0'), workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8, checkpoints=True), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(C, task(1, accelerators=8), queue=URGENT)
-    assert [effect.key.job_id for effect in pool.step(2.0) if isinstance(effect, StopRun)] == [A]
+    assert [effect.key.job_id for effect in pool.advance(2.0) if isinstance(effect, StopRun)] == [A]
 
 
 def test_the_built_in_policy_applies_when_a_program_fails():
     pool, failures = make_pool(PolicySettings('mine', priority='slots == 2.0 ? double("x") : 1.0'))
     pool.submit(A, task(accelerators=2))
-    assert [type(effect) for effect in pool.step()] == [StartRun]
+    assert [type(effect) for effect in pool.advance()] == [StartRun]
     assert failures == ['priority']
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_preemption.py
@@ -11,11 +11,11 @@
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 16})
     pool.submit(A, task(16, checkpoints=True), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(B, task(2, accelerators=8, gang=True, same_rack=True), queue=URGENT)
-    assert {type(effect) for effect in pool.step()} == {StopRun}
+    assert {type(effect) for effect in pool.advance()} == {StopRun}
     pool.finish_stops()
-    started = [effect for effect in pool.step(0.1) if isinstance(effect, StartRun)]
+    started = [effect for effect in pool.advance(0.1) if isinstance(effect, StartRun)]
     assert [effect.key.job_id for effect in started] == [B, B]
 
 
@@ -24,13 +24,13 @@
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8, 'other': 8})
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=9.0), queue=URGENT, account='other')
-    pool.step()
+    pool.advance()
     pool.submit(B, task(1, accelerators=8, gang=True), queue=URGENT)
-    pool.step()
-    pool.step(1.0)
+    pool.advance()
+    pool.advance(1.0)
     end_all_runs(pool, A)
     pool.submit(C, task(16, work_s=9.0), queue=PATIENT)
-    started = [effect.key.job_id for effect in pool.step(0.1) if isinstance(effect, StartRun)]
+    started = [effect.key.job_id for effect in pool.advance(0.1) if isinstance(effect, StartRun)]
     assert B in started
 
 
@@ -38,10 +38,10 @@
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
     pool.submit(B, task(1, accelerators=8, checkpoints=True), queue=PATIENT)
-    pool.step()
-    pool.step(3.0)
+    pool.advance()
+    pool.advance(3.0)
     pool.submit(C, task(1, accelerators=8), queue=URGENT)
-    stopped = [effect.key.job_id for effect in pool.step() if isinstance(effect, StopRun)]
+    stopped = [effect.key.job_id for effect in pool.advance() if isinstance(effect, StopRun)]
     assert stopped == [B]
 
 
@@ -49,13 +49,13 @@
     pool = Pool(workers=2)
     for number in range(16):
         pool.submit(f'{number:016x}', task(1, work_s=2.0 + number / 4), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(A, task(2, accelerators=8, gang=True, work_s=3.0), queue=ORDINARY)
-    pool.step(1.0)
+    pool.advance(1.0)
     for number in range(16):
         end_all_runs(pool, f'{number:016x}')
         pool.submit(f'{number + 100:016x}', task(1, work_s=6.0), queue=PATIENT)
-        pool.step(0.25)
+        pool.advance(0.25)
     assert any(key.job_id == A for _, key in pool.running)
 
 
@@ -64,14 +64,14 @@
     pool = Pool(workers=3)
     wide = {'accelerators': 8, 'gang': True, 'work_s': 6.0}
     pool.submit(A, task(2, accelerators=8, work_s=4.0), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(B, task(3, **wide), queue=ORDINARY)
-    pool.step(1.0)
+    pool.advance(1.0)
     pool.submit(C, task(2, **wide), queue=ORDINARY)
-    pool.step(1.0)
+    pool.advance(1.0)
     end_all_runs(pool, A)
     for _ in range(3):
-        pool.step(0.3)
+        pool.advance(0.3)
     assert any(key.job_id == B for _, key in pool.running)
 
 
@@ -79,13 +79,13 @@
     """Each gang was blocked by the other's reservation, and both waited until the reservations were stale."""
     pool = Pool(workers=4)
     pool.submit(A, task(4, accelerators=8, checkpoints=True), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(B, task(2, accelerators=8, gang=True), queue=URGENT)
-    pool.step()
+    pool.advance()
     pool.submit(C, task(2, accelerators=8, gang=True), queue=URGENT)
-    pool.step(0.1)
+    pool.advance(0.1)
     pool.finish_stops()
-    started = {effect.key.job_id for effect in pool.step(0.1) if isinstance(effect, StartRun)}
+    started = {effect.key.job_id for effect in pool.advance(0.1) if isinstance(effect, StartRun)}
     assert started == {B, C}
 
 
@@ -93,13 +93,13 @@
     pool = Pool(workers=2)
     pool.scheduler.set_guarantees({'acc': 8})
     pool.submit(A, task(1, accelerators=8), queue=PATIENT)
-    pool.step()
-    pool.step(1.5)
+    pool.advance()
+    pool.advance(1.5)
     pool.submit(B, task(1, accelerators=8), queue=URGENT, account='other')
-    pool.step()
-    pool.step(0.2)
+    pool.advance()
+    pool.advance(0.2)
     pool.submit(C, task(1, accelerators=8), queue=URGENT)
-    stopped = [effect.key.job_id for effect in pool.step() if isinstance(effect, StopRun)]
+    stopped = [effect.key.job_id for effect in pool.advance() if isinstance(effect, StopRun)]
     assert stopped == [A]
 
 
@@ -108,9 +108,9 @@
     pool = Pool(workers=6)
     train_worker_paces(pool, {'w0', 'w1'})
     pool.submit(A, task(6, accelerators=8), queue=PATIENT)
-    pool.step(0.3)
+    pool.advance(0.3)
     pool.submit(B, task(2, accelerators=8, gang=True), queue=URGENT)
-    stopped = {effect.worker_id for effect in pool.step(0.3) if isinstance(effect, StopRun)}
+    stopped = {effect.worker_id for effect in pool.advance(0.3) if isinstance(effect, StopRun)}
     assert len(stopped) == 2
     assert not stopped & {'w0', 'w1'}
 
@@ -119,10 +119,10 @@
     """It preempted other work instead, while accelerators reserved for the gang were idle."""
     pool = Pool(workers=2)
     pool.submit(A, task(1, accelerators=8, work_s=9.0), queue=ORDINARY)
-    pool.step()
+    pool.advance()
     pool.submit(B, task(2, accelerators=8, gang=True), queue=ORDINARY)
-    pool.step(1.0)
+    pool.advance(1.0)
     assert list(pool.scheduler._state.reservations)
     pool.submit(C, task(1, accelerators=8, work_s=30.0), queue=URGENT)
-    effects = pool.step(0.1)
+    effects = pool.advance(0.1)
     assert [(type(effect), effect.key.job_id) for effect in effects] == [(StartRun, C)]
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_shrinking_room.py
@@ -19,44 +19,44 @@
     """Not even a task that needs none of the exhausted resource: the worker would exceed its capacity at the start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6))
-    pool.step()
+    pool.advance()
     resize(pool, SHRUNK)
     pool.submit(B, CPU_ONLY)
-    assert not pool.step(0.1)
+    assert not pool.advance(0.1)
 
 
 def test_no_run_is_preempted_for_work_that_could_not_start_there_afterwards():
     """The runs use six accelerators of two: one was preempted for a CPU-only task, which still could not start."""
     pool = Pool(workers=1)
     pool.submit(A, task(6), queue=PATIENT)
-    pool.step()
+    pool.advance()
     resize(pool, SHRUNK)
     pool.submit(B, CPU_ONLY._replace(demand=Resources(44_000, 16_000, 0)), queue=URGENT)
-    pool.step(0.1)
+    pool.advance(0.1)
     stopped = len(pool.stops)
     pool.finish_stops()
-    started = [effect for effect in pool.step(0.1) if isinstance(effect, StartRun) and effect.key.job_id == B]
+    started = [effect for effect in pool.advance(0.1) if isinstance(effect, StartRun) and effect.key.job_id == B]
     assert started or not stopped
 
 
 def test_runs_that_are_being_stopped_still_use_capacity():
     pool = Pool(workers=1)
     pool.submit(A, task(8), queue=PATIENT)
-    pool.step()
+    pool.advance()
     pool.submit(B, task(2), queue=URGENT)
-    pool.step(0.1)
+    pool.advance(0.1)
     assert pool.stops
     resize(pool, Resources(64_000, 262_144, 7))
-    assert not [effect for effect in pool.step(0.1) if isinstance(effect, StartRun)]
+    assert not [effect for effect in pool.advance(0.1) if isinstance(effect, StartRun)]
 
 
 def test_capacity_that_grows_again_is_used_at_once():
     pool = Pool(workers=1)
     resize(pool, SHRUNK)
     pool.submit(A, task(4))
-    assert len(pool.step(0.3)) == 2
+    assert len(pool.advance(0.3)) == 2
     resize(pool, WORKER)
-    assert len(pool.step(0.01)) == 2
+    assert len(pool.advance(0.01)) == 2
 
 
 def disable_capacity_check(pool):
@@ -70,9 +70,9 @@
     disable_capacity_check(pool)
     pool.now_s += 5.0
     pool.submit(A, task(1))
-    assert not pool.step()
+    assert not pool.advance()
     pool.scheduler.workers_synced(pool.now)
-    assert pool.step(0.01)
+    assert pool.advance(0.01)
 
 
 def test_a_worker_with_capacity_check_gets_starts_while_entries_are_not_synced():
@@ -81,4 +81,4 @@
     pool.scheduler.workers_synced(pool.now)
     pool.now_s += 60.0
     pool.submit(A, task(1))
-    assert pool.step()
+    assert pool.advance()
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_successors.py
@@ -19,7 +19,7 @@
 def replace_with_unacknowledged_start(pool):
     """Return an unacknowledged start on an incarnation that has since been replaced."""
     pool.submit(A, task())
-    (start,) = pool.step()
+    (start,) = pool.advance()
     pool.scheduler.worker_by_id[start.worker_id].run_by_key[start.key].is_confirmed = False
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
@@ -35,8 +35,8 @@
 
 
 def starts_after(pool, after_s):
-    pool.step(after_s)
-    return [effect for effect in pool.step(0.3) if isinstance(effect, StartRun)] or pool.starts[1:]
+    pool.advance(after_s)
+    return [effect for effect in pool.advance(0.3) if isinstance(effect, StartRun)] or pool.starts[1:]
 
 
 def test_the_task_waits_for_the_next_survey_and_starts_if_it_lists_no_run():
@@ -84,7 +84,7 @@
 def test_an_acknowledged_start_ends_with_its_incarnation():
     pool = Pool(workers=2)
     pool.submit(A, task())
-    (start,) = pool.step()
+    (start,) = pool.advance()
     replace_incarnation(pool, start.worker_id)
     del pool.running[start.worker_id, start.key]
     assert len(starts_after(pool, 0.0)) == 1
@@ -93,7 +93,7 @@
 def start_with_unanswered_first_attempt(pool, sent_ago_s):
     """Return a start whose first attempt, sent `sent_ago_s` ago, got no reply, and whose second did."""
     pool.submit(A, task())
-    (start,) = pool.step()
+    (start,) = pool.advance()
     worker = pool.scheduler.worker_by_id[start.worker_id]
     worker.late_order_s = LATE_S
     worker.unanswered_starts[start.key] = pool.now_s - sent_ago_s
@@ -135,7 +135,7 @@
 def test_other_tasks_do_not_wait_for_an_unanswered_attempt_whose_task_has_succeeded():
     pool = Pool(workers=1)
     pool.submit(A, task(2, accelerators=8))
-    (start,) = pool.step()
+    (start,) = pool.advance()
     worker = pool.scheduler.worker_by_id[start.worker_id]
     worker.late_order_s = LATE_S
     worker.unanswered_starts[start.key] = pool.now_s
@@ -148,7 +148,7 @@
 def give_up_with_unacknowledged_start(pool, is_listed):
     """Return an unacknowledged start on an incarnation given up as unreachable; the next one may already run."""
     pool.submit(A, task())
-    (start,) = pool.step()
+    (start,) = pool.advance()
     worker = pool.scheduler.worker_by_id[start.worker_id]
     worker.run_by_key[start.key].is_confirmed = False
     worker.late_order_s = LATE_S
@@ -167,7 +167,7 @@
     """The next incarnation completed the task before its first survey, and the task ran again 1.4 s later."""
     pool = Pool(workers=2)
     give_up_with_unacknowledged_start(pool, is_listed)
-    assert not pool.step(0.1)
+    assert not pool.advance(0.1)
     assert len(starts_after(pool, after_s)) == count
 
 
@@ -184,7 +184,7 @@
 def test_the_task_starts_once_the_next_incarnation_has_listed_its_runs():
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
-    assert not pool.step(0.1)
+    assert not pool.advance(0.1)
     pool.add_worker(f'{start.worker_id}+', 'r0')
     pool.scheduler.worker_over(start.worker_id, pool.now)
     pool.save_progress()
@@ -195,7 +195,7 @@
     """The incarnation was only unreachable and still knows of the stop."""
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
-    assert not pool.step(0.1)
+    assert not pool.advance(0.1)
     pool.silent.clear()
     pool.add_worker(start.worker_id, 'r0')
     assert len(starts_after(pool, 0.0)) == 1
@@ -205,7 +205,7 @@
     pool = Pool(workers=2)
     start = give_up_with_unacknowledged_start(pool, is_listed=False)
     pool.scheduler.worker_by_id[start.worker_id].late_order_s = 0.0
-    pool.step(0.1)
+    pool.advance(0.1)
     assert len(starts_after(pool, 0.0)) == 1
 
 
@@ -223,7 +223,7 @@
     set_may_hide_ends(pool, successor)
     pool.scheduler.worker_surveyed(successor, (ListedRun(start.key, start.run, '', 10.0),), pool.now_s, pool.now)
     pool.running[successor, start.key] = start.run
-    pool.step()
+    pool.advance()
     assert [(stop.worker_id, stop.run) for stop in pool.stops] == [(successor, start.run)]
 
 
@@ -236,22 +236,22 @@
     pool = Pool(workers=1)
     set_may_hide_ends(pool, 'w0')
     pool.submit(A, step)
-    assert len(pool.step()) == count
-    assert not pool.step(0.3)
+    assert len(pool.advance()) == count
+    assert not pool.advance(0.3)
 
 
 def test_an_incarnation_that_has_listed_an_end_gets_work():
     pool = Pool(workers=1)
     set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
-    (start,) = pool.step()
+    (start,) = pool.advance()
     pool.end('w0', start.key, start.run, EndKind.STOPPED)
     pool.scheduler.worker_surveyed('w0', (), pool.now_s, pool.now, lists_ends=True)
-    assert len(pool.step(0.01)) == 3
+    assert len(pool.advance(0.01)) == 3
 
 
 def test_workers_that_may_hide_ends_are_used_last():
     pool = Pool(workers=2)
     set_may_hide_ends(pool, 'w0')
     pool.submit(A, task(3))
-    assert [start.worker_id for start in pool.step()] == ['w1'] * 3
+    assert [start.worker_id for start in pool.advance()] == ['w1'] * 3
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_surveys.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_surveys.py
@@ -10,7 +10,7 @@
 def test_a_run_that_is_neither_listed_nor_reported_as_ended_is_noted_as_lost():
     pool = Pool(workers=1)
     pool.submit(A, task())
-    pool.step()
+    pool.advance()
     pool.survey('w0')
     pool.now_s += 1.0
     pool.running.clear()
