--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -53,7 +53,7 @@
         self.ends.append(RunEnd(self.worker_id, key, run, kind))
 
 
-class Succession:
+class OwnerSimulation:
     """Successive owners of the same workers; the store holds jobs and cancellations, but no assignments or progress."""
 
     def __init__(self, workers):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -7,7 +7,7 @@
 
 from dahliaarch_kernel.scheduler import EndKind
 
-from .late_workers import Succession
+from .late_workers import OwnerSimulation
 from .pool import ORDINARY, task, URGENT
 
 A = 'a' * 16
@@ -35,7 +35,7 @@
 
 
 def test_a_start_that_is_executed_after_its_job_was_cancelled_is_stopped():
-    succession = Succession(WORKERS)
+    succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.carry_out_late(order)
@@ -44,7 +44,7 @@
 
 
 def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
-    succession = Succession(WORKERS)
+    succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
     succession.decide(0.1, is_answered=True, is_late=False)
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize('is_listed', [False, True])
 def test_a_late_start_of_a_previous_owner_is_stopped_by_the_next_owner(is_removed, has_reported, is_listed):
     """Also if the next owner does not know the job, or the worker is listed only later."""
-    succession = Succession(WORKERS)
+    succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
     if is_removed:
@@ -72,7 +72,7 @@
 
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
-    succession = Succession(WORKERS)
+    succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.take_over(unreported=(), unlisted=())
     succession.carry_out_late(order)
@@ -87,7 +87,7 @@
 
     def __init__(self):
         super().__init__()
-        self.succession = Succession(WORKERS)
+        self.succession = OwnerSimulation(WORKERS)
         self.jobs = 0
 
     @rule(
