--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -140,7 +140,7 @@
             # An owner stops the runs whose starts stay unacknowledged.
             self.stops.append(order)
 
-    def carry_out_late(self, order):
+    def execute_delayed_start(self, order):
         self.late.remove(order)
         self.worker_by_id[order.worker_id].start(order)
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -186,7 +186,7 @@
         self.owners.survey(f'w{number}')
 
     @rule(choice=st.randoms(use_true_random=False))
-    def carry_out_late(self, choice):
+    def execute_delayed_start(self, choice):
         if self.owners.delayed_starts:
             order = choice.choice(self.owners.delayed_starts)
             self.owners.delayed_starts.remove(order)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -234,7 +234,7 @@
             self.owners.crash(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
-    def carry_out_late(self, choice):
+    def execute_delayed_start(self, choice):
         if self.owners.delayed_starts:
             order = choice.choice(self.owners.delayed_starts)
             self.owners.delayed_starts.remove(order)
@@ -293,7 +293,7 @@
         machine.change_owner,
         lambda: machine.change_store(rng.random() < 0.4),
         lambda: machine.crash(rng, rng.random() < 0.7),
-        lambda: machine.carry_out_late(rng),
+        lambda: machine.execute_delayed_start(rng),
         lambda: machine.end(rng),
         lambda: machine.crash_before_an_end_is_listed(rng),
         lambda: machine.crash_before_a_start_is_carried_out(rng),
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -38,7 +38,7 @@
     succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
-    succession.carry_out_late(order)
+    succession.execute_delayed_start(order)
     find_and_stop(succession)
     assert not succession.unwanted()
 
@@ -49,7 +49,7 @@
     succession.cancel(A)
     succession.decide(0.1, is_answered=True, is_late=False)
     succession.deliver_stop(order, is_answered=True)
-    succession.carry_out_late(order)
+    succession.execute_delayed_start(order)
     assert not succession.unwanted()
 
 
@@ -65,7 +65,7 @@
         succession.remove(A)
     worker = order.worker_id
     succession.take_over(unreported=() if has_reported else (worker,), unlisted=() if is_listed else (worker,))
-    succession.carry_out_late(order)
+    succession.execute_delayed_start(order)
     assert succession.unwanted()
     find_and_stop(succession)
     assert not succession.unwanted()
@@ -75,7 +75,7 @@
     succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.take_over(unreported=(), unlisted=())
-    succession.carry_out_late(order)
+    succession.execute_delayed_start(order)
     succession.survey(order.worker_id)
     succession.cancel(A)
     find_and_stop(succession)
@@ -106,9 +106,9 @@
         self.succession.decide(seconds, is_answered, is_late)
 
     @rule(choice=st.randoms(use_true_random=False))
-    def carry_out_late(self, choice):
+    def execute_delayed_start(self, choice):
         if self.succession.late:
-            self.succession.carry_out_late(choice.choice(self.succession.late))
+            self.succession.execute_delayed_start(choice.choice(self.succession.late))
 
     @rule(choice=st.randoms(use_true_random=False), is_answered=st.booleans())
     def deliver_stop(self, choice, is_answered):
@@ -146,7 +146,7 @@
     @rule()
     def nothing_unwanted_outlasts_a_survey(self):
         for order in tuple(self.succession.late):
-            self.succession.carry_out_late(order)
+            self.succession.execute_delayed_start(order)
         find_and_stop(self.succession)
         assert not self.succession.unwanted()
 
