--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -63,7 +63,7 @@
         self.job_by_id = {}
         self.cancelled = set()
         # Unacknowledged start orders that are not executed yet.
-        self.late = []
+        self.delayed_starts = []
         # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
         self.stops = []
         self.scheduler = None
@@ -131,7 +131,7 @@
 
     def _start(self, order, is_answered, is_late):
         if is_late:
-            self.late.append(order)
+            self.delayed_starts.append(order)
         else:
             self.worker_by_id[order.worker_id].start(order)
         if is_answered and not is_late:
@@ -141,7 +141,7 @@
             self.stops.append(order)
 
     def execute_delayed_start(self, order):
-        self.late.remove(order)
+        self.delayed_starts.remove(order)
         self.worker_by_id[order.worker_id].start(order)
 
     def deliver_stop(self, order, is_answered):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -21,7 +21,7 @@
     """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
     succession.decide(0.0, is_answered=False, is_late=True)
-    return succession.late[0]
+    return succession.delayed_starts[0]
 
 
 def find_and_stop(succession):
@@ -107,8 +107,8 @@
 
     @rule(choice=st.randoms(use_true_random=False))
     def execute_delayed_start(self, choice):
-        if self.succession.late:
-            self.succession.execute_delayed_start(choice.choice(self.succession.late))
+        if self.succession.delayed_starts:
+            self.succession.execute_delayed_start(choice.choice(self.succession.delayed_starts))
 
     @rule(choice=st.randoms(use_true_random=False), is_answered=st.booleans())
     def deliver_stop(self, choice, is_answered):
@@ -145,7 +145,7 @@
 
     @rule()
     def nothing_unwanted_outlasts_a_survey(self):
-        for order in tuple(self.succession.late):
+        for order in tuple(self.succession.delayed_starts):
             self.succession.execute_delayed_start(order)
         find_and_stop(self.succession)
         assert not self.succession.unwanted()
