--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -65,7 +65,7 @@
         # Unacknowledged start orders that are not executed yet.
         self.delayed_starts = []
         # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = None
         self.take_over(unreported=(), unlisted=())
 
@@ -79,7 +79,7 @@
         Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
         """
         self.epoch += 3
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.worker_by_id:
             if worker_id not in unlisted:
@@ -124,7 +124,7 @@
         for effect in self.scheduler.decide(self.now):
             order = Order(effect.worker_id, effect.key, effect.run)
             if isinstance(effect, StopRun):
-                self.stops.append(order)
+                self.pending_stops.append(order)
                 continue
             assert isinstance(effect, StartRun)
             self._start(order, is_answered, is_late)
@@ -138,7 +138,7 @@
             self.scheduler.run_started(*order, self.now)
         else:
             # An owner stops the runs whose starts stay unacknowledged.
-            self.stops.append(order)
+            self.pending_stops.append(order)
 
     def execute_delayed_start(self, order):
         self.delayed_starts.remove(order)
@@ -152,7 +152,7 @@
         worker.stop(order)
         if not is_answered:
             return
-        self.stops.remove(order)
+        self.pending_stops.remove(order)
         self.survey(order.worker_id)
         if order.key not in worker.run_by_key:
             self.scheduler.run_ended(RunEnd(*order, EndKind.STOPPED), self.now)
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -30,7 +30,7 @@
         succession.list_worker(worker_id)
         succession.survey(worker_id)
     succession.decide(0.0, is_answered=True, is_late=False)
-    for order in tuple(succession.stops):
+    for order in tuple(succession.pending_stops):
         succession.deliver_stop(order, is_answered=True)
 
 
@@ -112,8 +112,8 @@
 
     @rule(choice=st.randoms(use_true_random=False), is_answered=st.booleans())
     def deliver_stop(self, choice, is_answered):
-        if self.succession.stops:
-            self.succession.deliver_stop(choice.choice(self.succession.stops), is_answered)
+        if self.succession.pending_stops:
+            self.succession.deliver_stop(choice.choice(self.succession.pending_stops), is_answered)
 
     @rule(choice=st.randoms(use_true_random=False), kind=ENDS)
     def end(self, choice, kind):
