--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -186,7 +186,7 @@
             for key, run in worker.run_by_key.items()
         ]
 
-    def unwanted(self):
+    def runs_to_stop(self):
         """Return the runs whose jobs are unknown to the owner or have ended, by cancellation or otherwise."""
         return [order for order in self.running() if self._is_unwanted(order.key.job_id)]
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -40,7 +40,7 @@
     succession.cancel(A)
     succession.execute_delayed_start(order)
     find_and_stop(succession)
-    assert not succession.unwanted()
+    assert not succession.runs_to_stop()
 
 
 def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
@@ -50,7 +50,7 @@
     succession.decide(0.1, is_answered=True, is_late=False)
     succession.deliver_stop(order, is_answered=True)
     succession.execute_delayed_start(order)
-    assert not succession.unwanted()
+    assert not succession.runs_to_stop()
 
 
 @pytest.mark.parametrize('is_removed', [False, True])
@@ -66,9 +66,9 @@
     worker = order.worker_id
     succession.take_over(unreported=() if has_reported else (worker,), unlisted=() if is_listed else (worker,))
     succession.execute_delayed_start(order)
-    assert succession.unwanted()
+    assert succession.runs_to_stop()
     find_and_stop(succession)
-    assert not succession.unwanted()
+    assert not succession.runs_to_stop()
 
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
@@ -79,7 +79,7 @@
     succession.survey(order.worker_id)
     succession.cancel(A)
     find_and_stop(succession)
-    assert not succession.unwanted()
+    assert not succession.runs_to_stop()
 
 
 class LateStarts(RuleBasedStateMachine):
@@ -148,7 +148,7 @@
         for order in tuple(self.succession.delayed_starts):
             self.succession.execute_delayed_start(order)
         find_and_stop(self.succession)
-        assert not self.succession.unwanted()
+        assert not self.succession.runs_to_stop()
 
     def teardown(self):
         self.nothing_unwanted_outlasts_a_survey()
