--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -188,8 +188,8 @@
 
     def runs_to_stop(self):
         """Return the runs whose jobs are unknown to the owner or have ended, by cancellation or otherwise."""
-        return [order for order in self.running() if self._is_unwanted(order.key.job_id)]
+        return [order for order in self.running() if self._must_stop(order.key.job_id)]
 
-    def _is_unwanted(self, job_id):
+    def _must_stop(self, job_id):
         job = self.scheduler.job_by_id.get(job_id)
         return job is None or job.has_ended
