--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -91,13 +91,13 @@
         for worker_id in set(self.worker_by_id) - set(unlisted) - set(unreported):
             self.survey(worker_id)
         for worker_id in set(unreported) - set(unlisted):
-            self.silence(worker_id)
+            self.mark_silent(worker_id)
 
     def list_worker(self, worker_id):
         profile = WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0'))
         self.scheduler.update_worker(profile, self.now)
 
-    def silence(self, worker_id):
+    def mark_silent(self, worker_id):
         self.worker_by_id[worker_id].is_silent = True
         known = self.scheduler.worker_by_id.get(worker_id)
         if known is not None:
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -125,8 +125,8 @@
         self.succession.survey(worker_id)
 
     @rule(worker_id=WORKER_IDS)
-    def silence(self, worker_id):
-        self.succession.silence(worker_id)
+    def mark_silent(self, worker_id):
+        self.succession.mark_silent(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def cancel(self, choice):
