--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -118,7 +118,7 @@
         del self.job_by_id[job_id]
         self.scheduler.forget_job(job_id)
 
-    def decide(self, seconds, is_answered, is_late):
+    def decide(self, seconds, is_answered, is_delayed):
         """Advance the clock, run a scheduling pass and send its orders."""
         self.now_s += seconds
         for effect in self.scheduler.decide(self.now):
@@ -127,14 +127,14 @@
                 self.pending_stops.append(order)
                 continue
             assert isinstance(effect, StartRun)
-            self._start(order, is_answered, is_late)
+            self._start(order, is_answered, is_delayed)
 
-    def _start(self, order, is_answered, is_late):
-        if is_late:
+    def _start(self, order, is_answered, is_delayed):
+        if is_delayed:
             self.delayed_starts.append(order)
         else:
             self.worker_by_id[order.worker_id].start(order)
-        if is_answered and not is_late:
+        if is_answered and not is_delayed:
             self.scheduler.run_started(*order, self.now)
         else:
             # An owner stops the runs whose starts stay unacknowledged.
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -20,7 +20,7 @@
 def submit_with_late_start(succession):
     """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
     succession.submit(A, [task()], ORDINARY)
-    succession.decide(0.0, is_answered=False, is_late=True)
+    succession.decide(0.0, is_answered=False, is_delayed=True)
     return succession.delayed_starts[0]
 
 
@@ -29,7 +29,7 @@
     for worker_id in succession.worker_by_id:
         succession.list_worker(worker_id)
         succession.survey(worker_id)
-    succession.decide(0.0, is_answered=True, is_late=False)
+    succession.decide(0.0, is_answered=True, is_delayed=False)
     for order in tuple(succession.pending_stops):
         succession.deliver_stop(order, is_answered=True)
 
@@ -47,7 +47,7 @@
     succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
     succession.cancel(A)
-    succession.decide(0.1, is_answered=True, is_late=False)
+    succession.decide(0.1, is_answered=True, is_delayed=False)
     succession.deliver_stop(order, is_answered=True)
     succession.execute_delayed_start(order)
     assert not succession.runs_to_stop()
@@ -94,16 +94,16 @@
         queue=st.sampled_from((URGENT, ORDINARY)),
         steps=st.lists(STEPS, min_size=1, max_size=2),
         is_answered=st.booleans(),
-        is_late=st.booleans(),
+        is_delayed=st.booleans(),
     )
-    def submit(self, queue, steps, is_answered, is_late):
+    def submit(self, queue, steps, is_answered, is_delayed):
         self.jobs += 1
         self.succession.submit(f'{self.jobs:016x}', steps, queue)
-        self.succession.decide(0.0, is_answered, is_late)
+        self.succession.decide(0.0, is_answered, is_delayed)
 
-    @rule(seconds=st.floats(0.0, 12.0), is_answered=st.booleans(), is_late=st.booleans())
-    def wait(self, seconds, is_answered, is_late):
-        self.succession.decide(seconds, is_answered, is_late)
+    @rule(seconds=st.floats(0.0, 12.0), is_answered=st.booleans(), is_delayed=st.booleans())
+    def wait(self, seconds, is_answered, is_delayed):
+        self.succession.decide(seconds, is_answered, is_delayed)
 
     @rule(choice=st.randoms(use_true_random=False))
     def execute_delayed_start(self, choice):
