--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -67,13 +67,13 @@
         # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
         self.pending_stops = []
         self.scheduler = None
-        self.take_over(unreported=(), unlisted=())
+        self.take_over(silent_worker_ids=(), unlisted=())
 
     @property
     def now(self):
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
-    def take_over(self, unreported, unlisted):
+    def take_over(self, silent_worker_ids, unlisted):
         """Let a new owner read the store and survey the workers.
 
         Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
@@ -85,12 +85,14 @@
             if worker_id not in unlisted:
                 self.list_worker(worker_id)
         for spec, queue in self.job_by_id.values():
-            self.scheduler.add_job(spec, queue, self.now, not_before_s=self.now_s + MAX_LEASE_S if unreported else 0.0)
+            self.scheduler.add_job(
+                spec, queue, self.now, not_before_s=self.now_s + MAX_LEASE_S if silent_worker_ids else 0.0
+            )
         for job_id in self.cancelled & self.job_by_id.keys():
             self.scheduler.cancel(job_id, self.now)
-        for worker_id in set(self.worker_by_id) - set(unlisted) - set(unreported):
+        for worker_id in set(self.worker_by_id) - set(unlisted) - set(silent_worker_ids):
             self.survey(worker_id)
-        for worker_id in set(unreported) - set(unlisted):
+        for worker_id in set(silent_worker_ids) - set(unlisted):
             self.mark_silent(worker_id)
 
     def list_worker(self, worker_id):
