--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -67,13 +67,13 @@
         # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
         self.pending_stops = []
         self.scheduler = None
-        self.take_over(silent_worker_ids=(), unlisted=())
+        self.take_over(silent_worker_ids=(), unlisted_worker_ids=())
 
     @property
     def now(self):
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
-    def take_over(self, silent_worker_ids, unlisted):
+    def take_over(self, silent_worker_ids, unlisted_worker_ids):
         """Let a new owner read the store and survey the workers.
 
         Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
@@ -82,7 +82,7 @@
         self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.worker_by_id:
-            if worker_id not in unlisted:
+            if worker_id not in unlisted_worker_ids:
                 self.list_worker(worker_id)
         for spec, queue in self.job_by_id.values():
             self.scheduler.add_job(
@@ -90,9 +90,9 @@
             )
         for job_id in self.cancelled & self.job_by_id.keys():
             self.scheduler.cancel(job_id, self.now)
-        for worker_id in set(self.worker_by_id) - set(unlisted) - set(silent_worker_ids):
+        for worker_id in set(self.worker_by_id) - set(unlisted_worker_ids) - set(silent_worker_ids):
             self.survey(worker_id)
-        for worker_id in set(silent_worker_ids) - set(unlisted):
+        for worker_id in set(silent_worker_ids) - set(unlisted_worker_ids):
             self.mark_silent(worker_id)
 
     def list_worker(self, worker_id):
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -64,7 +64,9 @@
     if is_removed:
         succession.remove(A)
     worker = order.worker_id
-    succession.take_over(silent_worker_ids=() if has_reported else (worker,), unlisted=() if is_listed else (worker,))
+    succession.take_over(
+        silent_worker_ids=() if has_reported else (worker,), unlisted_worker_ids=() if is_listed else (worker,)
+    )
     succession.execute_delayed_start(order)
     assert succession.runs_to_stop()
     find_and_stop(succession)
@@ -74,7 +76,7 @@
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
     succession = OwnerSimulation(WORKERS)
     order = submit_with_late_start(succession)
-    succession.take_over(silent_worker_ids=(), unlisted=())
+    succession.take_over(silent_worker_ids=(), unlisted_worker_ids=())
     succession.execute_delayed_start(order)
     succession.survey(order.worker_id)
     succession.cancel(A)
@@ -139,9 +141,9 @@
         if removable:
             self.succession.remove(choice.choice(sorted(removable)))
 
-    @rule(silent_worker_ids=st.sets(WORKER_IDS), unlisted=st.sets(WORKER_IDS))
-    def take_over(self, silent_worker_ids, unlisted):
-        self.succession.take_over(silent_worker_ids, unlisted)
+    @rule(silent_worker_ids=st.sets(WORKER_IDS), unlisted_worker_ids=st.sets(WORKER_IDS))
+    def take_over(self, silent_worker_ids, unlisted_worker_ids):
+        self.succession.take_over(silent_worker_ids, unlisted_worker_ids)
 
     @rule()
     def nothing_unwanted_outlasts_a_survey(self):
