--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -17,40 +17,40 @@
 ENDS = st.sampled_from((EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-def submit_with_late_start(succession):
+def submit_with_late_start(simulation):
     """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
-    succession.submit(A, [task()], ORDINARY)
-    succession.decide(0.0, is_answered=False, is_delayed=True)
-    return succession.delayed_starts[0]
+    simulation.submit(A, [task()], ORDINARY)
+    simulation.decide(0.0, is_answered=False, is_delayed=True)
+    return simulation.delayed_starts[0]
 
 
-def find_and_stop(succession):
+def find_and_stop(simulation):
     """Survey each worker, decide once and deliver the stops that are ordered."""
-    for worker_id in succession.worker_by_id:
-        succession.list_worker(worker_id)
-        succession.survey(worker_id)
-    succession.decide(0.0, is_answered=True, is_delayed=False)
-    for order in tuple(succession.pending_stops):
-        succession.deliver_stop(order, is_answered=True)
+    for worker_id in simulation.worker_by_id:
+        simulation.list_worker(worker_id)
+        simulation.survey(worker_id)
+    simulation.decide(0.0, is_answered=True, is_delayed=False)
+    for order in tuple(simulation.pending_stops):
+        simulation.deliver_stop(order, is_answered=True)
 
 
 def test_a_start_that_is_executed_after_its_job_was_cancelled_is_stopped():
-    succession = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(succession)
-    succession.cancel(A)
-    succession.execute_delayed_start(order)
-    find_and_stop(succession)
-    assert not succession.runs_to_stop()
+    simulation = OwnerSimulation(WORKERS)
+    order = submit_with_late_start(simulation)
+    simulation.cancel(A)
+    simulation.execute_delayed_start(order)
+    find_and_stop(simulation)
+    assert not simulation.runs_to_stop()
 
 
 def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
-    succession = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(succession)
-    succession.cancel(A)
-    succession.decide(0.1, is_answered=True, is_delayed=False)
-    succession.deliver_stop(order, is_answered=True)
-    succession.execute_delayed_start(order)
-    assert not succession.runs_to_stop()
+    simulation = OwnerSimulation(WORKERS)
+    order = submit_with_late_start(simulation)
+    simulation.cancel(A)
+    simulation.decide(0.1, is_answered=True, is_delayed=False)
+    simulation.deliver_stop(order, is_answered=True)
+    simulation.execute_delayed_start(order)
+    assert not simulation.runs_to_stop()
 
 
 @pytest.mark.parametrize('is_removed', [False, True])
@@ -58,30 +58,30 @@
 @pytest.mark.parametrize('is_listed', [False, True])
 def test_a_late_start_of_a_previous_owner_is_stopped_by_the_next_owner(is_removed, has_reported, is_listed):
     """Also if the next owner does not know the job, or the worker is listed only later."""
-    succession = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(succession)
-    succession.cancel(A)
+    simulation = OwnerSimulation(WORKERS)
+    order = submit_with_late_start(simulation)
+    simulation.cancel(A)
     if is_removed:
-        succession.remove(A)
+        simulation.remove(A)
     worker = order.worker_id
-    succession.take_over(
+    simulation.take_over(
         silent_worker_ids=() if has_reported else (worker,), unlisted_worker_ids=() if is_listed else (worker,)
     )
-    succession.execute_delayed_start(order)
-    assert succession.runs_to_stop()
-    find_and_stop(succession)
-    assert not succession.runs_to_stop()
+    simulation.execute_delayed_start(order)
+    assert simulation.runs_to_stop()
+    find_and_stop(simulation)
+    assert not simulation.runs_to_stop()
 
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
-    succession = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(succession)
-    succession.take_over(silent_worker_ids=(), unlisted_worker_ids=())
-    succession.execute_delayed_start(order)
-    succession.survey(order.worker_id)
-    succession.cancel(A)
-    find_and_stop(succession)
-    assert not succession.runs_to_stop()
+    simulation = OwnerSimulation(WORKERS)
+    order = submit_with_late_start(simulation)
+    simulation.take_over(silent_worker_ids=(), unlisted_worker_ids=())
+    simulation.execute_delayed_start(order)
+    simulation.survey(order.worker_id)
+    simulation.cancel(A)
+    find_and_stop(simulation)
+    assert not simulation.runs_to_stop()
 
 
 class LateStarts(RuleBasedStateMachine):
@@ -89,7 +89,7 @@
 
     def __init__(self):
         super().__init__()
-        self.succession = OwnerSimulation(WORKERS)
+        self.simulation = OwnerSimulation(WORKERS)
         self.jobs = 0
 
     @rule(
@@ -100,57 +100,57 @@
     )
     def submit(self, queue, steps, is_answered, is_delayed):
         self.jobs += 1
-        self.succession.submit(f'{self.jobs:016x}', steps, queue)
-        self.succession.decide(0.0, is_answered, is_delayed)
+        self.simulation.submit(f'{self.jobs:016x}', steps, queue)
+        self.simulation.decide(0.0, is_answered, is_delayed)
 
     @rule(seconds=st.floats(0.0, 12.0), is_answered=st.booleans(), is_delayed=st.booleans())
     def wait(self, seconds, is_answered, is_delayed):
-        self.succession.decide(seconds, is_answered, is_delayed)
+        self.simulation.decide(seconds, is_answered, is_delayed)
 
     @rule(choice=st.randoms(use_true_random=False))
     def execute_delayed_start(self, choice):
-        if self.succession.delayed_starts:
-            self.succession.execute_delayed_start(choice.choice(self.succession.delayed_starts))
+        if self.simulation.delayed_starts:
+            self.simulation.execute_delayed_start(choice.choice(self.simulation.delayed_starts))
 
     @rule(choice=st.randoms(use_true_random=False), is_answered=st.booleans())
     def deliver_stop(self, choice, is_answered):
-        if self.succession.pending_stops:
-            self.succession.deliver_stop(choice.choice(self.succession.pending_stops), is_answered)
+        if self.simulation.pending_stops:
+            self.simulation.deliver_stop(choice.choice(self.simulation.pending_stops), is_answered)
 
     @rule(choice=st.randoms(use_true_random=False), kind=ENDS)
     def end(self, choice, kind):
-        if self.succession.running():
-            self.succession.end(choice.choice(sorted(self.succession.running())), kind)
+        if self.simulation.running():
+            self.simulation.end(choice.choice(sorted(self.simulation.running())), kind)
 
     @rule(worker_id=WORKER_IDS)
     def survey(self, worker_id):
-        self.succession.survey(worker_id)
+        self.simulation.survey(worker_id)
 
     @rule(worker_id=WORKER_IDS)
     def mark_silent(self, worker_id):
-        self.succession.mark_silent(worker_id)
+        self.simulation.mark_silent(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
     def cancel(self, choice):
-        if self.succession.job_by_id:
-            self.succession.cancel(choice.choice(sorted(self.succession.job_by_id)))
+        if self.simulation.job_by_id:
+            self.simulation.cancel(choice.choice(sorted(self.simulation.job_by_id)))
 
     @rule(choice=st.randoms(use_true_random=False))
     def remove(self, choice):
-        removable = self.succession.cancelled & self.succession.job_by_id.keys()
+        removable = self.simulation.cancelled & self.simulation.job_by_id.keys()
         if removable:
-            self.succession.remove(choice.choice(sorted(removable)))
+            self.simulation.remove(choice.choice(sorted(removable)))
 
     @rule(silent_worker_ids=st.sets(WORKER_IDS), unlisted_worker_ids=st.sets(WORKER_IDS))
     def take_over(self, silent_worker_ids, unlisted_worker_ids):
-        self.succession.take_over(silent_worker_ids, unlisted_worker_ids)
+        self.simulation.take_over(silent_worker_ids, unlisted_worker_ids)
 
     @rule()
     def nothing_unwanted_outlasts_a_survey(self):
-        for order in tuple(self.succession.delayed_starts):
-            self.succession.execute_delayed_start(order)
-        find_and_stop(self.succession)
-        assert not self.succession.runs_to_stop()
+        for order in tuple(self.simulation.delayed_starts):
+            self.simulation.execute_delayed_start(order)
+        find_and_stop(self.simulation)
+        assert not self.simulation.runs_to_stop()
 
     def teardown(self):
         self.nothing_unwanted_outlasts_a_survey()
