--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -76,7 +76,8 @@
     def take_over(self, silent_worker_ids, unlisted_worker_ids):
         """Let a new owner read the store and survey the workers.
 
-        Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
+        Workers in `unlisted_worker_ids` are unknown to the new owner; those in `silent_worker_ids` do not answer its
+        survey.
         """
         self.epoch += 3
         self.pending_stops = []
