--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -23,7 +23,7 @@
 KINDS = st.sampled_from((EndKind.DONE, EndKind.DONE, EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-class Histories(RuleBasedStateMachine):
+class SchedulerHistories(RuleBasedStateMachine):
     """Random jobs, ends, cancellations, silences and losses."""
 
     def __init__(self):
@@ -119,5 +119,5 @@
                 assert (worker, key, run) in self.pool.stopping
 
 
-Histories.TestCase.settings = settings(max_examples=30, stateful_step_count=30, deadline=None)
-TestHistories = Histories.TestCase
+SchedulerHistories.TestCase.settings = settings(max_examples=30, stateful_step_count=30, deadline=None)
+TestHistories = SchedulerHistories.TestCase
