--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -120,4 +120,4 @@
 
 
 SchedulerHistories.TestCase.settings = settings(max_examples=30, stateful_step_count=30, deadline=None)
-TestHistories = SchedulerHistories.TestCase
+TestSchedulerHistories = SchedulerHistories.TestCase
