--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -51,7 +51,7 @@
         self.pool.advance(0.1)
 
     @rule()
-    def stops_take_effect(self):
+    def finish_stops(self):
         self.pool.finish_stops()
         self.pool.advance(0.1)
 
