--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -68,7 +68,7 @@
         self.pool.advance()
 
     @rule(number=st.integers(0, 9))
-    def lose_worker(self, number):
+    def replace_worker(self, number):
         worker_id = f'w{number}'
         for (worker, key), run in tuple(self.pool.running.items()):
             if worker == worker_id:
