--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -81,7 +81,7 @@
         self.pool.advance()
 
     @rule(number=st.integers(0, 9))
-    def worker_is_silent(self, number):
+    def mark_worker_silent(self, number):
         worker_id = f'w{number}'
         lease = self.pool.scheduler.worker_by_id[worker_id].lease
         lease.assume_until(self.pool.now_s + 1000.0)
