--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -96,7 +96,7 @@
         self.pool.advance()
 
     @rule()
-    def no_task_waits_beside_room_for_it(self):
+    def no_task_waits_while_free_capacity_fits_it(self):
         """Searches that failed are remembered: where room has grown they must be made again."""
         self.pool.finish_stops()
         for _ in range(3):
