--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -112,7 +112,7 @@
                 assert not any(worker.free.covers(step.spec.demand) for worker in takers)
 
     @invariant()
-    def nothing_of_an_ended_job_goes_unstopped(self):
+    def runs_of_ended_jobs_are_being_stopped(self):
         for (worker, key), run in self.pool.running.items():
             job = self.pool.scheduler.job_by_id[key.job_id]
             if job.has_ended and key not in self.pool.done:
