--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -84,7 +84,7 @@
     assert not simulation.runs_to_stop()
 
 
-class LateStarts(RuleBasedStateMachine):
+class DelayedStartHistories(RuleBasedStateMachine):
     """Random jobs, cancellations, late orders, silences and owners."""
 
     def __init__(self):
@@ -156,5 +156,5 @@
         self.nothing_unwanted_outlasts_a_survey()
 
 
-LateStarts.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
-TestLateStarts = LateStarts.TestCase
+DelayedStartHistories.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestLateStarts = DelayedStartHistories.TestCase
