--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -157,4 +157,4 @@
 
 
 DelayedStartHistories.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
-TestLateStarts = DelayedStartHistories.TestCase
+TestDelayedStartHistories = DelayedStartHistories.TestCase
