--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -146,14 +146,14 @@
         self.simulation.take_over(silent_worker_ids, unlisted_worker_ids)
 
     @rule()
-    def nothing_unwanted_outlasts_a_survey(self):
+    def surveys_stop_every_run_of_an_ended_job(self):
         for order in tuple(self.simulation.delayed_starts):
             self.simulation.execute_delayed_start(order)
         find_and_stop(self.simulation)
         assert not self.simulation.runs_to_stop()
 
     def teardown(self):
-        self.nothing_unwanted_outlasts_a_survey()
+        self.surveys_stop_every_run_of_an_ended_job()
 
 
 DelayedStartHistories.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
