--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -24,7 +24,7 @@
     return simulation.delayed_starts[0]
 
 
-def find_and_stop(simulation):
+def survey_and_stop(simulation):
     """Survey each worker, decide once and deliver the stops that are ordered."""
     for worker_id in simulation.worker_by_id:
         simulation.list_worker(worker_id)
@@ -39,7 +39,7 @@
     order = submit_with_late_start(simulation)
     simulation.cancel(A)
     simulation.execute_delayed_start(order)
-    find_and_stop(simulation)
+    survey_and_stop(simulation)
     assert not simulation.runs_to_stop()
 
 
@@ -69,7 +69,7 @@
     )
     simulation.execute_delayed_start(order)
     assert simulation.runs_to_stop()
-    find_and_stop(simulation)
+    survey_and_stop(simulation)
     assert not simulation.runs_to_stop()
 
 
@@ -80,7 +80,7 @@
     simulation.execute_delayed_start(order)
     simulation.survey(order.worker_id)
     simulation.cancel(A)
-    find_and_stop(simulation)
+    survey_and_stop(simulation)
     assert not simulation.runs_to_stop()
 
 
@@ -149,7 +149,7 @@
     def surveys_stop_every_run_of_an_ended_job(self):
         for order in tuple(self.simulation.delayed_starts):
             self.simulation.execute_delayed_start(order)
-        find_and_stop(self.simulation)
+        survey_and_stop(self.simulation)
         assert not self.simulation.runs_to_stop()
 
     def teardown(self):
