--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_late_starts.py
@@ -17,7 +17,7 @@
 ENDS = st.sampled_from((EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-def submit_with_late_start(simulation):
+def submit_with_delayed_start(simulation):
     """Submit a job of one task and return its start, which is neither acknowledged nor executed yet."""
     simulation.submit(A, [task()], ORDINARY)
     simulation.decide(0.0, is_answered=False, is_delayed=True)
@@ -36,7 +36,7 @@
 
 def test_a_start_that_is_executed_after_its_job_was_cancelled_is_stopped():
     simulation = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(simulation)
+    order = submit_with_delayed_start(simulation)
     simulation.cancel(A)
     simulation.execute_delayed_start(order)
     survey_and_stop(simulation)
@@ -45,7 +45,7 @@
 
 def test_a_start_that_is_executed_after_its_stop_was_acknowledged_is_refused():
     simulation = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(simulation)
+    order = submit_with_delayed_start(simulation)
     simulation.cancel(A)
     simulation.decide(0.1, is_answered=True, is_delayed=False)
     simulation.deliver_stop(order, is_answered=True)
@@ -59,7 +59,7 @@
 def test_a_late_start_of_a_previous_owner_is_stopped_by_the_next_owner(is_removed, has_reported, is_listed):
     """Also if the next owner does not know the job, or the worker is listed only later."""
     simulation = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(simulation)
+    order = submit_with_delayed_start(simulation)
     simulation.cancel(A)
     if is_removed:
         simulation.remove(A)
@@ -75,7 +75,7 @@
 
 def test_a_late_start_that_was_adopted_is_stopped_once_its_job_is_cancelled():
     simulation = OwnerSimulation(WORKERS)
-    order = submit_with_late_start(simulation)
+    order = submit_with_delayed_start(simulation)
     simulation.take_over(silent_worker_ids=(), unlisted_worker_ids=())
     simulation.execute_delayed_start(order)
     simulation.survey(order.worker_id)
