--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -176,7 +176,7 @@
         self.owners.take_over()
 
     @rule(number=st.integers(0, 2))
-    def fall_silent(self, number):
+    def mark_silent(self, number):
         self.owners.silent.add(f'w{number}')
         self.owners.scheduler.worker_silent(f'w{number}', self.owners.now)
 
