--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -215,7 +215,7 @@
         assert not [key for key, count in Counter(key for _, key in self.owners.running()).items() if count > 1]
 
     @invariant()
-    def nothing_runs_again_after_a_success_that_was_noted(self):
+    def no_task_runs_again_after_its_success_was_recorded(self):
         assert not [key for _, key in self.owners.running() if key in self.owners.recorded_successes]
 
 
