--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -196,7 +196,7 @@
         self.owners.decide(delivery)
 
     @rule(seconds=st.floats(0.0, 4.0), delivery=st.sampled_from(('answered', 'answered', 'unanswered')))
-    def go_on(self, seconds, delivery):
+    def survey_and_decide(self, seconds, delivery):
         self.owners.detect_crashes()
         self.owners.save()
         self.owners.pass_time(seconds)
@@ -289,7 +289,7 @@
             rng.choice((URGENT, ORDINARY)), rng.randint(1, 2), rng.choice((1, 8)), rng.random() < 0.5
         ),
         lambda: machine.decide(rng.choice((delivery, 'late', 'owner ends'))),
-        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
+        lambda: machine.survey_and_decide(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
         machine.change_owner,
         lambda: machine.change_store(rng.random() < 0.4),
         lambda: machine.crash(rng, rng.random() < 0.7),
