--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -227,7 +227,7 @@
             self.owners.crash(worker_id, is_seen=False)
 
     @rule(choice=st.randoms(use_true_random=False))
-    def crash_before_a_start_is_carried_out(self, choice):
+    def crash_before_a_start_is_executed(self, choice):
         if self.owners.delayed_starts:
             worker_id = choice.choice(self.owners.delayed_starts).worker_id
             self.owners.pass_time(0.5)
@@ -296,7 +296,7 @@
         lambda: machine.execute_delayed_start(rng),
         lambda: machine.end(rng),
         lambda: machine.crash_before_an_end_is_listed(rng),
-        lambda: machine.crash_before_a_start_is_carried_out(rng),
+        lambda: machine.crash_before_a_start_is_executed(rng),
     ]
     weights = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
     (apply_rule,) = rng.choices(rules, weights)
