--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -207,7 +207,7 @@
         self.owners.take_over()
 
     @rule(is_store_unavailable=st.booleans())
-    def change_store(self, is_store_unavailable):
+    def set_store_availability(self, is_store_unavailable):
         self.owners.is_store_available = not is_store_unavailable
         self.owners.save()
         if not is_store_unavailable:
@@ -291,7 +291,7 @@
         lambda: machine.decide(rng.choice((delivery, 'late', 'owner ends'))),
         lambda: machine.survey_and_decide(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
         machine.change_owner,
-        lambda: machine.change_store(rng.random() < 0.4),
+        lambda: machine.set_store_availability(rng.random() < 0.4),
         lambda: machine.crash(rng, rng.random() < 0.7),
         lambda: machine.execute_delayed_start(rng),
         lambda: machine.end(rng),
