--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -18,7 +18,7 @@
 TICK_S = 0.25
 
 
-class AnsweringPool(Pool):
+class TimedPool(Pool):
     """A pool whose workers end their runs after the estimated time.
 
     Workers in `refusing` refuse every start; runs on workers in `late` take 60 s longer.
@@ -88,7 +88,7 @@
 
 def test_gangs_whose_reservations_overlap_do_not_wait_for_each_other():
     # Each of three gangs was blocked by the reservations of the other two while three quarters of the pool were idle.
-    pool = AnsweringPool(16, late=('w0', 'w2', 'w5', 'w9'))
+    pool = TimedPool(16, late=('w0', 'w2', 'w5', 'w9'))
     occupy(pool, 16, work_s=4.0)
     gangs = [f'{number:016x}' for number in range(3)]
     for job_id, width in zip(gangs, (7, 4, 4), strict=True):
@@ -103,7 +103,7 @@
 
 def test_small_work_is_not_held_up_by_a_reservation_beside_idle_capacity():
     # Workers reserved for a gang as wide as the pool stayed idle until the last of them was free.
-    pool = AnsweringPool(10)
+    pool = TimedPool(10)
     occupy(pool, 1, work_s=30.0)
     pool.submit('b' * 16, task(10, accelerators=8, work_s=8.0, gang=True))
     for _ in range(4):
@@ -114,7 +114,7 @@
 
 def test_work_does_not_wait_for_the_rack_of_its_data_beside_idle_capacity():
     # The task waited for 1.5 times its own run time even when the other racks were idle.
-    pool = AnsweringPool(40)
+    pool = TimedPool(40)
     pool.submit('b' * 16, task(8, accelerators=8, work_s=60.0, data_rack='r0'))
     pool.tick()
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r0'))
@@ -122,19 +122,19 @@
 
 
 def test_a_task_does_not_wait_for_a_rack_without_workers():
-    pool = AnsweringPool(16)
+    pool = TimedPool(16)
     pool.submit(JOB, task(1, work_s=20.0, data_rack='r9'))
     assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
 def test_a_gang_that_fits_in_no_rack_does_not_wait_for_one():
-    pool = AnsweringPool(40)
+    pool = TimedPool(40)
     pool.submit(JOB, task(9, accelerators=8, work_s=20.0, gang=True, same_rack=True))
     assert pool.tick_until_started(JOB, 35.0) <= TICK_S
 
 
 def test_a_gang_does_not_wait_for_a_single_rack_while_capacity_is_idle():
-    pool = AnsweringPool(40)
+    pool = TimedPool(40)
     for rack in range(5):
         pool.submit(f'{rack:016x}', task(1, accelerators=8, work_s=60.0, data_rack=f'r{rack}'))
     pool.tick()
@@ -145,13 +145,13 @@
 def test_a_task_that_a_worker_refuses_goes_to_another():
     # The worker that refused the task remained the best choice and was chosen again and again.
     for queue in (URGENT, ORDINARY, PATIENT):
-        pool = AnsweringPool(10, refusing=('w0',))
+        pool = TimedPool(10, refusing=('w0',))
         pool.submit(JOB, task(1), queue=queue)
         assert pool.tick_until_started(JOB, 20.0) <= LONGEST_STALL_S
 
 
 def test_a_gang_with_a_refused_member_starts_on_other_workers():
-    pool = AnsweringPool(40, refusing=('w0', 'w9'))
+    pool = TimedPool(40, refusing=('w0', 'w9'))
     pool.submit(JOB, task(8, accelerators=8, gang=True))
     assert pool.tick_until_running(JOB, 8, 20.0) <= LONGEST_STALL_S
 
@@ -210,7 +210,7 @@
 )
 @settings(max_examples=60)
 def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, late):
-    pool = AnsweringPool(16, refusing, late)
+    pool = TimedPool(16, refusing, late)
     check = StallCheck(pool)
     for number, (after_s, queue, step) in enumerate(arrivals):
         for _ in range(int(after_s / TICK_S)):
@@ -224,7 +224,7 @@
 
 def test_a_wide_gang_starts_despite_a_stream_of_small_tasks():
     # Small tasks that arrive later must not starve a gang that needs half of the pool.
-    pool = AnsweringPool(20)
+    pool = TimedPool(20)
     for number in range(240):
         pool.submit(f'{number:016x}', task(2, accelerators=2, work_s=6.0), queue=PATIENT)
         pool.tick()
@@ -245,7 +245,7 @@
 
 
 def test_a_step_that_waits_for_capacity_is_reported_once():
-    pool = AnsweringPool(2)
+    pool = TimedPool(2)
     occupy(pool, 2)
     pool.submit(JOB, task(1))
     notes = collect_waiting_notes(pool, 20)
@@ -257,7 +257,7 @@
 
 
 def test_free_capacity_of_unavailable_workers_is_reported_separately():
-    pool = AnsweringPool(4)
+    pool = TimedPool(4)
     for worker_id in pool.profiles:
         pool.scheduler.worker_silent(worker_id, pool.now)
         pool.silent.add(worker_id)
@@ -267,7 +267,7 @@
 
 
 def test_a_step_that_waits_for_the_runs_of_a_previous_owner_is_reported():
-    pool = AnsweringPool(4)
+    pool = TimedPool(4)
     spec = JobSpec(JOB, 'acc', 'ordinary', 'payload', (task(1),), accepted_s=pool.now.wall_s)
     pool.spec_by_id[JOB] = spec
     pool.scheduler.add_job(spec, ORDINARY, pool.now, not_before_s=pool.now_s + 8.0)
@@ -277,7 +277,7 @@
 
 def test_a_failed_search_is_repeated_although_no_capacity_has_grown():
     # The result of a placement filter may change while nothing runs, but the failed search stayed cached forever.
-    pool = AnsweringPool(1, policy=PolicySettings('mine', placement_filter='!suspect'))
+    pool = TimedPool(1, policy=PolicySettings('mine', placement_filter='!suspect'))
     worker = pool.scheduler.worker_by_id['w0']
     pool.tick()
     worker.slowness = 5.0
@@ -291,7 +291,7 @@
 
 def test_a_lasting_task_that_ended_is_restarted_while_others_of_its_step_run():
     # The step had running tasks, so it did not count as stalled and the task waited for the rack of its data.
-    pool = AnsweringPool(16)
+    pool = TimedPool(16)
     pool.submit(JOB, task(9, accelerators=8, work_s=600.0, data_rack='r0', lasting=True))
     pool.submit('b' * 16, task(4, accelerators=8, work_s=600.0, data_rack='r1'))
     assert pool.tick_until_running(JOB, 8, 5.0) <= LONGEST_STALL_S
@@ -299,7 +299,7 @@
 
 
 def test_a_step_that_waits_for_unavailable_workers_is_reported():
-    pool = AnsweringPool(2)
+    pool = TimedPool(2)
     occupy(pool, 1)
     for worker_id in sorted(pool.profiles):
         if not any(worker == worker_id for worker, _ in pool.running):
@@ -311,7 +311,7 @@
 
 def test_a_gang_as_wide_as_the_pool_starts_despite_occasional_small_tasks():
     # Small tasks that had waited while capacity was idle were repeatedly placed on capacity reserved for the gang.
-    pool = AnsweringPool(10)
+    pool = TimedPool(10)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=10.0))
     pool.tick()
     pool.submit(JOB, task(10, accelerators=8, work_s=5.0, gang=True))
@@ -327,7 +327,7 @@
 
 def test_other_jobs_start_while_every_worker_refuses_one_job():
     # Each refusal blocked all starts on its worker for a time, after which the refused job was again first in order.
-    pool = AnsweringPool(10)
+    pool = TimedPool(10)
     pool.refused_jobs = {JOB}
     pool.submit(JOB, task(160, work_s=5.0))
     pool.tick()
@@ -336,7 +336,7 @@
 
 
 def test_a_task_returns_to_a_worker_on_which_it_failed_rather_than_wait_while_capacity_is_idle():
-    pool = AnsweringPool(2)
+    pool = TimedPool(2)
     pool.submit('b' * 16, task(1, accelerators=8, work_s=120.0))
     pool.tick()
     pool.submit(JOB, task(1, accelerators=8, work_s=30.0))
