--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -175,7 +175,7 @@
 )
 
 
-class StallCheck:
+class StallDetector:
     """Checks how long a job has no running task while the pool has twice the capacity that it needs."""
 
     def __init__(self, pool):
@@ -211,7 +211,7 @@
 @settings(max_examples=60)
 def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, late):
     pool = TimedPool(16, refusing, late)
-    check = StallCheck(pool)
+    check = StallDetector(pool)
     for number, (after_s, queue, step) in enumerate(arrivals):
         for _ in range(int(after_s / TICK_S)):
             pool.tick()
