--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -182,7 +182,7 @@
         self.pool = pool
         self.since_by_job = {}
 
-    def look(self):
+    def check(self):
         stalled = {job_id for job_id in self.pool.spec_by_id if self._could_run(job_id)}
         self.since_by_job = {job_id: self.since_by_job.get(job_id, self.pool.now_s) for job_id in stalled}
         for job_id, since_s in self.since_by_job.items():
@@ -211,15 +211,15 @@
 @settings(max_examples=60)
 def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, late):
     pool = TimedPool(16, refusing, late)
-    check = StallDetector(pool)
+    detector = StallDetector(pool)
     for number, (after_s, queue, step) in enumerate(arrivals):
         for _ in range(int(after_s / TICK_S)):
             pool.tick()
-            check.look()
+            detector.check()
         pool.submit(f'{number:016x}', step, queue=queue)
     for _ in range(100):
         pool.tick()
-        check.look()
+        detector.check()
 
 
 def test_a_wide_gang_starts_despite_a_stream_of_small_tasks():
