--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -180,12 +180,14 @@
 
     def __init__(self, pool):
         self.pool = pool
-        self.since_by_job = {}
+        self.stalled_since_by_job = {}
 
     def check(self):
         stalled = {job_id for job_id in self.pool.spec_by_id if self._could_run(job_id)}
-        self.since_by_job = {job_id: self.since_by_job.get(job_id, self.pool.now_s) for job_id in stalled}
-        for job_id, since_s in self.since_by_job.items():
+        self.stalled_since_by_job = {
+            job_id: self.stalled_since_by_job.get(job_id, self.pool.now_s) for job_id in stalled
+        }
+        for job_id, since_s in self.stalled_since_by_job.items():
             assert self.pool.now_s - since_s < LONGEST_STALL_S, (job_id, since_s - START_S, self.pool.now_s - START_S)
 
     def _could_run(self, job_id):
