--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -21,10 +21,10 @@
 class TimedPool(Pool):
     """A pool whose workers end their runs after the estimated time.
 
-    Workers in `refusing` refuse every start; runs on workers in `late` take 60 s longer.
+    Workers in `refusing` refuse every start; runs on workers in `slow_worker_ids` take 60 s longer.
     """
 
-    def __init__(self, workers, refusing=(), late=(), policy=None):
+    def __init__(self, workers, refusing=(), slow_worker_ids=(), policy=None):
         super().__init__(0)
         if policy is not None:
             self.scheduler = Scheduler(self.settings, self.epoch, compile_policy(policy))
@@ -32,7 +32,7 @@
             self.add_worker(f'w{number}', f'r{number // 8}')
         self.refusing = frozenset(refusing)
         self.refused_jobs = frozenset()
-        self.late = frozenset(late)
+        self.slow_worker_ids = frozenset(slow_worker_ids)
         self.ends_at_by_run = {}
 
     def tick(self, seconds=TICK_S):
@@ -53,7 +53,7 @@
             else:
                 self._start(effect)
                 work_s = self.spec_by_id[effect.key.job_id].steps[effect.key.step].estimate_s
-                late_s = 60.0 if effect.worker_id in self.late else 0.0
+                late_s = 60.0 if effect.worker_id in self.slow_worker_ids else 0.0
                 self.ends_at_by_run[effect.worker_id, effect.key] = self.now_s + work_s + late_s
         self.finish_stops()
 
@@ -88,7 +88,7 @@
 
 def test_gangs_whose_reservations_overlap_do_not_wait_for_each_other():
     # Each of three gangs was blocked by the reservations of the other two while three quarters of the pool were idle.
-    pool = TimedPool(16, late=('w0', 'w2', 'w5', 'w9'))
+    pool = TimedPool(16, slow_worker_ids=('w0', 'w2', 'w5', 'w9'))
     occupy(pool, 16, work_s=4.0)
     gangs = [f'{number:016x}' for number in range(3)]
     for job_id, width in zip(gangs, (7, 4, 4), strict=True):
@@ -208,11 +208,11 @@
 @given(
     arrivals=ARRIVALS,
     refusing=st.sets(st.sampled_from(('w0', 'w3', 'w9')), max_size=1),
-    late=st.sets(st.sampled_from(('w1', 'w4', 'w8', 'w12')), max_size=3),
+    slow_worker_ids=st.sets(st.sampled_from(('w1', 'w4', 'w8', 'w12')), max_size=3),
 )
 @settings(max_examples=60)
-def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, late):
-    pool = TimedPool(16, refusing, late)
+def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, slow_worker_ids):
+    pool = TimedPool(16, refusing, slow_worker_ids)
     detector = StallDetector(pool)
     for number, (after_s, queue, step) in enumerate(arrivals):
         for _ in range(int(after_s / TICK_S)):
