--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -56,7 +56,7 @@
 
 
 @given(configurations(3), configurations(8))
-def test_the_difference_leads_from_one_version_to_the_other(before, after):
+def test_applying_a_difference_yields_the_later_version(before, after):
     assert apply_change(before, diff_configurations(before, after)) == after
     assert apply_change(EMPTY_CONFIGURATION, diff_configurations(EMPTY_CONFIGURATION, after)) == after
 
