--- a/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
+++ b/packages/kernel/dahliaarch_kernel/configuration/tests/test_changes.py
@@ -62,7 +62,7 @@
 
 
 @given(configurations(3), configurations(8))
-def test_a_change_does_not_touch_the_version_that_it_builds_on(before, after):
+def test_applying_a_change_leaves_its_base_version_unmodified(before, after):
     queues_before = dict(before.queue_by_name)
     apply_change(before, diff_configurations(before, after))
     assert before.queue_by_name == queues_before
