--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_stalled_steps.py
@@ -211,7 +211,7 @@
     slow_worker_ids=st.sets(st.sampled_from(('w1', 'w4', 'w8', 'w12')), max_size=3),
 )
 @settings(max_examples=60)
-def test_no_ready_step_waits_long_while_twice_its_capacity_is_free(arrivals, refusing, slow_worker_ids):
+def test_no_ready_step_stands_for_long_beside_twice_its_room(arrivals, refusing, slow_worker_ids):
     pool = TimedPool(16, refusing, slow_worker_ids)
     detector = StallDetector(pool)
     for number, (after_s, queue, step) in enumerate(arrivals):
