--- a/packages/node/dahliaarch_node/asking.py
+++ b/packages/node/dahliaarch_node/asking.py
@@ -11,7 +11,7 @@
 from .records import Member
 
 
-def askers(client: AdviceClient | None, mesh: Mesh, membership: Membership) -> Sequence[AskPolicyFunction]:
+def policy_queries(client: AdviceClient | None, mesh: Mesh, membership: Membership) -> Sequence[AskPolicyFunction]:
     """Return one query function per route, the direct one first; empty without a configured policy."""
     if client is None:
         return ()
--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -17,7 +17,7 @@
 from dahliaarch_platform.settings import Address, InstanceSettings, read_settings
 from dahliaarch_platform.store import StoreClient
 
-from .asking import askers
+from .asking import policy_queries
 from .authority import Authority
 from .configuration import ConfigurationFollower, PeerFeed, StoreFeed
 from .front import Front
@@ -167,7 +167,7 @@
             OwnerSettings(epoch, self._settings.bounds, self._timing, self._own_settings),
             self._store,
             WorkerClient(self._http),
-            partial(askers, self._advice, self._mesh, self._membership),
+            partial(policy_queries, self._advice, self._mesh, self._membership),
             self._metrics,
             self._authority,
             partial(relays, self._mesh, self._membership),
--- a/packages/node/dahliaarch_node/owner/advising.py
+++ b/packages/node/dahliaarch_node/owner/advising.py
@@ -21,7 +21,7 @@
 # Maximum number of concurrent calls.
 _MAX_CALLS = 8
 # Interval of checks for further instances to ask through, in seconds.
-_ASKERS_POLL_S = 0.5
+_POLICY_QUERIES_POLL_S = 0.5
 
 AskPolicyFunction = Callable[[str, Sequence[str], float], Awaitable[Mapping[str, str]]]
 
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    askers : callable
+    policy_queries : callable
         Returns the functions to ask with now, this instance's own first. Each takes
         the step's name, the workers and a timeout in seconds, returns tickets by
         worker and raises one of ADVICE_FAILURES.
@@ -45,13 +45,13 @@
 
     def __init__(
         self,
-        askers: Callable[[], Sequence[AskPolicyFunction]],
+        policy_queries: Callable[[], Sequence[AskPolicyFunction]],
         post: Callable[[OwnerMessage], None],
         name_of: Callable[[str], str],
         clock: Callable[[], float],
     ) -> None:
         """Initialize with an empty queue."""
-        self._askers = askers
+        self._policy_queries = policy_queries
         self._post = post
         self._name_of = name_of
         self._clock = clock
@@ -77,12 +77,12 @@
         calls that have timed out, so that retries lengthen its queue.
         """
         while True:
-            while number >= max(1, len(self._askers())):
-                await anyio.sleep(_ASKERS_POLL_S)
+            while number >= max(1, len(self._policy_queries())):
+                await anyio.sleep(_POLICY_QUERIES_POLL_S)
             question = await self._question_receiver.receive()
-            askers = self._askers()
-            if askers:
-                await self._request_advice(question, askers[number % len(askers)])
+            policy_queries = self._policy_queries()
+            if policy_queries:
+                await self._request_advice(question, policy_queries[number % len(policy_queries)])
             else:
                 self._report_failure(question, 'no policy is configured')
 
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -64,7 +64,7 @@
         Client of the store.
     workers : WorkerClient
         Opens sessions with workers.
-    askers : callable
+    policy_queries : callable
         Returns the functions through which the external policy can currently be queried.
     metrics : Metrics
         Metrics of this instance.
@@ -79,7 +79,7 @@
         settings: OwnerSettings,
         store: StoreClient,
         workers: WorkerClient,
-        askers: Callable[[], Sequence[AskPolicyFunction]],
+        policy_queries: Callable[[], Sequence[AskPolicyFunction]],
         metrics: Metrics,
         authority: Authority | None = None,
         relays: Callable[[], Sequence[CommitFunction]] = tuple,
@@ -117,7 +117,7 @@
             self._may_order,
         )
         self._links = LinkRegistry(context)
-        self._advice_dispatcher = AdviceDispatcher(askers, self.post, self._links.name_of, steady_s)
+        self._advice_dispatcher = AdviceDispatcher(policy_queries, self.post, self._links.name_of, steady_s)
         self._effects = EffectExecutor(self.scheduler, self._links, self._advice_dispatcher, self.post, metrics, _now)
         self._recorder = Recorder(
             Committer(store, relays),
