--- a/packages/node/dahliaarch_node/authority.py
+++ b/packages/node/dahliaarch_node/authority.py
@@ -28,7 +28,7 @@
         """Extend the authority by a confirmation requested at the given time on the `steady_s` clock."""
         self._valid_until_s = max(self._valid_until_s, requested_s + self._duration_s)
 
-    def holds(self, now_s: float) -> bool:
+    def is_valid(self, now_s: float) -> bool:
         """Return whether orders may be sent now."""
         return now_s <= self._valid_until_s
 
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -257,7 +257,7 @@
 
     def _may_order(self) -> bool:
         """Return whether this instance certainly owns the pool now; checked before each order."""
-        may_order = self._authority.holds(steady_s())
+        may_order = self._authority.is_valid(steady_s())
         if may_order is not self._has_authority:
             self._has_authority = may_order
             log_event('authority_regained' if may_order else 'authority_lost', epoch=self.epoch)
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -149,7 +149,7 @@
     ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_able=True)
     with pytest.raises(StoreUnansweredError):
         anyio.run(ownership._renew)
-    assert not authority.holds(steady_s())
+    assert not authority.is_valid(steady_s())
 
 
 class Peers:
@@ -197,7 +197,7 @@
 def test_while_the_store_is_away_most_instances_confirm_an_owner(replies, holds):
     authority = Authority(LEASE_S)
     anyio.run(membership_with(Peers(replies), authority)._heartbeat_all, EPOCH)
-    assert authority.holds(steady_s()) is holds
+    assert authority.is_valid(steady_s()) is holds
 
 
 def test_an_owner_that_was_told_of_a_newer_one_is_replaced_for_good():
