--- a/packages/node/dahliaarch_node/authority.py
+++ b/packages/node/dahliaarch_node/authority.py
@@ -33,7 +33,7 @@
         return now_s <= self._valid_until_s
 
 
-def lasting_authority() -> Authority:
+def permanent_authority() -> Authority:
     """Return an authority that never expires, for an owner that no other instance can replace."""
     authority = Authority(math.inf)
     authority.confirm(0.0)
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -17,7 +17,7 @@
 from dahliaarch_platform.sessions import WorkerClient
 from dahliaarch_platform.store import StoreClient
 
-from ..authority import Authority, lasting_authority
+from ..authority import Authority, permanent_authority
 from ..clock import steady_s
 from ..logs import log_event
 from ..metrics import Metrics
@@ -85,7 +85,7 @@
         relays: Callable[[], Sequence[CommitFunction]] = tuple,
     ) -> None:
         """Build the components; `run` takes over the pool."""
-        self._authority = authority or lasting_authority()
+        self._authority = authority or permanent_authority()
         self._has_authority = True
         self.is_ready = False
         self.end_notifier = EndNotifier()
