--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -35,7 +35,7 @@
     revision: int = 0
 
 
-async def keep_job(
+async def write_job(
     store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
     """Write a job to the store unless it holds one with this id already."""
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -35,7 +35,7 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, keep_cancellation, keep_job, STORE_WRITE_TIMEOUT_S, WriteOutcome
+from .acceptance import Fate, keep_cancellation, STORE_WRITE_TIMEOUT_S, write_job, WriteOutcome
 
 # Timeout of requests to the owner, in seconds: long enough for the retransmission of
 # a lost packet, and short enough to query the store afterwards.
@@ -160,7 +160,7 @@
             return _json(HTTPStatus.BAD_REQUEST, {'error': str(error)})
         owner = self._ownership.owner
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
-        write_to_store = partial(keep_job, self._store, call.job_id, record)
+        write_to_store = partial(write_job, self._store, call.job_id, record)
         outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -7,7 +7,7 @@
 from dahliaarch_platform.store import STORE_FAILURES, StoreClient
 
 from .configuration import ConfigurationFollower
-from .front.acceptance import Fate, keep_cancellation, keep_job, WriteOutcome
+from .front.acceptance import Fate, keep_cancellation, write_job, WriteOutcome
 from .logs import log_event
 from .membership import Membership
 from .owner import PoolOwner
@@ -117,7 +117,7 @@
 
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
-        outcome = await keep_job(self._store, message.job_id, message.record, _HOLD_S)
+        outcome = await write_job(self._store, message.job_id, message.record, _HOLD_S)
         if outcome.fate is Fate.KEPT and outcome.revision:
             self._pass_on(message.job_id, message.record, outcome.revision, is_cancel=False)
         return _accepted(outcome)
