--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -43,7 +43,7 @@
     return await _commit(store, (Condition(write.key, 0),), write, write_timeout_s)
 
 
-async def keep_cancellation(
+async def write_cancellation(
     store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
     """Write a cancellation to the store."""
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -35,7 +35,7 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, keep_cancellation, STORE_WRITE_TIMEOUT_S, write_job, WriteOutcome
+from .acceptance import Fate, STORE_WRITE_TIMEOUT_S, write_cancellation, write_job, WriteOutcome
 
 # Timeout of requests to the owner, in seconds: long enough for the retransmission of
 # a lost packet, and short enough to query the store afterwards.
@@ -181,7 +181,7 @@
                 return _write_response(await self._write_through_owner(AcceptCancel(call.job_id)))
             if item is None:
                 return Response(HTTPStatus.GONE)
-        write_to_store = partial(keep_cancellation, self._store, call.job_id)
+        write_to_store = partial(write_cancellation, self._store, call.job_id)
         outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
         if outcome.fate is Fate.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -7,7 +7,7 @@
 from dahliaarch_platform.store import STORE_FAILURES, StoreClient
 
 from .configuration import ConfigurationFollower
-from .front.acceptance import Fate, keep_cancellation, write_job, WriteOutcome
+from .front.acceptance import Fate, write_cancellation, write_job, WriteOutcome
 from .logs import log_event
 from .membership import Membership
 from .owner import PoolOwner
@@ -131,7 +131,7 @@
                 return Accepted(is_done=False, is_certain=True, is_missing=True)
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
-        outcome = await keep_cancellation(self._store, message.job_id, _HOLD_S)
+        outcome = await write_cancellation(self._store, message.job_id, _HOLD_S)
         if outcome.fate is Fate.KEPT:
             self._pass_on(message.job_id, b'', outcome.revision, is_cancel=True)
         return _accepted(outcome)
