--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -19,7 +19,7 @@
 STORE_WRITE_TIMEOUT_S = 0.8
 
 
-class Fate(StrEnum):
+class WriteStatus(StrEnum):
     """Outcome of a write to the store."""
 
     KEPT = 'kept'
@@ -31,7 +31,7 @@
 class WriteOutcome(NamedTuple):
     """Outcome of a write and its store revision; 0 if nothing was written or an earlier attempt wrote it."""
 
-    fate: Fate
+    fate: WriteStatus
     revision: int = 0
 
 
@@ -58,20 +58,20 @@
 ) -> WriteOutcome:
     if store.is_suspect:
         # A write that is never sent can't take effect later, so the refusal is certain.
-        return WriteOutcome(Fate.NOT_KEPT)
+        return WriteOutcome(WriteStatus.NOT_KEPT)
     deadline_s = time.monotonic() + write_timeout_s
-    fate = Fate.NOT_KEPT
+    fate = WriteStatus.NOT_KEPT
     while time.monotonic() < deadline_s:
         try:
             outcome = await store.commit(conditions, (write,), timeout_s=deadline_s - time.monotonic())
         except StoreUnansweredError as error:
             log_event('write_unanswered', key=write.key, why=str(error))
-            fate = Fate.UNKNOWN
+            fate = WriteStatus.UNKNOWN
             continue
         except STORE_FAILURES as error:
-            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=fate is Fate.UNKNOWN)
+            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=fate is WriteStatus.UNKNOWN)
             break
         # A failed condition means that the key exists already, written by an earlier
         # attempt of this loop or of the caller.
-        return WriteOutcome(Fate.KEPT, outcome.revision)
+        return WriteOutcome(WriteStatus.KEPT, outcome.revision)
     return WriteOutcome(fate)
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -35,7 +35,7 @@
     StateReply,
 )
 from ..records import job_key, JobRecord, progress_key
-from .acceptance import Fate, STORE_WRITE_TIMEOUT_S, write_cancellation, write_job, WriteOutcome
+from .acceptance import STORE_WRITE_TIMEOUT_S, write_cancellation, write_job, WriteOutcome, WriteStatus
 
 # Timeout of requests to the owner, in seconds: long enough for the retransmission of
 # a lost packet, and short enough to query the store afterwards.
@@ -162,7 +162,7 @@
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
         write_to_store = partial(write_job, self._store, call.job_id, record)
         outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
-        if outcome.fate is Fate.KEPT and outcome.revision:
+        if outcome.fate is WriteStatus.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
         return _write_response(outcome)
 
@@ -183,7 +183,7 @@
                 return Response(HTTPStatus.GONE)
         write_to_store = partial(write_cancellation, self._store, call.job_id)
         outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
-        if outcome.fate is Fate.KEPT:
+        if outcome.fate is WriteStatus.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
         return _write_response(outcome)
 
@@ -233,10 +233,10 @@
         if self._ownership.owner is None or self._ownership.is_own:
             return await write_to_store(STORE_WRITE_TIMEOUT_S)
         own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
-        if own.fate is Fate.KEPT:
+        if own.fate is WriteStatus.KEPT:
             return own
         other = await self._write_through_owner(message)
-        if other.fate is Fate.NOT_KEPT and own.fate is Fate.UNKNOWN:
+        if other.fate is WriteStatus.NOT_KEPT and own.fate is WriteStatus.UNKNOWN:
             return own
         return other
 
@@ -244,20 +244,20 @@
         """Ask the owner to write what this instance could not write to the store."""
         owner = self._ownership.owner
         if owner is None or self._ownership.is_own:
-            return WriteOutcome(Fate.NOT_KEPT)
+            return WriteOutcome(WriteStatus.NOT_KEPT)
         address = (owner.member.host, owner.member.port)
         try:
             reply = await self._mesh.ask(address, message, timeout_s=STORE_WRITE_TIMEOUT_S - _LOCAL_WRITE_TIMEOUT_S)
         except PeerSilentError as error:
             log_event('write_through_owner_unanswered', job=message.job_id, why=str(error))
-            return WriteOutcome(Fate.UNKNOWN)
+            return WriteOutcome(WriteStatus.UNKNOWN)
         if not isinstance(reply, Accepted):
-            return WriteOutcome(Fate.UNKNOWN)
+            return WriteOutcome(WriteStatus.UNKNOWN)
         if reply.is_missing:
-            return WriteOutcome(Fate.NO_SUCH_JOB)
+            return WriteOutcome(WriteStatus.NO_SUCH_JOB)
         if reply.is_done:
-            return WriteOutcome(Fate.KEPT)
-        return WriteOutcome(Fate.NOT_KEPT if reply.is_certain else Fate.UNKNOWN)
+            return WriteOutcome(WriteStatus.KEPT)
+        return WriteOutcome(WriteStatus.NOT_KEPT if reply.is_certain else WriteStatus.UNKNOWN)
 
     def _notify_owner(self, update: JobUpdate) -> None:
         owner = self._ownership.owner
@@ -267,15 +267,15 @@
 
 _LOGGED_OPERATIONS = frozenset(('submit', 'cancel'))
 _STATUS_BY_FATE = {
-    Fate.KEPT: HTTPStatus.OK,
-    Fate.NOT_KEPT: HTTPStatus.SERVICE_UNAVAILABLE,
-    Fate.UNKNOWN: HTTPStatus.GATEWAY_TIMEOUT,
-    Fate.NO_SUCH_JOB: HTTPStatus.GONE,
+    WriteStatus.KEPT: HTTPStatus.OK,
+    WriteStatus.NOT_KEPT: HTTPStatus.SERVICE_UNAVAILABLE,
+    WriteStatus.UNKNOWN: HTTPStatus.GATEWAY_TIMEOUT,
+    WriteStatus.NO_SUCH_JOB: HTTPStatus.GONE,
 }
 
 
 def _write_response(outcome: WriteOutcome) -> Response:
-    if outcome.fate is Fate.NOT_KEPT:
+    if outcome.fate is WriteStatus.NOT_KEPT:
         return _unavailable()
     return Response(_STATUS_BY_FATE[outcome.fate])
 
