--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -31,7 +31,7 @@
 class WriteOutcome(NamedTuple):
     """Outcome of a write and its store revision; 0 if nothing was written or an earlier attempt wrote it."""
 
-    fate: WriteStatus
+    status: WriteStatus
     revision: int = 0
 
 
@@ -60,18 +60,18 @@
         # A write that is never sent can't take effect later, so the refusal is certain.
         return WriteOutcome(WriteStatus.NOT_KEPT)
     deadline_s = time.monotonic() + write_timeout_s
-    fate = WriteStatus.NOT_KEPT
+    status = WriteStatus.NOT_KEPT
     while time.monotonic() < deadline_s:
         try:
             outcome = await store.commit(conditions, (write,), timeout_s=deadline_s - time.monotonic())
         except StoreUnansweredError as error:
             log_event('write_unanswered', key=write.key, why=str(error))
-            fate = WriteStatus.UNKNOWN
+            status = WriteStatus.UNKNOWN
             continue
         except STORE_FAILURES as error:
-            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=fate is WriteStatus.UNKNOWN)
+            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=status is WriteStatus.UNKNOWN)
             break
         # A failed condition means that the key exists already, written by an earlier
         # attempt of this loop or of the caller.
         return WriteOutcome(WriteStatus.KEPT, outcome.revision)
-    return WriteOutcome(fate)
+    return WriteOutcome(status)
--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -162,7 +162,7 @@
         record = encode(JobRecord(spec, call.queue, 0 if owner is None else owner.epoch))
         write_to_store = partial(write_job, self._store, call.job_id, record)
         outcome = await self._write(write_to_store, AcceptJob(call.job_id, record))
-        if outcome.fate is WriteStatus.KEPT and outcome.revision:
+        if outcome.status is WriteStatus.KEPT and outcome.revision:
             self._notify_owner(JobUpdate(call.job_id, record, outcome.revision, is_cancel=False))
         return _write_response(outcome)
 
@@ -183,7 +183,7 @@
                 return Response(HTTPStatus.GONE)
         write_to_store = partial(write_cancellation, self._store, call.job_id)
         outcome = await self._write(write_to_store, AcceptCancel(call.job_id))
-        if outcome.fate is WriteStatus.KEPT:
+        if outcome.status is WriteStatus.KEPT:
             self._notify_owner(JobUpdate(call.job_id, b'', outcome.revision, is_cancel=True))
         return _write_response(outcome)
 
@@ -233,10 +233,10 @@
         if self._ownership.owner is None or self._ownership.is_own:
             return await write_to_store(STORE_WRITE_TIMEOUT_S)
         own = await write_to_store(_LOCAL_WRITE_TIMEOUT_S)
-        if own.fate is WriteStatus.KEPT:
+        if own.status is WriteStatus.KEPT:
             return own
         other = await self._write_through_owner(message)
-        if other.fate is WriteStatus.NOT_KEPT and own.fate is WriteStatus.UNKNOWN:
+        if other.status is WriteStatus.NOT_KEPT and own.status is WriteStatus.UNKNOWN:
             return own
         return other
 
@@ -266,7 +266,7 @@
 
 
 _LOGGED_OPERATIONS = frozenset(('submit', 'cancel'))
-_STATUS_BY_FATE = {
+_HTTP_STATUS_BY_WRITE_STATUS = {
     WriteStatus.KEPT: HTTPStatus.OK,
     WriteStatus.NOT_KEPT: HTTPStatus.SERVICE_UNAVAILABLE,
     WriteStatus.UNKNOWN: HTTPStatus.GATEWAY_TIMEOUT,
@@ -275,9 +275,9 @@
 
 
 def _write_response(outcome: WriteOutcome) -> Response:
-    if outcome.fate is WriteStatus.NOT_KEPT:
+    if outcome.status is WriteStatus.NOT_KEPT:
         return _unavailable()
-    return Response(_STATUS_BY_FATE[outcome.fate])
+    return Response(_HTTP_STATUS_BY_WRITE_STATUS[outcome.status])
 
 
 def _unavailable() -> Response:
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -118,7 +118,7 @@
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
         outcome = await write_job(self._store, message.job_id, message.record, _HOLD_S)
-        if outcome.fate is WriteStatus.KEPT and outcome.revision:
+        if outcome.status is WriteStatus.KEPT and outcome.revision:
             self._pass_on(message.job_id, message.record, outcome.revision, is_cancel=False)
         return _accepted(outcome)
 
@@ -132,7 +132,7 @@
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
         outcome = await write_cancellation(self._store, message.job_id, _HOLD_S)
-        if outcome.fate is WriteStatus.KEPT:
+        if outcome.status is WriteStatus.KEPT:
             self._pass_on(message.job_id, b'', outcome.revision, is_cancel=True)
         return _accepted(outcome)
 
@@ -163,4 +163,4 @@
 
 
 def _accepted(outcome: WriteOutcome) -> Accepted:
-    return Accepted(outcome.fate is WriteStatus.KEPT, outcome.fate is WriteStatus.NOT_KEPT)
+    return Accepted(outcome.status is WriteStatus.KEPT, outcome.status is WriteStatus.NOT_KEPT)
