--- a/packages/node/dahliaarch_node/configuration/tests/test_updates.py
+++ b/packages/node/dahliaarch_node/configuration/tests/test_updates.py
@@ -61,7 +61,7 @@
         if len(self.requests) in self.lost_replies:
             raise PeerSilentError('reply lost')
         self.before_reply()
-        return self.follower.updates.part(message, self.follower.current, self.follower.revision)
+        return self.follower.updates.build_part(message, self.follower.current, self.follower.revision)
 
 
 def fetch(receiver, mesh, version, within_s=0.2, *, repeats_announcement=False):
@@ -117,7 +117,7 @@
     mesh = FakeMesh(follower_at(older, newer))
     fetch(receiver, mesh, 9)
     assert receiver.current == newer
-    part = mesh.follower.updates.part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
+    part = mesh.follower.updates.build_part(AskConfiguration(5, NO_VERSION, 0), newer, REVISION)
     assert part.total_bytes == len(part.data) < 1_000
 
 
@@ -179,6 +179,6 @@
 
 def test_a_part_beyond_the_end_is_empty():
     peer = follower_at(configuration(5, []))
-    first = peer.updates.part(AskConfiguration(NO_VERSION, NO_VERSION, 0), peer.current, REVISION)
-    beyond = peer.updates.part(AskConfiguration(NO_VERSION, 5, 10**6), peer.current, REVISION)
+    first = peer.updates.build_part(AskConfiguration(NO_VERSION, NO_VERSION, 0), peer.current, REVISION)
+    beyond = peer.updates.build_part(AskConfiguration(NO_VERSION, 5, 10**6), peer.current, REVISION)
     assert beyond == ConfigurationPart(5, first.total_bytes, 10**6, b'')
--- a/packages/node/dahliaarch_node/configuration/updates.py
+++ b/packages/node/dahliaarch_node/configuration/updates.py
@@ -80,7 +80,7 @@
             self._changes.clear()
         self._changes.append(change)
 
-    def part(self, request: AskConfiguration, current: Configuration | None, revision: int) -> ConfigurationPart:
+    def build_part(self, request: AskConfiguration, current: Configuration | None, revision: int) -> ConfigurationPart:
         """Return the requested part, or one with `NO_VERSION` when there is no newer version."""
         version = request.version
         data = self._encoded_by_versions.get((request.base, version))
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -94,7 +94,7 @@
 
     @_reply.register
     async def _(self, message: AskConfiguration) -> Message | None:
-        return self._follower.updates.part(message, self._follower.current, self._follower.revision)
+        return self._follower.updates.build_part(message, self._follower.current, self._follower.revision)
 
     @_reply.register
     async def _(self, message: AskState) -> Message | None:
