--- a/packages/node/dahliaarch_node/front/core.py
+++ b/packages/node/dahliaarch_node/front/core.py
@@ -262,7 +262,7 @@
     def _notify_owner(self, update: JobUpdate) -> None:
         owner = self._ownership.owner
         if owner is not None:
-            self._mesh.tell((owner.member.host, owner.member.port), update)
+            self._mesh.send((owner.member.host, owner.member.port), update)
 
 
 _LOGGED_OPERATIONS = frozenset(('submit', 'cancel'))
--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -108,7 +108,7 @@
 
     def greet(self, owner: Member) -> None:
         """Tell an owner that this instance is there."""
-        self._mesh.tell((owner.host, owner.port), Hello(self._member))
+        self._mesh.send((owner.host, owner.port), Hello(self._member))
 
     def add(self, member: Member) -> None:
         """Take in an instance that is there."""
@@ -141,7 +141,7 @@
             await self._follower.changed.wait()
             heartbeat = Heartbeat(self._member, epoch, self._follower.version)
             for peer in tuple(self._peer_by_instance.values()):
-                self._mesh.tell((peer.member.host, peer.member.port), heartbeat)
+                self._mesh.send((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
         count = _Round(steady_s(), len(self._peer_by_instance) + 1, self._authority)
--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -104,7 +104,7 @@
                 link.reconnect(time.monotonic())
             raise PeerSilentError(f'{address}: no reply to {type(message).__name__}') from None
 
-    def tell(self, address: Address, message: Message) -> None:
+    def send(self, address: Address, message: Message) -> None:
         """Send a message without a reply; it may be lost."""
         self._link(address).send(0, message)
 
--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -44,7 +44,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
-        mesh.tell(UNUSED_ADDRESS, AskPending('q' * 1000))
+        mesh.send(UNUSED_ADDRESS, AskPending('q' * 1000))
         tasks.cancel_scope.cancel()
     return observed
 
