--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -192,7 +192,7 @@
                 continue
             log_event('member_forgotten', member=instance)
             del self._peer_by_instance[instance]
-            self._mesh.forget((peer.member.host, peer.member.port))
+            self._mesh.disconnect((peer.member.host, peer.member.port))
             try:
                 await self._store.commit((), (), (member_key(instance),), timeout_s=self._timing.call_s)
             except STORE_FAILURES as error:
--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -108,7 +108,7 @@
         """Send a message without a reply; it may be lost."""
         self._link(address).send(0, message)
 
-    def forget(self, address: Address) -> None:
+    def disconnect(self, address: Address) -> None:
         """Close the socket to a peer."""
         link = self._link_by_address.pop(address, None)
         if link is not None:
--- a/packages/node/dahliaarch_node/peers/tests/test_mesh.py
+++ b/packages/node/dahliaarch_node/peers/tests/test_mesh.py
@@ -13,9 +13,9 @@
     return None
 
 
-async def forget_soon(mesh):
+async def disconnect_soon(mesh):
     await anyio.sleep(0.05)
-    mesh.forget(UNUSED_ADDRESS)
+    mesh.disconnect(UNUSED_ADDRESS)
 
 
 async def ask_and_forget():
@@ -23,7 +23,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(mesh.run, '127.0.0.1', 0)
         await anyio.sleep(0)
-        tasks.start_soon(forget_soon, mesh)
+        tasks.start_soon(disconnect_soon, mesh)
         try:
             await mesh.ask(UNUSED_ADDRESS, AskPending('q'), timeout_s=0.2)
         except PeerSilentError:
@@ -34,7 +34,7 @@
 
 
 def test_forgetting_a_peer_during_a_request_raises_peer_silent_error():
-    """The daemon crashed: after the timeout, the request reconnected a socket that `forget` had closed."""
+    """The daemon crashed: after the timeout, the request reconnected a socket that `disconnect` had closed."""
     anyio.run(ask_and_forget)
 
 
