--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -11,7 +11,7 @@
 from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreClient, WORKERS_PREFIX
 
 from ..logs import log_event
-from ..records import CANCEL_SUFFIX, job_id_of, JobRecord, JOBS_PREFIX
+from ..records import CANCEL_SUFFIX, job_id_from_key, JobRecord, JOBS_PREFIX
 from ..timing import StoreTiming
 from ..watching import next_updates
 from .messages import (
@@ -88,7 +88,7 @@
     if item.removed:
         return
     if item.key.endswith(CANCEL_SUFFIX):
-        yield JobCancelled(job_id_of(item.key))
+        yield JobCancelled(job_id_from_key(item.key))
         return
     try:
         record = decode(item.value, JobRecord, 'job record')
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -23,7 +23,7 @@
     ASSIGNER_KEY,
     assignments_key,
     cancel_key,
-    job_id_of,
+    job_id_from_key,
     job_key,
     OWNER_KEY,
     progress_key,
@@ -240,7 +240,7 @@
             if change.part is not None:
                 pending.parts.discard(change.part)
             elif change.key.startswith(PROGRESS_PREFIX):
-                self._mark_progress_persisted(job_id_of(change.key), pending)
+                self._mark_progress_persisted(job_id_from_key(change.key), pending)
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
                 self._persisted_part_by_key[change.key] = change.value
 
--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -15,7 +15,7 @@
     ASSIGNER_KEY,
     assignments_part,
     ASSIGNMENTS_PREFIX,
-    job_id_of,
+    job_id_from_key,
     JOBS_PREFIX,
     PROGRESS_PREFIX,
     ROSTER_PREFIX,
@@ -117,7 +117,7 @@
     found = {}
     for item in page.items:
         try:
-            found[job_id_of(item.key)] = decode(item.value, JobProgress, 'progress')
+            found[job_id_from_key(item.key)] = decode(item.value, JobProgress, 'progress')
         except ProtocolError as error:
             log_event('progress_malformed', key=item.key, why=str(error))
     return found
--- a/packages/node/dahliaarch_node/records/core.py
+++ b/packages/node/dahliaarch_node/records/core.py
@@ -132,6 +132,6 @@
     return MEMBERS_PREFIX + instance
 
 
-def job_id_of(key: str) -> str:
+def job_id_from_key(key: str) -> str:
     """Return the job id in a key below the jobs or progress prefix."""
     return key.rpartition('/')[2].removesuffix(CANCEL_SUFFIX)
