--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -13,10 +13,10 @@
 from ..logs import log_event
 from ..records import (
     ASSIGNER_KEY,
-    assignments_part,
     ASSIGNMENTS_PREFIX,
     job_id_from_key,
     JOBS_PREFIX,
+    parse_assignments_key,
     PROGRESS_PREFIX,
     ROSTER_PREFIX,
     RosterEntry,
@@ -131,7 +131,7 @@
         if item.key == ASSIGNER_KEY:
             continue
         try:
-            part = assignments_part(item.key)
+            part = parse_assignments_key(item.key)
             found[part.job_id][part] = decode(item.value, StepAssignments, 'assignments')
         except (ProtocolError, ValueError) as error:
             log_event('assignments_malformed', key=item.key, why=str(error))
--- a/packages/node/dahliaarch_node/records/__init__.py
+++ b/packages/node/dahliaarch_node/records/__init__.py
@@ -3,7 +3,6 @@
 from .core import (
     ASSIGNER_KEY,
     assignments_key,
-    assignments_part,
     ASSIGNMENTS_PREFIX,
     cancel_key,
     CANCEL_SUFFIX,
@@ -15,6 +14,7 @@
     member_key,
     MEMBERS_PREFIX,
     OWNER_KEY,
+    parse_assignments_key,
     progress_key,
     PROGRESS_PREFIX,
     roster_key,
--- a/packages/node/dahliaarch_node/records/core.py
+++ b/packages/node/dahliaarch_node/records/core.py
@@ -116,7 +116,7 @@
     return f'{ASSIGNMENTS_PREFIX}{part.job_id}.{part.occurrence}.{part.step}.{part.number}'
 
 
-def assignments_part(key: str) -> AssignmentsPart:
+def parse_assignments_key(key: str) -> AssignmentsPart:
     """Return the part of the assignments that a key refers to."""
     job_id, occurrence, step, number = key.removeprefix(ASSIGNMENTS_PREFIX).split('.')
     return AssignmentsPart(job_id, int(occurrence), int(step), int(number))
