--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -33,7 +33,7 @@
 from .records import Member
 from .relaying import relays
 from .replies import PeerReplies
-from .status import describe
+from .status import build_status
 from .timing import StoreTiming
 
 # An instance with at least this much of a core is an able owner.
@@ -146,7 +146,7 @@
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
         if request.path == '/status':
-            found = describe(self._ownership, self._follower, self._store, self._replies.owner)
+            found = build_status(self._ownership, self._follower, self._store, self._replies.owner)
             return Response(200, msgspec.json.encode(found))
         if request.path != '/ready':
             return Response(404)
--- a/packages/node/dahliaarch_node/status.py
+++ b/packages/node/dahliaarch_node/status.py
@@ -15,7 +15,7 @@
 _SLOW_FACTOR = 1.5
 
 
-def describe(
+def build_status(
     ownership: Ownership,
     follower: ConfigurationFollower,
     store: StoreClient,
--- a/packages/node/dahliaarch_node/tests/test_status.py
+++ b/packages/node/dahliaarch_node/tests/test_status.py
@@ -6,7 +6,7 @@
 from dahliaarch_kernel.scheduler import Moment, Scheduler, SchedulerSettings
 from dahliaarch_kernel.workload import JobSpec, Resources, StepSpec
 
-from ..status import describe
+from ..status import build_status
 
 QUEUE = Queue('ordinary', 'h', '/o/', 'svc', priority=1)
 JOB = 'a' * 16
@@ -14,7 +14,7 @@
 
 def described(scheduler):
     ownership = SimpleNamespace(owner=None)
-    return describe(
+    return build_status(
         ownership,
         SimpleNamespace(version=1),
         SimpleNamespace(count_by_call={}),
