--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -230,7 +230,7 @@
         for entry in workers.roster:
             is_lapsed = entry.is_lapsed and entry.known_incarnation.name not in in_use
             yield WorkerInherited(entry.profile, entry.address, entry.known_incarnation, is_lapsed)
-        yield from self._workers_feed.messages(workers.entries, is_whole=True)
+        yield from self._workers_feed.messages(workers.entries, is_snapshot=True)
         yield WorkersSynced()
 
     async def _await_reports(self, handler: MessageHandler) -> None:
--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -112,9 +112,9 @@
         self._feed = feed
         self._known: set[str] = set()
 
-    def messages(self, page: Page, *, is_whole: bool) -> Iterator[OwnerMessage]:
+    def messages(self, page: Page, *, is_snapshot: bool) -> Iterator[OwnerMessage]:
         """Yield the messages for a page of entries; a complete listing also reveals which entries were removed."""
-        if is_whole:
+        if is_snapshot:
             listed = {item.key for item in page.items}
             for key in self._known - listed:
                 yield self._removal_message(key)
@@ -135,10 +135,10 @@
 
     async def _watch(self, revision: int) -> int:
         updates = await next_updates(self._feed.store, self._feed.timing, WORKERS_PREFIX, revision)
-        for message in self.messages(updates.page, is_whole=updates.is_whole):
+        for message in self.messages(updates.page, is_snapshot=updates.is_snapshot):
             self._feed.post(message)
         self._feed.post(WorkersSynced())
-        if updates.is_whole:
+        if updates.is_snapshot:
             return updates.page.revision
         await _pause_after(updates.page, _WORKERS_WATCH_PAUSE_S)
         return max(revision, updates.page.revision)
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -17,12 +17,12 @@
     ----------
     page : Page
         The items, and the revision to continue the watch from.
-    is_whole : bool
+    is_snapshot : bool
         Whether the page holds all items rather than only the changed ones.
     """
 
     page: Page
-    is_whole: bool
+    is_snapshot: bool
 
 
 async def watch_once(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
@@ -41,10 +41,10 @@
         log_event('updates_too_large', prefix=prefix, revision=after, why=str(error))
     else:
         if page is not None:
-            return Updates(page, is_whole=False)
+            return Updates(page, is_snapshot=False)
         log_event('history_gone', prefix=prefix, revision=after)
     await anyio.sleep(timing.retry_pause_s())
-    return Updates(await read_all(store, timing, prefix), is_whole=True)
+    return Updates(await read_all(store, timing, prefix), is_snapshot=True)
 
 
 async def read_all(store: StoreClient, timing: StoreTiming, prefix: str) -> Page:
