--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -25,7 +25,7 @@
 from .logs import log_event
 from .records import Member, OWNER_KEY
 from .timing import StoreTiming
-from .watching import watch_once
+from .watching import watch_prefix
 
 
 class OwnershipSettings(NamedTuple):
@@ -242,7 +242,7 @@
         """Wait until the owner's key changes or goes."""
         revision = item.read_at
         while not self.is_own:
-            page = await watch_once(self._store, self._timing, OWNER_KEY, revision)
+            page = await watch_prefix(self._store, self._timing, OWNER_KEY, revision)
             if page is None:
                 await anyio.sleep(self._timing.retry_pause_s())
                 return
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -25,7 +25,7 @@
     is_snapshot: bool
 
 
-async def watch_once(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
+async def watch_prefix(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
     """Wait for updates after a revision; return None if the store no longer has that history."""
     return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_s)
 
@@ -36,7 +36,7 @@
     Repeating the watch from the same revision would only return a larger answer.
     """
     try:
-        page = await watch_once(store, timing, prefix, after)
+        page = await watch_prefix(store, timing, prefix, after)
     except StoreReplyTooLargeError as error:
         log_event('updates_too_large', prefix=prefix, revision=after, why=str(error))
     else:
