--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -71,7 +71,7 @@
         item: Item | None = None
         with anyio.CancelScope() as scope:
             self._call_scope = scope
-            item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_s)
+            item = await self._store.get(CONFIGURATION_KEY, timeout_s=self._timing.call_timeout_s)
         if item is None:
             # The store has no document yet, or a peer update cancelled the read.
             self._seen_revision = self._follower.revision
--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -99,7 +99,7 @@
         write = Write(member_key(self._member.instance), encode(self._member))
         while True:
             try:
-                await self._store.commit((), (write,), timeout_s=self._timing.call_s)
+                await self._store.commit((), (write,), timeout_s=self._timing.call_timeout_s)
             except STORE_FAILURES as error:
                 log_event('registration_failed', why=str(error))
                 await anyio.sleep(self._timing.retry_pause_s())
@@ -194,6 +194,6 @@
             del self._peer_by_instance[instance]
             self._mesh.disconnect((peer.member.host, peer.member.port))
             try:
-                await self._store.commit((), (), (member_key(instance),), timeout_s=self._timing.call_s)
+                await self._store.commit((), (), (member_key(instance),), timeout_s=self._timing.call_timeout_s)
             except STORE_FAILURES as error:
                 log_event('member_not_removed', member=instance, why=str(error))
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -338,7 +338,7 @@
                 [Condition(OWNER_KEY, self._epoch)],
                 [],
                 keys,
-                timeout_s=self._timing.call_s,
+                timeout_s=self._timing.call_timeout_s,
             )
         except STORE_FAILURES as error:
             log_event('jobs_not_removed', jobs=len(job_ids), why=str(error))
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -144,7 +144,7 @@
         if not self.is_own or not self._lease:
             return
         try:
-            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_s)
+            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_timeout_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
         self.deposed()
@@ -153,7 +153,7 @@
         if self.is_own and self._lease:
             await self._keep()
             return
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is None:
             await self._claim_free()
             return
@@ -179,7 +179,7 @@
         self._lease = 0
         # The key is gone, and with it the right to write; claim it anew. Until
         # the claim succeeds the workers still take this owner's orders.
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is None:
             await self._claim(0)
         elif decode(item.value, Member, 'member') != self._member:
@@ -213,13 +213,13 @@
         if self.is_leaving:
             return
         asked_s = steady_s()
-        lease = await self._store.grant_lease(self._settings.lease_s, timeout_s=self._timing.call_s)
+        lease = await self._store.grant_lease(self._settings.lease_s, timeout_s=self._timing.call_timeout_s)
         write = Write(OWNER_KEY, encode(self._member), lease)
         try:
             outcome = await self._store.commit(
                 [Condition(OWNER_KEY, revision)],
                 [write],
-                timeout_s=self._timing.call_s,
+                timeout_s=self._timing.call_timeout_s,
             )
         except StoreUnansweredError:
             await self._read_back(lease, asked_s)
@@ -229,7 +229,7 @@
 
     async def _read_back(self, lease: int, asked_s: float) -> None:
         """Find out whether a claim without an answer has been carried out."""
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
             self._won(lease, item.revision, asked_s)
 
--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -9,7 +9,7 @@
 
     Parameters
     ----------
-    call_s : float
+    call_timeout_s : float
         Timeout of a call. The store normally answers within milliseconds; a slow store
         took 60 times as long, 0.25 s, and the timeout is well above that.
     keep_s : float
@@ -27,7 +27,7 @@
         Mean pause before a retry.
     """
 
-    call_s: float = 1.0
+    call_timeout_s: float = 1.0
     keep_s: float = 0.5
     write_s: float = 0.6
     watch_wait_s: float = 6.0
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -66,7 +66,7 @@
 async def _read_page(store: StoreClient, timing: StoreTiming, prefix: str, after: str) -> Page:
     while True:
         try:
-            return await store.read_page(prefix, after, timeout_s=timing.call_s)
+            return await store.read_page(prefix, after, timeout_s=timing.call_timeout_s)
         except STORE_FAILURES as error:
             log_event('page_unreachable', prefix=prefix, after=after, why=str(error))
             await anyio.sleep(timing.retry_pause_s())
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -234,7 +234,7 @@
 def test_an_instance_that_the_store_turns_away_follows_its_peers():
     async def scenario(pair, tasks):
         pair.configure(1, ROUTES * 3)
-        await pair.start(tasks, TIMING._replace(call_s=0.2))
+        await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.near_store.drops_all = True
         pair.own(tasks)
         assert await pair.slow.wait_for(1, within_s=20) < IN_FORCE_S
