--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -195,7 +195,7 @@
 
     async def _renew_once(self) -> bool:
         asked_s = steady_s()
-        is_kept = await self._store.renew_lease(self._lease, timeout_s=self._timing.keep_s)
+        is_kept = await self._store.renew_lease(self._lease, timeout_s=self._timing.renewal_timeout_s)
         if is_kept:
             self._authority.confirm(asked_s)
         return is_kept
--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -12,7 +12,7 @@
     call_timeout_s : float
         Timeout of a call. The store normally answers within milliseconds; a slow store
         took 60 times as long, 0.25 s, and the timeout is well above that.
-    keep_s : float
+    renewal_timeout_s : float
         Timeout of the renewal of a lease: two attempts and the pause before them fit
         into the duration of the lease.
     write_s : float
@@ -28,7 +28,7 @@
     """
 
     call_timeout_s: float = 1.0
-    keep_s: float = 0.5
+    renewal_timeout_s: float = 0.5
     write_s: float = 0.6
     watch_wait_s: float = 6.0
     watch_s: float = 7.0
