--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -256,7 +256,7 @@
             [Condition(OWNER_KEY, self._epoch), *conditions],
             [Write(change.key, change.value) for change in batch if change.value is not None],
             [change.key for change in batch if change.value is None],
-            timeout_s=self._timing.write_s,
+            timeout_s=self._timing.write_timeout_s,
         )
         if outcome.status is CommitStatus.DONE:
             for change in batch:
--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -15,7 +15,7 @@
     renewal_timeout_s : float
         Timeout of the renewal of a lease: two attempts and the pause before them fit
         into the duration of the lease.
-    write_s : float
+    write_timeout_s : float
         Timeout of the owner's writes, which ends of runs wait for. After a timeout, the
         condition of the write shows whether it took effect or was lost.
     watch_wait_s : float
@@ -29,7 +29,7 @@
 
     call_timeout_s: float = 1.0
     renewal_timeout_s: float = 0.5
-    write_s: float = 0.6
+    write_timeout_s: float = 0.6
     watch_wait_s: float = 6.0
     watch_s: float = 7.0
     retry_s: float = 0.3
