--- a/packages/node/dahliaarch_node/configuration/store_feed.py
+++ b/packages/node/dahliaarch_node/configuration/store_feed.py
@@ -87,7 +87,7 @@
                 CONFIGURATION_KEY,
                 after,
                 wait_s=self._timing.watch_wait_s,
-                timeout_s=self._timing.watch_s,
+                timeout_s=self._timing.watch_timeout_s,
                 max_reply_bytes=self._store.max_item_reply_bytes,
             )
         if scope.cancelled_caught:
--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -21,7 +21,7 @@
     watch_wait_s : float
         How long the store keeps a watch open without updates. Every watch costs a call,
         and updates of the configuration also arrive from the owner.
-    watch_s : float
+    watch_timeout_s : float
         Timeout of a watch.
     retry_s : float
         Mean pause before a retry.
@@ -31,7 +31,7 @@
     renewal_timeout_s: float = 0.5
     write_timeout_s: float = 0.6
     watch_wait_s: float = 6.0
-    watch_s: float = 7.0
+    watch_timeout_s: float = 7.0
     retry_s: float = 0.3
 
     def retry_pause_s(self) -> float:
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -27,7 +27,7 @@
 
 async def watch_prefix(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
     """Wait for updates after a revision; return None if the store no longer has that history."""
-    return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_s)
+    return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_timeout_s)
 
 
 async def next_updates(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Updates:
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -190,7 +190,7 @@
 
     async def scenario(pair, tasks):
         pair.configure(1, 40 if after_s else ROUTES * 3)
-        await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_s=1.4))
+        await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_timeout_s=1.4))
         if after_s:
             await pair.slow.wait_for(1, within_s=5)
             await anyio.sleep(after_s)
