--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -154,7 +154,7 @@
 
 
 def owner_of(epoch, store, workers):
-    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(retry_s=0.02))
+    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(mean_retry_pause_s=0.02))
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -73,7 +73,7 @@
 
 
 def recorder_of(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
-    timing = StoreTiming(retry_s=0.01)
+    timing = StoreTiming(mean_retry_pause_s=0.01)
     return Recorder(
         store,
         timing,
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -202,7 +202,7 @@
 
     async def _claim_free(self) -> None:
         if self.is_leaving:
-            await anyio.sleep(self._timing.retry_s)
+            await anyio.sleep(self._timing.mean_retry_pause_s)
             return
         if self._had_owner and not self.is_own:
             await anyio.sleep(self._delay_s)
--- a/packages/node/dahliaarch_node/timing.py
+++ b/packages/node/dahliaarch_node/timing.py
@@ -23,7 +23,7 @@
         and updates of the configuration also arrive from the owner.
     watch_timeout_s : float
         Timeout of a watch.
-    retry_s : float
+    mean_retry_pause_s : float
         Mean pause before a retry.
     """
 
@@ -32,8 +32,8 @@
     write_timeout_s: float = 0.6
     watch_wait_s: float = 6.0
     watch_timeout_s: float = 7.0
-    retry_s: float = 0.3
+    mean_retry_pause_s: float = 0.3
 
     def retry_pause_s(self) -> float:
         """Return a retry pause with random jitter, so that instances don't retry at the same time."""
-        return self.retry_s * random.uniform(0.5, 1.5)
+        return self.mean_retry_pause_s * random.uniform(0.5, 1.5)
