--- a/packages/node/dahliaarch_node/records/__init__.py
+++ b/packages/node/dahliaarch_node/records/__init__.py
@@ -35,11 +35,11 @@
     'Member',
     'RosterEntry',
     'assignments_key',
-    'assignments_part',
     'cancel_key',
-    'job_id_of',
+    'job_id_from_key',
     'job_key',
     'member_key',
+    'parse_assignments_key',
     'progress_key',
     'roster_key',
 )
