--- a/packages/node/dahliaarch_node/owner/tests/test_committing.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_committing.py
@@ -15,7 +15,7 @@
 )
 
 from ...peers import CommitFor, CommitOutcome
-from ...relaying import make_for_peer, relays
+from ...relaying import commit_for_peer, relays
 from ..committing import Committer
 
 CONDITION = Condition('k', 7)
@@ -50,7 +50,7 @@
 
     async def ask(self, address, message, *, timeout_s):
         assert isinstance(message, CommitFor)
-        return await make_for_peer(self.stores[address[0]], message)
+        return await commit_for_peer(self.stores[address[0]], message)
 
 
 class Peer:
@@ -112,6 +112,6 @@
 def test_an_instance_says_what_it_does_not_know():
     async def run():
         message = CommitFor((CONDITION,), (WRITE,), (), 0.6)
-        return (await make_for_peer(Store(StoreUnansweredError('silence')), message)).outcome
+        return (await commit_for_peer(Store(StoreUnansweredError('silence')), message)).outcome
 
     assert anyio.run(run) is CommitOutcome.UNKNOWN
--- a/packages/node/dahliaarch_node/relaying.py
+++ b/packages/node/dahliaarch_node/relaying.py
@@ -38,7 +38,7 @@
     return [partial(_commit_through, mesh, peer) for peer in peers]
 
 
-async def make_for_peer(store: StoreClient, message: CommitFor) -> CommitReply:
+async def commit_for_peer(store: StoreClient, message: CommitFor) -> CommitReply:
     """Make a transaction for another instance."""
     if store.is_suspect:
         return CommitReply(CommitOutcome.REFUSED)
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -32,7 +32,7 @@
     StateReply,
 )
 from .records import job_key, JobRecord
-from .relaying import make_for_peer
+from .relaying import commit_for_peer
 
 # Longest try at a write for another instance, in seconds: what is left of the
 # time that it holds its caller.
@@ -149,7 +149,7 @@
 
     @_reply.register
     async def _(self, message: CommitFor) -> Message | None:
-        return await make_for_peer(self._store, message)
+        return await commit_for_peer(self._store, message)
 
     def _pass_on(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
         """Hand updates to the pool's owner, if it is here; else the watch brings them."""
