--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -20,7 +20,7 @@
 
 from ..logs import log_event
 from ..records import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
     cancel_key,
     job_id_from_key,
@@ -317,7 +317,7 @@
         parts = sorted(self._part_by_key.items())
         changes = [_Change(key, part) for key, part in parts if part != self._persisted_part_by_key.get(key)]
         if changes:
-            changes.append(_Change(ASSIGNER_KEY, encode(self._epoch)))
+            changes.append(_Change(ASSIGNMENTS_EPOCH_KEY, encode(self._epoch)))
         return changes
 
     def _roster_parts(self) -> dict[str, bytes]:
--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -12,7 +12,7 @@
 
 from ..logs import log_event
 from ..records import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     ASSIGNMENTS_PREFIX,
     job_id_from_key,
     JOBS_PREFIX,
@@ -75,7 +75,7 @@
     Earlier versions of the program store only the roster, and later ones may use an encoding unknown to this one.
     """
     roster_revision = max(workers.revision_by_key.values(), default=0)
-    return stored.is_readable and stored.revision_by_key.get(ASSIGNER_KEY, 0) >= roster_revision
+    return stored.is_readable and stored.revision_by_key.get(ASSIGNMENTS_EPOCH_KEY, 0) >= roster_revision
 
 
 async def read_workers(store: StoreClient, timing: StoreTiming) -> KnownWorkers:
@@ -128,7 +128,7 @@
     found: AssignmentsById = defaultdict(dict)
     is_readable = True
     for item in page.items:
-        if item.key == ASSIGNER_KEY:
+        if item.key == ASSIGNMENTS_EPOCH_KEY:
             continue
         try:
             part = parse_assignments_key(item.key)
--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -14,7 +14,7 @@
 
 from ...metrics import Metrics
 from ...records import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
     OWNER_KEY,
     ROSTER_PREFIX,
@@ -51,7 +51,7 @@
 
 
 def assigner(revision=4):
-    return Item(ASSIGNER_KEY, encode(EPOCH - 10), revision)
+    return Item(ASSIGNMENTS_EPOCH_KEY, encode(EPOCH - 10), revision)
 
 
 def silent_workers(*silent):
@@ -146,7 +146,7 @@
         runs = () if kept is None else decode(kept.value, StepAssignments, 'assignments').runs
         self.held.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
         self.held.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
-        self.held.append(ASSIGNER_KEY in self.store.item_by_key)
+        self.held.append(ASSIGNMENTS_EPOCH_KEY in self.store.item_by_key)
         return await super().start(address, incarnation, order, **options)
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
--- a/packages/node/dahliaarch_node/records/__init__.py
+++ b/packages/node/dahliaarch_node/records/__init__.py
@@ -1,7 +1,7 @@
 """Keys and values that instances write to the store."""
 
 from .core import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
     ASSIGNMENTS_PREFIX,
     cancel_key,
@@ -23,7 +23,7 @@
 )
 
 __all__ = (
-    'ASSIGNER_KEY',
+    'ASSIGNMENTS_EPOCH_KEY',
     'ASSIGNMENTS_PREFIX',
     'CANCEL_SUFFIX',
     'JOBS_PREFIX',
--- a/packages/node/dahliaarch_node/records/core.py
+++ b/packages/node/dahliaarch_node/records/core.py
@@ -19,7 +19,7 @@
 PROGRESS_PREFIX = 'dahliaarch/progress/'
 ASSIGNMENTS_PREFIX = 'dahliaarch/assignments/'
 # Epoch of the last owner that stored assignments before it sent starts; written after its roster.
-ASSIGNER_KEY = f'{ASSIGNMENTS_PREFIX}.owner'
+ASSIGNMENTS_EPOCH_KEY = f'{ASSIGNMENTS_PREFIX}.owner'
 ROSTER_PREFIX = 'dahliaarch/workers'
 CANCEL_SUFFIX = '.cancel'
 
