--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -185,7 +185,7 @@
             self._replies.owner = None
             self._metrics.is_owner.set(0)
         if owner.is_deposed:
-            self._ownership.deposed()
+            self._ownership.record_loss()
 
     async def _stop_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
         """Stop an owner whose epoch is over."""
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -114,7 +114,7 @@
         changed, self.changed = self.changed, anyio.Event()
         changed.set()
 
-    def deposed(self) -> None:
+    def record_loss(self) -> None:
         """Give up a pool that another owner has taken; who it is comes later."""
         if self.is_own:
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
@@ -127,7 +127,7 @@
         """
         if self.is_own and self.owner is not None and self.owner.epoch < newer_epoch:
             log_event('owner_outdated', epoch=self.owner.epoch, newer=newer_epoch)
-            self.deposed()
+            self.record_loss()
 
     async def run(self) -> None:
         """Claim, keep or watch until cancelled."""
@@ -147,7 +147,7 @@
             await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_timeout_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
-        self.deposed()
+        self.record_loss()
 
     async def _step(self) -> None:
         if self.is_own and self._lease:
@@ -183,7 +183,7 @@
         if item is None:
             await self._claim(0)
         elif decode(item.value, Member, 'member') != self._member:
-            self.deposed()
+            self.record_loss()
 
     async def _renew(self) -> bool:
         """Renew the lease, at once again when the first call gets no answer."""
