--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -99,7 +99,7 @@
             self._peer_feed,
             self._mesh,
             self._authority,
-            self._ownership.outdated,
+            self._ownership.record_newer_epoch,
         )
         self._replies.membership = self._membership
         self._front_server = HttpServer(
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -220,7 +220,7 @@
     member = Member('i0', 'a', 'h', 1)
     ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_able=True)
     ownership.observe(Owner(member, EPOCH))
-    ownership.outdated(EPOCH)
+    ownership.record_newer_epoch(EPOCH)
     assert ownership.is_own
-    ownership.outdated(EPOCH + 1)
+    ownership.record_newer_epoch(EPOCH + 1)
     assert not ownership.is_own
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -120,7 +120,7 @@
             log_event('ownership_lost', epoch=0 if self.owner is None else self.owner.epoch)
             self._clear()
 
-    def outdated(self, newer_epoch: int) -> None:
+    def record_newer_epoch(self, newer_epoch: int) -> None:
         """Take in that somebody knows of a newer owner, who is not known here yet.
 
         Whoever tells so may have forgotten it by the next question.
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -83,7 +83,14 @@
         self.mesh = Mesh(replies.answer)
         self._peer_feed = PeerFeed(self.follower, self.mesh)
         self.membership = Membership(
-            self.member, store, timing, self.follower, self._peer_feed, self.mesh, authority, ownership.outdated
+            self.member,
+            store,
+            timing,
+            self.follower,
+            self._peer_feed,
+            self.mesh,
+            authority,
+            ownership.record_newer_epoch,
         )
         replies.membership = self.membership
 
