--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -68,7 +68,7 @@
         Messages to the others.
     authority : Authority
         Confirmed where most instances know of no newer owner.
-    outdated : callable
+    on_newer_epoch : callable
         Called with the epoch of a newer owner that an instance knows of.
     """
 
@@ -81,11 +81,11 @@
         peer_feed: PeerFeed,
         mesh: Mesh,
         authority: Authority,
-        outdated: Callable[[int], None],
+        on_newer_epoch: Callable[[int], None],
     ) -> None:
         """Start knowing nobody."""
         self._authority = authority
-        self._outdated = outdated
+        self._on_newer_epoch = on_newer_epoch
         self._member = member
         self._store = store
         self._timing = timing
@@ -168,7 +168,7 @@
             return
         self.announced(member, reply.version)
         if reply.epoch > epoch:
-            self._outdated(reply.epoch)
+            self._on_newer_epoch(reply.epoch)
         else:
             count.agreed()
         if peer.missed:
