--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -122,7 +122,7 @@
             log_event('started', domain=self._settings.domain, incarnation=self._member.incarnation)
             tasks.start_soon(self._ownership.run)
             tasks.start_soon(self._membership.register)
-            tasks.start_soon(self._greet_owners)
+            tasks.start_soon(self._announce_to_owners)
             tasks.start_soon(self._own_when_owner)
             tasks.start_soon(self._follow_limits)
             tasks.start_soon(self._watch_settings)
@@ -204,13 +204,13 @@
                 owner.set_configuration(self._follower.current)
             await changed.wait()
 
-    async def _greet_owners(self) -> None:
+    async def _announce_to_owners(self) -> None:
         """Tell each new owner that this instance is there."""
         while True:
             changed = self._ownership.changed
             owner = self._ownership.owner
             if owner is not None and not self._ownership.is_own:
-                self._membership.greet(owner.member)
+                self._membership.announce_to(owner.member)
             await changed.wait()
 
     async def _follow_limits(self) -> None:
--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -106,7 +106,7 @@
                 continue
             return
 
-    def greet(self, owner: Member) -> None:
+    def announce_to(self, owner: Member) -> None:
         """Tell an owner that this instance is there."""
         self._mesh.send((owner.host, owner.port), Hello(self._member))
 
