--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -34,7 +34,7 @@
     missed: int = 0
 
 
-class _Round:
+class _HeartbeatRound:
     """One heartbeat to all: confirms the owner's authority once most of the instances have agreed."""
 
     def __init__(self, asked_s: float, instances: int, authority: Authority) -> None:
@@ -42,7 +42,7 @@
         self._needed = instances // 2 + 1
         self._authority = authority
 
-    def agreed(self) -> None:
+    def add_agreement(self) -> None:
         """Take in that one more instance knows of no newer owner."""
         self._needed -= 1
         if self._needed <= 0:
@@ -144,8 +144,8 @@
                 self._mesh.send((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
-        count = _Round(steady_s(), len(self._peer_by_instance) + 1, self._authority)
-        count.agreed()
+        count = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
+        count.add_agreement()
         async with anyio.create_task_group() as tasks:
             for peer in tuple(self._peer_by_instance.values()):
                 tasks.start_soon(self._heartbeat, peer, epoch, count)
@@ -156,7 +156,7 @@
         for item in page.items:
             self.add(decode(item.value, Member, 'member'))
 
-    async def _heartbeat(self, peer: _Peer, epoch: int, count: _Round) -> None:
+    async def _heartbeat(self, peer: _Peer, epoch: int, count: _HeartbeatRound) -> None:
         member = peer.member
         heartbeat = Heartbeat(self._member, epoch, self._follower.version)
         try:
@@ -170,7 +170,7 @@
         if reply.epoch > epoch:
             self._on_newer_epoch(reply.epoch)
         else:
-            count.agreed()
+            count.add_agreement()
         if peer.missed:
             log_event('heartbeats_answered_again', member=member.instance, missed=peer.missed, version=reply.version)
         self._update(peer, _Peer(member, reply.version, steady_s()))
