--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -113,13 +113,13 @@
 
     @_reply.register
     async def _(self, message: JobUpdate) -> None:
-        self._pass_on(message.job_id, message.record, message.revision, is_cancel=message.is_cancel)
+        self._post_to_owner(message.job_id, message.record, message.revision, is_cancel=message.is_cancel)
 
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
         outcome = await write_job(self._store, message.job_id, message.record, _HOLD_S)
         if outcome.status is WriteStatus.KEPT and outcome.revision:
-            self._pass_on(message.job_id, message.record, outcome.revision, is_cancel=False)
+            self._post_to_owner(message.job_id, message.record, outcome.revision, is_cancel=False)
         return _accepted(outcome)
 
     @_reply.register
@@ -133,7 +133,7 @@
             return Accepted(is_done=False, is_certain=True)
         outcome = await write_cancellation(self._store, message.job_id, _HOLD_S)
         if outcome.status is WriteStatus.KEPT:
-            self._pass_on(message.job_id, b'', outcome.revision, is_cancel=True)
+            self._post_to_owner(message.job_id, b'', outcome.revision, is_cancel=True)
         return _accepted(outcome)
 
     @_reply.register
@@ -151,7 +151,7 @@
     async def _(self, message: CommitFor) -> Message | None:
         return await commit_for_peer(self._store, message)
 
-    def _pass_on(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
+    def _post_to_owner(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
         """Hand updates to the pool's owner, if it is here; else the watch brings them."""
         if self.owner is None:
             return
