--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -122,7 +122,7 @@
         """Return the instances that answered of late, this one left out."""
         return [peer.member for peer in self._peer_by_instance.values() if peer.version >= 0]
 
-    def announced(self, member: Member, version: int) -> None:
+    def record_version(self, member: Member, version: int) -> None:
         """Take in which version of the configuration another instance follows."""
         self._peer_feed.announce(member, version)
 
@@ -166,7 +166,7 @@
             return
         if not isinstance(reply, HeartbeatReply):
             return
-        self.announced(member, reply.version)
+        self.record_version(member, reply.version)
         if reply.epoch > epoch:
             self._on_newer_epoch(reply.epoch)
         else:
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -88,7 +88,7 @@
     async def _(self, message: Heartbeat) -> Message | None:
         self._ownership.observe(Owner(message.owner, message.epoch))
         if self.membership is not None:
-            self.membership.announced(message.owner, message.version)
+            self.membership.record_version(message.owner, message.version)
         known = self._ownership.owner
         return HeartbeatReply(self._follower.version, 0 if known is None else known.epoch)
 
