--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_assignments.py
@@ -176,7 +176,7 @@
         self.owners.take_over()
 
     @rule(number=st.integers(0, 2))
-    def fall_silent(self, number):
+    def mark_silent(self, number):
         self.owners.silent.add(f'w{number}')
         self.owners.scheduler.worker_silent(f'w{number}', self.owners.now)
 
@@ -186,7 +186,7 @@
         self.owners.survey(f'w{number}')
 
     @rule(choice=st.randoms(use_true_random=False))
-    def carry_out_late(self, choice):
+    def execute_delayed_start(self, choice):
         if self.owners.delayed_starts:
             order = choice.choice(self.owners.delayed_starts)
             self.owners.delayed_starts.remove(order)
@@ -215,7 +215,7 @@
         assert not [key for key, count in Counter(key for _, key in self.owners.running()).items() if count > 1]
 
     @invariant()
-    def nothing_runs_again_after_a_success_that_was_noted(self):
+    def no_task_runs_again_after_its_success_was_recorded(self):
         assert not [key for _, key in self.owners.running() if key in self.owners.recorded_successes]
 
 
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_histories.py
@@ -23,7 +23,7 @@
 KINDS = st.sampled_from((EndKind.DONE, EndKind.DONE, EndKind.DONE, EndKind.FAILED, EndKind.LAPSED))
 
 
-class Histories(RuleBasedStateMachine):
+class SchedulerHistories(RuleBasedStateMachine):
     """Random jobs, ends, cancellations, silences and losses."""
 
     def __init__(self):
@@ -37,70 +37,70 @@
         if chained:
             steps = [step._replace(after=(number - 1,) if number else ()) for number, step in enumerate(steps)]
         self.pool.submit(f'{self.jobs:016x}', *steps, queue=queue)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds):
-        self.pool.step(seconds)
+        self.pool.advance(seconds)
 
     @rule(choice=st.randoms(use_true_random=False), kind=KINDS)
     def end(self, choice, kind):
         if self.pool.running:
             _, key = choice.choice(sorted(self.pool.running))
-            self.pool.end_unit(key, kind)
-        self.pool.step(0.1)
+            self.pool.end_task_or_gang(key, kind)
+        self.pool.advance(0.1)
 
     @rule()
-    def stops_take_effect(self):
+    def finish_stops(self):
         self.pool.finish_stops()
-        self.pool.step(0.1)
+        self.pool.advance(0.1)
 
     @rule(choice=st.randoms(use_true_random=False))
     def cancel(self, choice):
         if self.pool.spec_by_id:
             self.pool.scheduler.cancel(choice.choice(sorted(self.pool.spec_by_id)), self.pool.now)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9), percent=st.floats(0, 99))
     def survey(self, number, percent):
         if f'w{number}' not in self.pool.silent:
             self.pool.survey(f'w{number}', percent)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
-    def lose_worker(self, number):
+    def replace_worker(self, number):
         worker_id = f'w{number}'
         for (worker, key), run in tuple(self.pool.running.items()):
             if worker == worker_id:
                 del self.pool.running[worker, key]
                 self.pool.stopping.discard((worker, key, run))
         self.pool.scheduler.worker_over(worker_id, self.pool.now)
-        self.pool.keep_progress()
+        self.pool.save_progress()
         self.pool.silent.discard(worker_id)
         self.pool.add_worker(worker_id, f'r{number // 8}')
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
-    def worker_is_silent(self, number):
+    def mark_worker_silent(self, number):
         worker_id = f'w{number}'
         lease = self.pool.scheduler.worker_by_id[worker_id].lease
         lease.assume_until(self.pool.now_s + 1000.0)
         self.pool.scheduler.worker_silent(worker_id, self.pool.now)
         self.pool.silent.add(worker_id)
-        self.pool.step()
+        self.pool.advance()
 
     @rule(number=st.integers(0, 9))
     def worker_answers_again(self, number):
         self.pool.silent.discard(f'w{number}')
         self.pool.survey(f'w{number}')
-        self.pool.step()
+        self.pool.advance()
 
     @rule()
-    def no_task_waits_beside_room_for_it(self):
+    def no_task_waits_while_free_capacity_fits_it(self):
         """Searches that failed are remembered: where room has grown they must be made again."""
         self.pool.finish_stops()
         for _ in range(3):
-            self.pool.step(0.3)
+            self.pool.advance(0.3)
         state = self.pool.scheduler._state
         if self.pool.stopping or list(state.reservations):
             return
@@ -112,12 +112,12 @@
                 assert not any(worker.free.covers(step.spec.demand) for worker in takers)
 
     @invariant()
-    def nothing_of_an_ended_job_goes_unstopped(self):
+    def runs_of_ended_jobs_are_being_stopped(self):
         for (worker, key), run in self.pool.running.items():
             job = self.pool.scheduler.job_by_id[key.job_id]
             if job.has_ended and key not in self.pool.done:
                 assert (worker, key, run) in self.pool.stopping
 
 
-Histories.TestCase.settings = settings(max_examples=30, stateful_step_count=30, deadline=None)
-TestHistories = Histories.TestCase
+SchedulerHistories.TestCase.settings = settings(max_examples=30, stateful_step_count=30, deadline=None)
+TestSchedulerHistories = SchedulerHistories.TestCase
--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -17,7 +17,7 @@
 from dahliaarch_platform.settings import Address, InstanceSettings, read_settings
 from dahliaarch_platform.store import StoreClient
 
-from .asking import askers
+from .asking import policy_queries
 from .authority import Authority
 from .configuration import ConfigurationFollower, PeerFeed, StoreFeed
 from .front import Front
@@ -33,7 +33,7 @@
 from .records import Member
 from .relaying import available_relays
 from .replies import PeerReplies
-from .status import describe
+from .status import build_status
 from .timing import StoreTiming
 
 # Minimum CPU, in cores, with which an instance is a preferred owner and claims the pool sooner.
@@ -148,7 +148,7 @@
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
         if request.path == '/status':
-            status = describe(self._ownership, self._follower, self._store, self._replies.owner)
+            status = build_status(self._ownership, self._follower, self._store, self._replies.owner)
             return Response(200, msgspec.json.encode(status))
         if request.path != '/ready':
             return Response(404)
@@ -170,7 +170,7 @@
             OwnerSettings(epoch, self._settings.bounds, self._timing, self._own_settings),
             self._store,
             WorkerClient(self._http),
-            partial(askers, self._advice, self._mesh, self._membership),
+            partial(policy_queries, self._advice, self._mesh, self._membership),
             self._metrics,
             self._authority,
             partial(available_relays, self._mesh, self._membership),
--- a/packages/node/dahliaarch_node/membership.py
+++ b/packages/node/dahliaarch_node/membership.py
@@ -100,7 +100,7 @@
         write = Write(member_key(self._member.instance), encode(self._member))
         while True:
             try:
-                await self._store.commit((), (write,), timeout_s=self._timing.call_s)
+                await self._store.commit((), (write,), timeout_s=self._timing.call_timeout_s)
             except STORE_FAILURES as error:
                 log_event('registration_failed', why=str(error))
                 await anyio.sleep(self._timing.retry_pause_s())
@@ -109,7 +109,7 @@
 
     def send_hello(self, owner: Member) -> None:
         """Announce this instance to an owner."""
-        self._mesh.tell((owner.host, owner.port), Hello(self._member))
+        self._mesh.send((owner.host, owner.port), Hello(self._member))
 
     def add(self, member: Member) -> None:
         """Add or replace a peer; this instance itself is ignored."""
@@ -142,7 +142,7 @@
             await self._follower.changed.wait()
             heartbeat = Heartbeat(self._member, epoch, self._follower.version)
             for peer in tuple(self._peer_by_instance.values()):
-                self._mesh.tell((peer.member.host, peer.member.port), heartbeat)
+                self._mesh.send((peer.member.host, peer.member.port), heartbeat)
 
     async def _heartbeat_all(self, epoch: int) -> None:
         heartbeat_round = _HeartbeatRound(steady_s(), len(self._peer_by_instance) + 1, self._authority)
@@ -193,8 +193,8 @@
                 continue
             log_event('member_forgotten', member=instance)
             del self._peer_by_instance[instance]
-            self._mesh.forget((peer.member.host, peer.member.port))
+            self._mesh.disconnect((peer.member.host, peer.member.port))
             try:
-                await self._store.commit((), (), (member_key(instance),), timeout_s=self._timing.call_s)
+                await self._store.commit((), (), (member_key(instance),), timeout_s=self._timing.call_timeout_s)
             except STORE_FAILURES as error:
                 log_event('member_not_removed', member=instance, why=str(error))
--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -14,7 +14,7 @@
 
 from ...metrics import Metrics
 from ...records import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
     OWNER_KEY,
     ROSTER_PREFIX,
@@ -51,7 +51,7 @@
 
 
 def assigner_item(revision=4):
-    return Item(ASSIGNER_KEY, encode(EPOCH - 10), revision)
+    return Item(ASSIGNMENTS_EPOCH_KEY, encode(EPOCH - 10), revision)
 
 
 def silent_workers(*silent_ids):
@@ -153,7 +153,7 @@
         runs = () if stored is None else decode(stored.value, StepAssignments, 'assignments').runs
         self.checks_at_start.append([(each.worker_id, each.run) for each in runs] == [(incarnation, order.run)])
         self.checks_at_start.append(any(key.startswith(ROSTER_PREFIX) for key in self.store.item_by_key))
-        self.checks_at_start.append(ASSIGNER_KEY in self.store.item_by_key)
+        self.checks_at_start.append(ASSIGNMENTS_EPOCH_KEY in self.store.item_by_key)
         return await super().start(address, incarnation, order, **options)
 
     async def stop(self, address, incarnation, key, run, fence, *, timeout_s):
@@ -161,7 +161,7 @@
 
 
 def make_owner(epoch, store, workers):
-    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(retry_s=0.02))
+    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(mean_retry_pause_s=0.02))
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -150,7 +150,7 @@
     ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_preferred=True)
     with pytest.raises(StoreUnansweredError):
         anyio.run(ownership._renew_lease)
-    assert not authority.holds(steady_s())
+    assert not authority.is_valid(steady_s())
 
 
 class StubPeers:
@@ -198,7 +198,7 @@
 def test_while_the_store_is_unavailable_a_majority_of_instances_confirms_an_owner(replies, holds):
     authority = Authority(LEASE_S)
     anyio.run(make_membership(StubPeers(replies), authority)._heartbeat_all, EPOCH)
-    assert authority.holds(steady_s()) is holds
+    assert authority.is_valid(steady_s()) is holds
 
 
 def test_an_owner_that_is_told_of_a_newer_one_is_deposed_for_good():
--- a/packages/node/dahliaarch_node/ownership.py
+++ b/packages/node/dahliaarch_node/ownership.py
@@ -25,7 +25,7 @@
 from .logs import log_event
 from .records import Member, OWNER_KEY
 from .timing import StoreTiming
-from .watching import watch_once
+from .watching import watch_prefix
 
 
 class OwnershipSettings(NamedTuple):
@@ -145,7 +145,7 @@
         if not self.is_owner or not self._lease:
             return
         try:
-            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_s)
+            await self._store.revoke_lease(self._lease, timeout_s=self._timing.call_timeout_s)
         except STORE_FAILURES as error:
             log_event('ownership_not_released', why=str(error))
         self.step_down()
@@ -154,7 +154,7 @@
         if self.is_owner and self._lease:
             await self._keep_lease()
             return
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is None:
             await self._claim_absent_key()
             return
@@ -180,7 +180,7 @@
         self._lease = 0
         # The key was removed with its lease, so conditional writes fail; claim the key again.
         # Until the claim succeeds, workers still accept the orders of this owner.
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is None:
             await self._claim(0)
         elif decode(item.value, Member, 'member') != self._member:
@@ -196,14 +196,14 @@
 
     async def _renew_once(self) -> bool:
         asked_s = steady_s()
-        is_kept = await self._store.renew_lease(self._lease, timeout_s=self._timing.keep_s)
+        is_kept = await self._store.renew_lease(self._lease, timeout_s=self._timing.renewal_timeout_s)
         if is_kept:
             self._authority.confirm(asked_s)
         return is_kept
 
     async def _claim_absent_key(self) -> None:
         if self.is_leaving:
-            await anyio.sleep(self._timing.retry_s)
+            await anyio.sleep(self._timing.mean_retry_pause_s)
             return
         if self._had_owner and not self.is_owner:
             await anyio.sleep(self._claim_delay_s)
@@ -214,13 +214,13 @@
         if self.is_leaving:
             return
         asked_s = steady_s()
-        lease = await self._store.grant_lease(self._settings.lease_s, timeout_s=self._timing.call_s)
+        lease = await self._store.grant_lease(self._settings.lease_s, timeout_s=self._timing.call_timeout_s)
         write = Write(OWNER_KEY, encode(self._member), lease)
         try:
             outcome = await self._store.commit(
                 [Condition(OWNER_KEY, revision)],
                 [write],
-                timeout_s=self._timing.call_s,
+                timeout_s=self._timing.call_timeout_s,
             )
         except StoreUnansweredError:
             await self._verify_claim(lease, asked_s)
@@ -230,7 +230,7 @@
 
     async def _verify_claim(self, lease: int, asked_s: float) -> None:
         """Read the owner's key to find out whether a claim without an answer succeeded."""
-        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_s)
+        item = await self._store.get(OWNER_KEY, timeout_s=self._timing.call_timeout_s)
         if item is not None and decode(item.value, Member, 'member') == self._member:
             self._become_owner(lease, item.revision, asked_s)
 
@@ -243,7 +243,7 @@
         """Wait until the owner's key changes or is removed, or its history is gone."""
         revision = item.read_at
         while not self.is_owner:
-            page = await watch_once(self._store, self._timing, OWNER_KEY, revision)
+            page = await watch_prefix(self._store, self._timing, OWNER_KEY, revision)
             if page is None:
                 await anyio.sleep(self._timing.retry_pause_s())
                 return
--- a/packages/node/dahliaarch_node/peers/core.py
+++ b/packages/node/dahliaarch_node/peers/core.py
@@ -104,11 +104,11 @@
                 link.reconnect(time.monotonic())
             raise PeerSilentError(f'{address}: no reply to {type(message).__name__}') from None
 
-    def tell(self, address: Address, message: Message) -> None:
+    def send(self, address: Address, message: Message) -> None:
         """Send a message without a reply; it may be lost."""
         self._link(address).send(0, message)
 
-    def forget(self, address: Address) -> None:
+    def disconnect(self, address: Address) -> None:
         """Close the socket to a peer."""
         link = self._link_by_address.pop(address, None)
         if link is not None:
--- a/packages/node/dahliaarch_node/records/__init__.py
+++ b/packages/node/dahliaarch_node/records/__init__.py
@@ -1,13 +1,12 @@
 """Keys and values that instances write to the store."""
 
 from .core import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
-    assignments_part,
     ASSIGNMENTS_PREFIX,
     cancel_key,
     CANCEL_SUFFIX,
-    job_id_of,
+    job_id_from_key,
     job_key,
     JobRecord,
     JOBS_PREFIX,
@@ -15,6 +14,7 @@
     member_key,
     MEMBERS_PREFIX,
     OWNER_KEY,
+    parse_assignments_key,
     progress_key,
     PROGRESS_PREFIX,
     roster_key,
@@ -23,23 +23,23 @@
 )
 
 __all__ = (
-    'ASSIGNER_KEY',
+    'ASSIGNMENTS_EPOCH_KEY',
     'ASSIGNMENTS_PREFIX',
     'CANCEL_SUFFIX',
     'JOBS_PREFIX',
-    'JobRecord',
     'MEMBERS_PREFIX',
-    'Member',
     'OWNER_KEY',
     'PROGRESS_PREFIX',
     'ROSTER_PREFIX',
+    'JobRecord',
+    'Member',
     'RosterEntry',
     'assignments_key',
-    'assignments_part',
     'cancel_key',
-    'job_id_of',
+    'job_id_from_key',
     'job_key',
     'member_key',
+    'parse_assignments_key',
     'progress_key',
     'roster_key',
 )
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -7,7 +7,7 @@
 from dahliaarch_platform.store import STORE_FAILURES, StoreClient
 
 from .configuration import ConfigurationFollower
-from .front.acceptance import Fate, keep_cancellation, keep_job, WriteOutcome
+from .front.acceptance import write_cancellation, write_job, WriteOutcome, WriteStatus
 from .logs import log_event
 from .membership import Membership
 from .owner import PoolOwner
@@ -94,7 +94,7 @@
 
     @_reply.register
     async def _(self, message: AskConfiguration) -> Message | None:
-        return self._follower.updates.part(message, self._follower.current, self._follower.revision)
+        return self._follower.updates.build_part(message, self._follower.current, self._follower.revision)
 
     @_reply.register
     async def _(self, message: AskState) -> Message | None:
@@ -117,8 +117,8 @@
 
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
-        outcome = await keep_job(self._store, message.job_id, message.record, _WRITE_TIMEOUT_S)
-        if outcome.fate is Fate.KEPT and outcome.revision:
+        outcome = await write_job(self._store, message.job_id, message.record, _WRITE_TIMEOUT_S)
+        if outcome.status is WriteStatus.KEPT and outcome.revision:
             self._forward_to_owner(message.job_id, message.record, outcome.revision, is_cancel=False)
         return _acceptance_reply(outcome)
 
@@ -131,8 +131,8 @@
                 return Accepted(is_done=False, is_certain=True, is_missing=True)
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
-        outcome = await keep_cancellation(self._store, message.job_id, _WRITE_TIMEOUT_S)
-        if outcome.fate is Fate.KEPT:
+        outcome = await write_cancellation(self._store, message.job_id, _WRITE_TIMEOUT_S)
+        if outcome.status is WriteStatus.KEPT:
             self._forward_to_owner(message.job_id, b'', outcome.revision, is_cancel=True)
         return _acceptance_reply(outcome)
 
@@ -163,4 +163,4 @@
 
 
 def _acceptance_reply(outcome: WriteOutcome) -> Accepted:
-    return Accepted(outcome.fate is Fate.KEPT, outcome.fate is Fate.NOT_KEPT)
+    return Accepted(outcome.status is WriteStatus.KEPT, outcome.status is WriteStatus.NOT_KEPT)
--- a/packages/node/dahliaarch_node/watching.py
+++ b/packages/node/dahliaarch_node/watching.py
@@ -17,17 +17,17 @@
     ----------
     page : Page
         The items, and the revision to continue the watch from.
-    is_whole : bool
+    is_snapshot : bool
         Whether the page holds all items rather than only the changed ones.
     """
 
     page: Page
-    is_whole: bool
+    is_snapshot: bool
 
 
-async def watch_once(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
+async def watch_prefix(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Page | None:
     """Wait for updates after a revision; return None if the store no longer has that history."""
-    return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_s)
+    return await store.watch(prefix, after, wait_s=timing.watch_wait_s, timeout_s=timing.watch_timeout_s)
 
 
 async def next_updates(store: StoreClient, timing: StoreTiming, prefix: str, after: int) -> Updates:
@@ -36,15 +36,15 @@
     Repeating the watch from the same revision would only return a larger answer.
     """
     try:
-        page = await watch_once(store, timing, prefix, after)
+        page = await watch_prefix(store, timing, prefix, after)
     except StoreReplyTooLargeError as error:
         log_event('updates_too_large', prefix=prefix, revision=after, why=str(error))
     else:
         if page is not None:
-            return Updates(page, is_whole=False)
+            return Updates(page, is_snapshot=False)
         log_event('history_gone', prefix=prefix, revision=after)
     await anyio.sleep(timing.retry_pause_s())
-    return Updates(await read_all(store, timing, prefix), is_whole=True)
+    return Updates(await read_all(store, timing, prefix), is_snapshot=True)
 
 
 async def read_all(store: StoreClient, timing: StoreTiming, prefix: str) -> Page:
@@ -66,7 +66,7 @@
 async def _read_page(store: StoreClient, timing: StoreTiming, prefix: str, after: str) -> Page:
     while True:
         try:
-            return await store.read_page(prefix, after, timeout_s=timing.call_s)
+            return await store.read_page(prefix, after, timeout_s=timing.call_timeout_s)
         except STORE_FAILURES as error:
             log_event('page_unreachable', prefix=prefix, after=after, why=str(error))
             await anyio.sleep(timing.retry_pause_s())
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -197,7 +197,7 @@
 
     async def scenario(pair, tasks):
         pair.configure(1, 40 if after_s else ROUTES * 3)
-        await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_s=1.4))
+        await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_timeout_s=1.4))
         if after_s:
             await pair.slow.wait_for(1, within_s=5)
             await anyio.sleep(after_s)
@@ -241,7 +241,7 @@
 def test_an_instance_that_the_store_turns_away_follows_its_peers():
     async def scenario(pair, tasks):
         pair.configure(1, ROUTES * 3)
-        await pair.start(tasks, TIMING._replace(call_s=0.2))
+        await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.near_store.drops_all = True
         pair.own(tasks)
         assert await pair.slow.wait_for(1, within_s=20) < IN_FORCE_S
