--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -1,14 +1,13 @@
-"""An owner on a slow link keeps what has grown: a job of many tasks, and the list of its workers.
+"""The owner persists large values over a slow link: the progress of a job of many tasks, and the list of its workers.
 
-What happens: nothing is kept any more, so that no end is acknowledged or shown, and the link to the store is full.
+Guards against a write that never completes, so that no run's end is acknowledged or shown and the link to the store is
+saturated. The timeout of a write started with its first byte and did not depend on its size. A link of 5 Mbit/s
+transfers the progress of 20,000 tasks (533 KB as sent) in 0.9 s, but the timeout was 0.6 s; a link of 1 Mbit/s
+transfers the list of 1,400 workers (196 KB) in 1.6 s. Each write was abandoned before it was sent completely and was
+retried from its first byte, without end.
 
-The sequence: the wait for the answer to a write began with its first byte. A link of 5 Mbit/s carries the progress of
-20,000 tasks (533 KB as it is sent) in 0.9 s, and 0.6 s were waited; one of 1 Mbit/s carries the list of 1,400 workers
-(196 KB) in 1.6 s. So the write was given up before all of it was sent, and sent again from its first byte, for ever.
-
-The list was written whole each time that one worker came, left or drained: ten changes a second were 2 MB/s.
-
-The cause: a wait that knows nothing of the size of what is sent, and a thing that grows sent again at each change.
+Also guards against rewriting the whole list whenever one worker is added, removed or starts to drain: ten changes a
+second caused 2 MB/s of writes.
 """
 
 import anyio
@@ -33,7 +32,7 @@
 JOB = 'a' * 16
 TASKS = 20_000
 WORKERS = 1_400
-# Until what is kept is acknowledged, in seconds.
+# Timeout for a flush to be acknowledged by the store, in seconds.
 KEPT_S = 10.0
 
 
@@ -45,7 +44,7 @@
 
 
 class Writer:
-    """A recorder, and the link that its writes go over."""
+    """Runs a recorder whose writes to the store pass through a link of limited bandwidth."""
 
     def __init__(self, bytes_per_s):
         self.link = SlowLink(bytes_per_s)
