--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -1,13 +1,11 @@
-"""Thousands of workers write their entries, and one of them says that it leaves.
+"""The owner notices a draining worker promptly while thousands of workers update their entries.
 
-What happened: a worker's word that it leaves came to the owner more than 5 s after the store had acknowledged it, and
-tasks were started there meanwhile, which died with it.
+Guards against starting tasks on a worker that is about to leave: the owner learnt that a worker was draining more than
+5 s after the store had acknowledged the update, and tasks that it started there meanwhile were lost with the worker.
 
-The sequence: each worker writes its entry every 1.5 s. The owner paused 0.4 s after each answer of its watch, and the
-store puts 500 updates into one answer. From about 1,000 updates a second on the answers were always full, and what the
-owner knew of its workers grew older by the second, until the store had forgotten what came next.
-
-The cause: a pause that knows nothing of how much waits.
+Each worker writes its entry every 1.5 s. The owner paused for 0.4 s after each answer to its watch, however many
+updates were pending, and the store returns at most 500 updates per answer. Above about 1,000 updates a second every
+answer was full and the owner fell further behind, until the store had discarded the updates that came next.
 """
 
 import anyio
@@ -23,11 +21,11 @@
 
 WORKERS = 3_600
 HEARTBEAT_S = 1.5
-# Writes of entries come together this often.
+# Interval between batches of entry writes, in seconds.
 WRITE_EVERY_S = 0.05
-# The owner follows for this long before a worker leaves.
+# How long the owner watches the entries before a worker starts to drain, in seconds.
 BEFORE_S = 4.0
-# A leaving worker must get nothing new after 2 s: half of that is left to decisions.
+# A draining worker must receive no new tasks after 2 s; half of that is reserved for scheduling decisions.
 CONTACTED_S = 1.0
 
 
@@ -48,7 +46,7 @@
 
 
 async def keep_writing(store):
-    """Write each entry once in a heartbeat."""
+    """Write each entry except that of `w0` once per heartbeat interval, in batches."""
     seq = 0
     while True:
         for _ in range(int(WORKERS * WRITE_EVERY_S / HEARTBEAT_S)):
