--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good while new ones work."""
+"""Established connections that stop carrying data without being closed, while new connections work."""
 
 import anyio
 import pytest
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize('is_one_way', [False, True])
 def test_keep_alive_probes_show_a_connection_that_falls_silent_while_an_answer_is_awaited(is_one_way):
     async def scenario():
-        # The connections are cut once the request is there: one that is not open yet can't fall silent.
+        # The connection is silenced once the request has arrived: one that is not established yet can't be.
         received = anyio.Event()
 
         async def wait_long(request):
@@ -139,12 +139,12 @@
 
 
 def test_a_watch_that_a_silent_store_received_is_given_up_when_the_store_is_back():
-    """What happened: for up to 7 s after an outage no instance learnt of a new configuration.
+    """Guards against instances that receive no new configuration for up to 7 s after an outage of the store.
 
-    The sequence: the store fell silent, each instance's next watch was received and never answered, the store came
-    back, versions were written, and each instance waited for the answer to that watch until its 7 s were over. The
-    connection itself was sound, so that keep-alive probes showed nothing. What settled it: `configuration_unreachable
-    ... kv-watch ... no answer in 7.00 s` on all instances at once, 4 s after `store_regained`. Found by the soak,
+    During the outage the store received each instance's next watch and never answered it. After the store had
+    recovered and new versions were written, each instance still waited for that watch until its timeout of 7 s. The
+    connection itself was intact, so keep-alive probes detected nothing. The symptom is `configuration_unreachable ...
+    kv-watch ... no answer in 7.00 s` on all instances at once, 4 s after `store_regained`. Found by the soak test,
     seeds 2001, 2007 and 2012.
     """
 
@@ -171,7 +171,7 @@
 
 
 def test_an_answer_that_has_begun_is_not_given_up_when_the_store_is_back():
-    """Over a slow link another call may be late while a large answer comes."""
+    """On a slow link another call may time out while a large answer is being received."""
 
     async def scenario():
         store = StoreStandIn()
