--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -1,18 +1,18 @@
-"""An instance on a slow link follows a configuration that has grown large.
+"""An instance on a slow link receives each version of a configuration that has grown large.
 
-What happened: instances on links of 5 Mbit/s answered 404 for routes of a version that had been acknowledged
-seconds before, and never got that version at all. The configuration had grown to 839 KB in three steps.
+Guards against instances on links of 5 Mbit/s that answered 404 for routes of a version acknowledged seconds before,
+and never received that version. The configuration had grown to 839 KB in three steps.
 
-The sequence: the owner's heartbeat carried the whole configuration to each instance that seemed to be behind. On a slow
-link that took longer than the 0.6 s for which the owner waited, so the owner went on to believe that the instance was
-behind and sent the document again with each heartbeat, also after it had arrived. From then on the heartbeats filled
-the link: every slow instance received 400 to 640 KB/s without a pause, while no version changed. When the next version
-came, the watch got no answer in its 7 s, and each read after it was given up after 1.00 s, with a part of the answer
-received, and began at the first byte again.
+The owner's heartbeat carried the whole configuration to each instance that appeared to be outdated. On a slow link the
+transfer took longer than the heartbeat timeout of 0.6 s, so the owner still considered the instance outdated and sent
+the document again with each heartbeat, even after it had arrived. These heartbeats saturated the link: every slow
+instance received 400 to 640 KB/s continuously while no version changed. When the next version was written, the watch
+got no answer within its 7 s, and each read after it was abandoned after 1.00 s, with the answer partly received, and
+restarted from the first byte.
 
-The cause: bounded waits that know nothing of the size of what is awaited, and retries that begin anew. What settled
-it: `configuration_unreachable ... no answer in 1.00 s` each 1.2 s without an end on instances whose processors were
-idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
+The cause was timeouts that do not depend on the size of the answer, combined with retries from the first byte. The
+symptoms are `configuration_unreachable ... no answer in 1.00 s` every 1.2 s without end on instances whose processors
+are idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
 """
 
 import time
@@ -40,16 +40,16 @@
 LOOPBACK = '127.0.0.1'
 # A link of 5 Mbit/s.
 SLOW_BYTES_PER_S = 600_000
-# Routes that make a document of 290 KB; it may grow to a megabyte.
+# Number of routes in a document of 290 KB; a configuration may grow to 1 MB.
 ROUTES = 1_400
-# Until a configuration has to be in force on such instances, in seconds.
+# Deadline for a configuration to be in force on an instance with a slow link, in seconds.
 IN_FORCE_S = 3.0
 EPOCH = 1
 TIMING = StoreTiming()
 
 
 def document(version, routes):
-    """Return a configuration of about 205 bytes a route."""
+    """Return an encoded configuration of about 205 bytes per route."""
     rows = [
         {
             'Name': f'r-{number:07d}',
@@ -69,7 +69,7 @@
 
 
 class Node:
-    """What follows the configuration on one instance."""
+    """The parts of an instance that receive and forward the configuration."""
 
     def __init__(self, name, store_address, timing=TIMING):
         port = free_ports(1)[0]
@@ -100,7 +100,7 @@
         tasks.start_soon(self._peer_feed.run)
 
     async def wait_for(self, version, within_s):
-        """Return how long it takes until a version is in force."""
+        """Wait until a version or a newer one is in force, and return how long that took, in seconds."""
         begun_s = time.monotonic()
         with anyio.fail_after(within_s):
             while self.follower.version < version:
@@ -109,7 +109,7 @@
 
 
 class Pair:
-    """An owner on a fast link, and an instance on a slow one that all its bytes come over."""
+    """An owner on a fast link, and an instance that receives all its traffic over a slow one."""
 
     def __init__(self):
         self.store = StoreStandIn()
@@ -127,13 +127,13 @@
         self.slow.run(tasks)
 
     async def _connect(self, tasks):
-        """Let each reach the other through the slow link only."""
+        """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
         to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
         to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
         self.slow_seen = self._seen(self.slow, await to_slow.listen(tasks))
         self.fast_seen = self._seen(self.fast, await to_fast.listen(tasks))
         self.fast.membership.add(self.slow_seen)
-        # The owner tells where it is reached.
+        # The heartbeats of the owner carry the address of its proxy.
         self.fast.membership._member = self.fast_seen
 
     def address(self, node):
@@ -185,7 +185,7 @@
         await anyio.sleep(2)
         before = pair.link.carried_bytes
         await anyio.sleep(2)
-        # Heartbeats, and the watches that end.
+        # Heartbeats and the answers to expired watches remain.
         assert pair.link.carried_bytes - before < 20_000
 
     play(scenario)
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize('after_s', [0.0, 0.9])
 def test_a_large_configuration_is_read_over_a_slow_link_from_the_store_alone(after_s):
-    """Read at the start, or brought by a watch that is about to end: its bytes take 1.9 s."""
+    """Read at startup, or delivered by a watch that is about to time out: the transfer takes 1.9 s."""
 
     async def scenario(pair, tasks):
         pair.configure(1, 40 if after_s else ROUTES * 3)
@@ -209,14 +209,14 @@
 
 
 def test_of_several_versions_that_were_missed_only_the_newest_is_read():
-    """A watch would bring all of them at once: four megabytes, which the link needs 7 s for."""
+    """A watch would return all of them at once: 4 MB, which take 7 s on this link."""
 
     async def scenario(pair, tasks):
         pair.configure(1, ROUTES * 3)
         await pair.start(tasks)
         await pair.slow.wait_for(1, within_s=8)
         await anyio.sleep(0.2)
-        # All are written before the watch that waits is answered.
+        # All versions are written before the pending watch is answered.
         for version in (2, 3, 4, 5):
             pair.configure(version, ROUTES * 3)
         assert await pair.slow.wait_for(5, within_s=20) < IN_FORCE_S
