--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -43,7 +43,7 @@
     return RosterEntry(profile, Address('10.0.0.1', 8_000))
 
 
-class Writer:
+class RecorderHarness:
     """Runs a recorder whose writes to the store pass through a link of limited bandwidth."""
 
     def __init__(self, bytes_per_s):
@@ -91,7 +91,7 @@
 def play(bytes_per_s, scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
-            writer = Writer(bytes_per_s)
+            writer = RecorderHarness(bytes_per_s)
             await writer.start(tasks)
             await scenario(writer, tasks)
             tasks.cancel_scope.cancel()
