--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -88,7 +88,7 @@
         self.rounds += 1
 
 
-def play(bytes_per_s, scenario):
+def run_scenario(bytes_per_s, scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
             writer = RecorderHarness(bytes_per_s)
@@ -108,7 +108,7 @@
             writer.scheduler.run_ended(stopped, Moment(1.0, 1.0))
         await writer.keep()
 
-    play(600_000, scenario)
+    run_scenario(600_000, scenario)
 
 
 def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
@@ -117,7 +117,7 @@
         await writer.keep()
         assert len(await writer.kept_workers()) == WORKERS
 
-    play(125_000, scenario)
+    run_scenario(125_000, scenario)
 
 
 def test_a_worker_that_changes_is_kept_without_all_the_others():
@@ -131,7 +131,7 @@
         kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.kept_workers()}
         assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
 
-    play(10_000_000, scenario)
+    run_scenario(10_000_000, scenario)
 
 
 def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
@@ -144,4 +144,4 @@
         await writer.keep()
         assert await writer.kept_workers() == (worker(0),)
 
-    play(10_000_000, scenario)
+    run_scenario(10_000_000, scenario)
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -149,7 +149,7 @@
         self.store.put(CONFIGURATION_KEY, document(version, routes))
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
             pair = Pair()
@@ -171,7 +171,7 @@
             took_s = await pair.slow.wait_for(step + 1, within_s=20)
             assert took_s < IN_FORCE_S, f'{ROUTES * step} routes took {took_s:.2f} s'
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_link_is_quiet_once_a_configuration_is_in_force():
@@ -188,7 +188,7 @@
         # Heartbeats and the answers to expired watches remain.
         assert pair.link.carried_bytes - before < 20_000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('after_s', [0.0, 0.9])
@@ -205,7 +205,7 @@
         took_s = await pair.slow.wait_for(2 if after_s else 1, within_s=8)
         assert took_s < IN_FORCE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_of_several_versions_that_were_missed_only_the_newest_is_read():
@@ -221,7 +221,7 @@
             pair.configure(version, ROUTES * 3)
         assert await pair.slow.wait_for(5, within_s=20) < IN_FORCE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_slow_instance_follows_changes_in_quick_succession():
@@ -235,7 +235,7 @@
             await anyio.sleep(0.3)
         assert await pair.slow.wait_for(11, within_s=20) < IN_FORCE_S - 0.3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_instance_that_the_store_turns_away_follows_its_peers():
@@ -248,7 +248,7 @@
         pair.configure(2, ROUTES * 4)
         assert await pair.slow.wait_for(2, within_s=20) < IN_FORCE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_owner_that_the_store_turns_away_follows_its_peers():
@@ -262,4 +262,4 @@
         pair.configure(2, ROUTES)
         assert await pair.fast.wait_for(2, within_s=20) < IN_FORCE_S
 
-    play(scenario)
+    run_scenario(scenario)
