--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -74,7 +74,7 @@
         )
         tasks.start_soon(self.recorder.run)
 
-    async def keep(self):
+    async def flush_and_wait(self):
         before = self.rounds
         self.recorder.flush_requested.set()
         with anyio.fail_after(KEPT_S):
@@ -106,7 +106,7 @@
         for index in range(TASKS):
             stopped = RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.STOPPED, f'{index:016x}')
             writer.scheduler.run_ended(stopped, Moment(1.0, 1.0))
-        await writer.keep()
+        await writer.flush_and_wait()
 
     run_scenario(600_000, scenario)
 
@@ -114,7 +114,7 @@
 def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
     async def scenario(writer, tasks):
         writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
+        await writer.flush_and_wait()
         assert len(await writer.kept_workers()) == WORKERS
 
     run_scenario(125_000, scenario)
@@ -123,10 +123,10 @@
 def test_a_worker_that_changes_is_kept_without_all_the_others():
     async def scenario(writer, tasks):
         writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
+        await writer.flush_and_wait()
         before = writer.link.carried_bytes
         writer.recorder.roster = [worker(number, draining=number == 700) for number in range(WORKERS)]
-        await writer.keep()
+        await writer.flush_and_wait()
         assert writer.link.carried_bytes - before < 20_000
         kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.kept_workers()}
         assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
@@ -137,11 +137,11 @@
 def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
     async def scenario(writer, tasks):
         writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
+        await writer.flush_and_wait()
         writer.take_over(tasks)
         writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
         writer.recorder.roster = [worker(0)]
-        await writer.keep()
+        await writer.flush_and_wait()
         assert await writer.kept_workers() == (worker(0),)
 
     run_scenario(10_000_000, scenario)
