--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -49,7 +49,7 @@
     def __init__(self, bytes_per_s):
         self.link = SlowLink(bytes_per_s)
         self.scheduler = None
-        self.rounds = 0
+        self.flush_count = 0
         self._store = StoreStandIn()
 
     async def start(self, tasks):
@@ -75,17 +75,17 @@
         tasks.start_soon(self.recorder.run)
 
     async def flush_and_wait(self):
-        before = self.rounds
+        before = self.flush_count
         self.recorder.flush_requested.set()
         with anyio.fail_after(KEPT_S):
-            while self.rounds == before:
+            while self.flush_count == before:
                 await anyio.sleep(0.02)
 
     async def kept_workers(self):
         return (await read_workers(self.client, TIMING)).roster
 
     def _note(self, processed_ends):
-        self.rounds += 1
+        self.flush_count += 1
 
 
 def run_scenario(bytes_per_s, scenario):
