--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -33,7 +33,7 @@
 TASKS = 20_000
 WORKERS = 1_400
 # Timeout for a flush to be acknowledged by the store, in seconds.
-KEPT_S = 10.0
+FLUSH_TIMEOUT_S = 10.0
 
 
 def worker(number, *, draining=False):
@@ -77,7 +77,7 @@
     async def flush_and_wait(self):
         before = self.flush_count
         self.recorder.flush_requested.set()
-        with anyio.fail_after(KEPT_S):
+        with anyio.fail_after(FLUSH_TIMEOUT_S):
             while self.flush_count == before:
                 await anyio.sleep(0.02)
 
