--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -81,7 +81,7 @@
             while self.flush_count == before:
                 await anyio.sleep(0.02)
 
-    async def kept_workers(self):
+    async def persisted_workers(self):
         return (await read_workers(self.client, TIMING)).roster
 
     def _note(self, processed_ends):
@@ -115,7 +115,7 @@
     async def scenario(writer, tasks):
         writer.recorder.roster = [worker(number) for number in range(WORKERS)]
         await writer.flush_and_wait()
-        assert len(await writer.kept_workers()) == WORKERS
+        assert len(await writer.persisted_workers()) == WORKERS
 
     run_scenario(125_000, scenario)
 
@@ -128,7 +128,7 @@
         writer.recorder.roster = [worker(number, draining=number == 700) for number in range(WORKERS)]
         await writer.flush_and_wait()
         assert writer.link.carried_bytes - before < 20_000
-        kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.kept_workers()}
+        kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.persisted_workers()}
         assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
 
     run_scenario(10_000_000, scenario)
@@ -142,6 +142,6 @@
         writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
         writer.recorder.roster = [worker(0)]
         await writer.flush_and_wait()
-        assert await writer.kept_workers() == (worker(0),)
+        assert await writer.persisted_workers() == (worker(0),)
 
     run_scenario(10_000_000, scenario)
