--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -68,7 +68,7 @@
             self._epoch,
             held_starts=HeldStarts(lambda held: None),
             processed_ends=dict,
-            on_persisted=self._note,
+            on_persisted=self._count_flush,
             on_end_persisted=lambda job_id: None,
             on_deposed=lambda: None,
         )
@@ -84,7 +84,7 @@
     async def persisted_workers(self):
         return (await read_workers(self.client, TIMING)).roster
 
-    def _note(self, processed_ends):
+    def _count_flush(self, processed_ends):
         self.flush_count += 1
 
 
