--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -57,9 +57,9 @@
         self._epoch = self._store.put(OWNER_KEY, encode(Member('i', 'n', 'h', 1)))
         proxy = FaultProxy(address, requests_over=self.link)
         self.client = StoreClient(StoreSettings(await proxy.listen(tasks)), HttpClient(), lambda *_: None)
-        self.take_over(tasks)
+        self.start_recorder(tasks)
 
-    def take_over(self, tasks):
+    def start_recorder(self, tasks):
         self.scheduler = Scheduler(SchedulerSettings(), self._epoch)
         self.recorder = Recorder(
             self.client,
@@ -138,7 +138,7 @@
     async def scenario(writer, tasks):
         writer.recorder.roster = [worker(number) for number in range(WORKERS)]
         await writer.flush_and_wait()
-        writer.take_over(tasks)
+        writer.start_recorder(tasks)
         writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
         writer.recorder.roster = [worker(0)]
         await writer.flush_and_wait()
