--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -36,7 +36,7 @@
 FLUSH_TIMEOUT_S = 10.0
 
 
-def worker(number, *, draining=False):
+def roster_entry(number, *, draining=False):
     capacity = Resources(128_000, 262_144, 8)
     labels = ('large-accelerated', f'northern-hall-r{number // 12}')
     profile = WorkerProfile(f'{number:016x}', 'pricing', 'northern-hall', capacity, labels, draining)
@@ -113,7 +113,7 @@
 
 def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
         await writer.flush_and_wait()
         assert len(await writer.persisted_workers()) == WORKERS
 
@@ -122,10 +122,10 @@
 
 def test_a_worker_that_changes_is_kept_without_all_the_others():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
         await writer.flush_and_wait()
         before = writer.link.carried_bytes
-        writer.recorder.roster = [worker(number, draining=number == 700) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKERS)]
         await writer.flush_and_wait()
         assert writer.link.carried_bytes - before < 20_000
         kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.persisted_workers()}
@@ -136,12 +136,12 @@
 
 def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
         await writer.flush_and_wait()
         writer.start_recorder(tasks)
         writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
-        writer.recorder.roster = [worker(0)]
+        writer.recorder.roster = [roster_entry(0)]
         await writer.flush_and_wait()
-        assert await writer.persisted_workers() == (worker(0),)
+        assert await writer.persisted_workers() == (roster_entry(0),)
 
     run_scenario(10_000_000, scenario)
