--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -30,7 +30,7 @@
 
 TIMING = StoreTiming()
 JOB = 'a' * 16
-TASKS = 20_000
+TASK_COUNT = 20_000
 WORKERS = 1_400
 # Timeout for a flush to be acknowledged by the store, in seconds.
 FLUSH_TIMEOUT_S = 10.0
@@ -101,9 +101,9 @@
 
 def test_the_progress_of_a_job_of_many_tasks_is_kept_over_a_link_of_5_mbit_s():
     async def scenario(writer, tasks):
-        spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASKS, Resources(1, 1, 1)),))
+        spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASK_COUNT, Resources(1, 1, 1)),))
         writer.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
-        for index in range(TASKS):
+        for index in range(TASK_COUNT):
             stopped = RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.STOPPED, f'{index:016x}')
             writer.scheduler.run_ended(stopped, Moment(1.0, 1.0))
         await writer.flush_and_wait()
