--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -31,7 +31,7 @@
 TIMING = StoreTiming()
 JOB = 'a' * 16
 TASK_COUNT = 20_000
-WORKERS = 1_400
+WORKER_COUNT = 1_400
 # Timeout for a flush to be acknowledged by the store, in seconds.
 FLUSH_TIMEOUT_S = 10.0
 
@@ -113,19 +113,19 @@
 
 def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await writer.flush_and_wait()
-        assert len(await writer.persisted_workers()) == WORKERS
+        assert len(await writer.persisted_workers()) == WORKER_COUNT
 
     run_scenario(125_000, scenario)
 
 
 def test_a_worker_that_changes_is_kept_without_all_the_others():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await writer.flush_and_wait()
         before = writer.link.carried_bytes
-        writer.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
         await writer.flush_and_wait()
         assert writer.link.carried_bytes - before < 20_000
         kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.persisted_workers()}
@@ -136,7 +136,7 @@
 
 def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
     async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKERS)]
+        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await writer.flush_and_wait()
         writer.start_recorder(tasks)
         writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -19,7 +19,7 @@
 from dahliaarch_platform.store import StoreClient, WORKERS_PREFIX
 from dahliaarch_standins.platform import StoreStandIn
 
-WORKERS = 3_600
+WORKER_COUNT = 3_600
 HEARTBEAT_S = 1.5
 # Interval between batches of entry writes, in seconds.
 WRITE_EVERY_S = 0.05
@@ -49,9 +49,9 @@
     """Write each entry except that of `w0` once per heartbeat interval, in batches."""
     seq = 0
     while True:
-        for _ in range(int(WORKERS * WRITE_EVERY_S / HEARTBEAT_S)):
+        for _ in range(int(WORKER_COUNT * WRITE_EVERY_S / HEARTBEAT_S)):
             seq += 1
-            number = seq % WORKERS
+            number = seq % WORKER_COUNT
             if number:
                 store.put(f'{WORKERS_PREFIX}w{number}', entry('ready', seq))
         await anyio.sleep(WRITE_EVERY_S)
