--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -91,57 +91,57 @@
 def run_scenario(bytes_per_s, scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
-            writer = RecorderHarness(bytes_per_s)
-            await writer.start(tasks)
-            await scenario(writer, tasks)
+            harness = RecorderHarness(bytes_per_s)
+            await harness.start(tasks)
+            await scenario(harness, tasks)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
 def test_the_progress_of_a_job_of_many_tasks_is_kept_over_a_link_of_5_mbit_s():
-    async def scenario(writer, tasks):
+    async def scenario(harness, tasks):
         spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASK_COUNT, Resources(1, 1, 1)),))
-        writer.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
+        harness.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
         for index in range(TASK_COUNT):
             stopped = RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.STOPPED, f'{index:016x}')
-            writer.scheduler.run_ended(stopped, Moment(1.0, 1.0))
-        await writer.flush_and_wait()
+            harness.scheduler.run_ended(stopped, Moment(1.0, 1.0))
+        await harness.flush_and_wait()
 
     run_scenario(600_000, scenario)
 
 
 def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
-        await writer.flush_and_wait()
-        assert len(await writer.persisted_workers()) == WORKER_COUNT
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        assert len(await harness.persisted_workers()) == WORKER_COUNT
 
     run_scenario(125_000, scenario)
 
 
 def test_a_worker_that_changes_is_kept_without_all_the_others():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
-        await writer.flush_and_wait()
-        before = writer.link.carried_bytes
-        writer.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
-        await writer.flush_and_wait()
-        assert writer.link.carried_bytes - before < 20_000
-        kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.persisted_workers()}
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        before = harness.link.carried_bytes
+        harness.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        assert harness.link.carried_bytes - before < 20_000
+        kept = {entry.profile.worker_id: entry.profile.draining for entry in await harness.persisted_workers()}
         assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
 
     run_scenario(10_000_000, scenario)
 
 
 def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
-        await writer.flush_and_wait()
-        writer.start_recorder(tasks)
-        writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
-        writer.recorder.roster = [roster_entry(0)]
-        await writer.flush_and_wait()
-        assert await writer.persisted_workers() == (roster_entry(0),)
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        harness.start_recorder(tasks)
+        harness.recorder.revision_by_key = (await read_workers(harness.client, TIMING)).revision_by_key
+        harness.recorder.roster = [roster_entry(0)]
+        await harness.flush_and_wait()
+        assert await harness.persisted_workers() == (roster_entry(0),)
 
     run_scenario(10_000_000, scenario)
