--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -128,8 +128,10 @@
         harness.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
         assert harness.link.carried_bytes - before < 20_000
-        kept = {entry.profile.worker_id: entry.profile.draining for entry in await harness.persisted_workers()}
-        assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
+        draining_by_worker = {
+            entry.profile.worker_id: entry.profile.draining for entry in await harness.persisted_workers()
+        }
+        assert [worker_id for worker_id, draining in draining_by_worker.items() if draining] == [f'{700:016x}']
 
     run_scenario(10_000_000, scenario)
 
