--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -99,7 +99,7 @@
     anyio.run(run)
 
 
-def test_the_progress_of_a_job_of_many_tasks_is_kept_over_a_link_of_5_mbit_s():
+def test_the_progress_of_a_job_of_many_tasks_is_persisted_over_a_link_of_5_mbit_s():
     async def scenario(harness, tasks):
         spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASK_COUNT, Resources(1, 1, 1)),))
         harness.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
