--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -111,7 +111,7 @@
     run_scenario(600_000, scenario)
 
 
-def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
+def test_the_list_of_1400_workers_is_persisted_over_a_link_of_1_mbit_s():
     async def scenario(harness, tasks):
         harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
