--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -120,7 +120,7 @@
     run_scenario(125_000, scenario)
 
 
-def test_a_worker_that_changes_is_kept_without_all_the_others():
+def test_a_changed_worker_is_persisted_without_the_unchanged_ones():
     async def scenario(harness, tasks):
         harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
