--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -136,7 +136,7 @@
     run_scenario(10_000_000, scenario)
 
 
-def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
+def test_workers_known_only_to_a_previous_owner_are_removed():
     async def scenario(harness, tasks):
         harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
