--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -29,7 +29,7 @@
 CONTACTED_S = 1.0
 
 
-def entry(state, seq):
+def encode_entry(state, seq):
     return msgspec.json.encode(
         {
             'Service': 'svc',
@@ -53,7 +53,7 @@
             seq += 1
             number = seq % WORKER_COUNT
             if number:
-                store.put(f'{WORKERS_PREFIX}w{number}', entry('ready', seq))
+                store.put(f'{WORKERS_PREFIX}w{number}', encode_entry('ready', seq))
         await anyio.sleep(WRITE_EVERY_S)
 
 
@@ -73,7 +73,7 @@
             tasks.start_soon(feed.run, 0)
             tasks.start_soon(keep_writing, store)
             await anyio.sleep(BEFORE_S)
-            store.put(f'{WORKERS_PREFIX}w0', entry('draining', 1))
+            store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
             with anyio.move_on_after(CONTACTED_S):
                 while not leaving:
                     await anyio.sleep(0.02)
