--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -45,7 +45,7 @@
     )
 
 
-async def keep_writing(store):
+async def write_entries(store):
     """Write each entry except that of `w0` once per heartbeat interval, in batches."""
     seq = 0
     while True:
@@ -71,7 +71,7 @@
         feed = WorkersFeed(FeedContext(client, StoreTiming(), post))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run, 0)
-            tasks.start_soon(keep_writing, store)
+            tasks.start_soon(write_entries, store)
             await anyio.sleep(BEFORE_S)
             store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
             with anyio.move_on_after(CONTACTED_S):
