--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -24,7 +24,7 @@
 # Interval between batches of entry writes, in seconds.
 WRITE_EVERY_S = 0.05
 # How long the owner watches the entries before a worker starts to drain, in seconds.
-BEFORE_S = 4.0
+WATCH_BEFORE_DRAIN_S = 4.0
 # A draining worker must receive no new tasks after 2 s; half of that is reserved for scheduling decisions.
 CONTACTED_S = 1.0
 
@@ -72,7 +72,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run, 0)
             tasks.start_soon(write_entries, store)
-            await anyio.sleep(BEFORE_S)
+            await anyio.sleep(WATCH_BEFORE_DRAIN_S)
             store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
             with anyio.move_on_after(CONTACTED_S):
                 while not leaving:
