--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -26,7 +26,7 @@
 # How long the owner watches the entries before a worker starts to drain, in seconds.
 WATCH_BEFORE_DRAIN_S = 4.0
 # A draining worker must receive no new tasks after 2 s; half of that is reserved for scheduling decisions.
-CONTACTED_S = 1.0
+NOTICE_TIMEOUT_S = 1.0
 
 
 def encode_entry(state, seq):
@@ -74,7 +74,7 @@
             tasks.start_soon(write_entries, store)
             await anyio.sleep(WATCH_BEFORE_DRAIN_S)
             store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
-            with anyio.move_on_after(CONTACTED_S):
+            with anyio.move_on_after(NOTICE_TIMEOUT_S):
                 while not leaving:
                     await anyio.sleep(0.02)
             tasks.cancel_scope.cancel()
