--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -22,7 +22,7 @@
 WORKER_COUNT = 3_600
 HEARTBEAT_S = 1.5
 # Interval between batches of entry writes, in seconds.
-WRITE_EVERY_S = 0.05
+WRITE_INTERVAL_S = 0.05
 # How long the owner watches the entries before a worker starts to drain, in seconds.
 WATCH_BEFORE_DRAIN_S = 4.0
 # A draining worker must receive no new tasks after 2 s; half of that is reserved for scheduling decisions.
@@ -49,12 +49,12 @@
     """Write each entry except that of `w0` once per heartbeat interval, in batches."""
     seq = 0
     while True:
-        for _ in range(int(WORKER_COUNT * WRITE_EVERY_S / HEARTBEAT_S)):
+        for _ in range(int(WORKER_COUNT * WRITE_INTERVAL_S / HEARTBEAT_S)):
             seq += 1
             number = seq % WORKER_COUNT
             if number:
                 store.put(f'{WORKERS_PREFIX}w{number}', encode_entry('ready', seq))
-        await anyio.sleep(WRITE_EVERY_S)
+        await anyio.sleep(WRITE_INTERVAL_S)
 
 
 def test_a_worker_that_leaves_is_noticed_however_many_others_write():
