--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -58,11 +58,11 @@
 
 
 def test_a_worker_that_leaves_is_noticed_however_many_others_write():
-    leaving = []
+    draining_ids = []
 
     def post(message):
         if isinstance(message, WorkerListed) and message.profile.draining:
-            leaving.append(message.profile.worker_id)
+            draining_ids.append(message.profile.worker_id)
 
     async def scenario():
         store = StoreStandIn()
@@ -75,10 +75,10 @@
             await anyio.sleep(WATCH_BEFORE_DRAIN_S)
             store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
             with anyio.move_on_after(NOTICE_TIMEOUT_S):
-                while not leaving:
+                while not draining_ids:
                     await anyio.sleep(0.02)
             tasks.cancel_scope.cancel()
         store.server.close()
 
     anyio.run(scenario)
-    assert leaving == ['w0']
+    assert draining_ids == ['w0']
