--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -57,7 +57,7 @@
         await anyio.sleep(WRITE_INTERVAL_S)
 
 
-def test_a_worker_that_leaves_is_noticed_however_many_others_write():
+def test_a_draining_worker_is_noticed_however_many_others_write():
     draining_ids = []
 
     def post(message):
