--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -68,7 +68,7 @@
     return msgspec.json.encode({'Version': version, 'Routes': rows, 'Services': [{'Name': 'svc'}], 'Tenants': []})
 
 
-class Node:
+class Instance:
     """The parts of an instance that receive and forward the configuration."""
 
     def __init__(self, name, store_address, timing=TIMING):
@@ -120,8 +120,8 @@
         tasks.start_soon(self.store.run)
         self.near_store = FaultProxy(store_address, answers_over=self.link)
         self.near_fast_store = FaultProxy(store_address)
-        self.fast = Node('fast', await self.near_fast_store.listen(tasks))
-        self.slow = Node('slow', await self.near_store.listen(tasks), timing)
+        self.fast = Instance('fast', await self.near_fast_store.listen(tasks))
+        self.slow = Instance('slow', await self.near_store.listen(tasks), timing)
         await self._connect(tasks)
         self.fast.run(tasks)
         self.slow.run(tasks)
