--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -108,7 +108,7 @@
         return time.monotonic() - begun_s
 
 
-class Pair:
+class InstancePair:
     """An owner on a fast link, and an instance that receives all its traffic over a slow one."""
 
     def __init__(self):
@@ -152,7 +152,7 @@
 def run_scenario(scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
-            pair = Pair()
+            pair = InstancePair()
             await scenario(pair, tasks)
             tasks.cancel_scope.cancel()
 
