--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -99,7 +99,7 @@
         tasks.start_soon(self._store_feed.run)
         tasks.start_soon(self._peer_feed.run)
 
-    async def wait_for(self, version, within_s):
+    async def wait_for_version(self, version, within_s):
         """Wait until a version or a newer one is in force, and return how long that took, in seconds."""
         begun_s = time.monotonic()
         with anyio.fail_after(within_s):
@@ -164,11 +164,11 @@
         pair.configure(1, 40)
         await pair.start(tasks)
         pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=5)
+        await pair.slow.wait_for_version(1, within_s=5)
         for step in (1, 2, 3):
             await anyio.sleep(2)
             pair.configure(step + 1, ROUTES * step)
-            took_s = await pair.slow.wait_for(step + 1, within_s=20)
+            took_s = await pair.slow.wait_for_version(step + 1, within_s=20)
             assert took_s < IN_FORCE_S, f'{ROUTES * step} routes took {took_s:.2f} s'
 
     run_scenario(scenario)
@@ -179,9 +179,9 @@
         pair.configure(1, 40)
         await pair.start(tasks)
         pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=5)
+        await pair.slow.wait_for_version(1, within_s=5)
         pair.configure(2, ROUTES * 2)
-        await pair.slow.wait_for(2, within_s=20)
+        await pair.slow.wait_for_version(2, within_s=20)
         await anyio.sleep(2)
         before = pair.link.carried_bytes
         await anyio.sleep(2)
@@ -199,10 +199,10 @@
         pair.configure(1, 40 if after_s else ROUTES * 3)
         await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_timeout_s=1.4))
         if after_s:
-            await pair.slow.wait_for(1, within_s=5)
+            await pair.slow.wait_for_version(1, within_s=5)
             await anyio.sleep(after_s)
             pair.configure(2, ROUTES * 3)
-        took_s = await pair.slow.wait_for(2 if after_s else 1, within_s=8)
+        took_s = await pair.slow.wait_for_version(2 if after_s else 1, within_s=8)
         assert took_s < IN_FORCE_S
 
     run_scenario(scenario)
@@ -214,12 +214,12 @@
     async def scenario(pair, tasks):
         pair.configure(1, ROUTES * 3)
         await pair.start(tasks)
-        await pair.slow.wait_for(1, within_s=8)
+        await pair.slow.wait_for_version(1, within_s=8)
         await anyio.sleep(0.2)
         # All versions are written before the pending watch is answered.
         for version in (2, 3, 4, 5):
             pair.configure(version, ROUTES * 3)
-        assert await pair.slow.wait_for(5, within_s=20) < IN_FORCE_S
+        assert await pair.slow.wait_for_version(5, within_s=20) < IN_FORCE_S
 
     run_scenario(scenario)
 
@@ -229,11 +229,11 @@
         pair.configure(1, ROUTES * 3)
         await pair.start(tasks)
         pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=8)
+        await pair.slow.wait_for_version(1, within_s=8)
         for version in range(2, 12):
             pair.configure(version, ROUTES * 3 + version)
             await anyio.sleep(0.3)
-        assert await pair.slow.wait_for(11, within_s=20) < IN_FORCE_S - 0.3
+        assert await pair.slow.wait_for_version(11, within_s=20) < IN_FORCE_S - 0.3
 
     run_scenario(scenario)
 
@@ -244,9 +244,9 @@
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.near_store.drops_all = True
         pair.own(tasks)
-        assert await pair.slow.wait_for(1, within_s=20) < IN_FORCE_S
+        assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_S
         pair.configure(2, ROUTES * 4)
-        assert await pair.slow.wait_for(2, within_s=20) < IN_FORCE_S
+        assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_S
 
     run_scenario(scenario)
 
@@ -256,10 +256,10 @@
         pair.configure(1, 40)
         await pair.start(tasks)
         pair.own(tasks)
-        await pair.fast.wait_for(1, within_s=5)
-        await pair.slow.wait_for(1, within_s=5)
+        await pair.fast.wait_for_version(1, within_s=5)
+        await pair.slow.wait_for_version(1, within_s=5)
         pair.near_fast_store.drops_all = True
         pair.configure(2, ROUTES)
-        assert await pair.fast.wait_for(2, within_s=20) < IN_FORCE_S
+        assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_S
 
     run_scenario(scenario)
