--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -48,7 +48,7 @@
 TIMING = StoreTiming()
 
 
-def document(version, routes):
+def encode_configuration(version, routes):
     """Return an encoded configuration of about 205 bytes per route."""
     rows = [
         {
@@ -146,7 +146,7 @@
         tasks.start_soon(self.fast.membership.send_heartbeats, EPOCH)
 
     def configure(self, version, routes):
-        self.store.put(CONFIGURATION_KEY, document(version, routes))
+        self.store.put(CONFIGURATION_KEY, encode_configuration(version, routes))
 
 
 def run_scenario(scenario):
