--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -142,7 +142,7 @@
     def _seen(self, node, address):
         return node.member._replace(host=address.host, port=address.port)
 
-    def own(self, tasks):
+    def start_heartbeats(self, tasks):
         tasks.start_soon(self.fast.membership.send_heartbeats, EPOCH)
 
     def write_configuration(self, version, routes):
@@ -163,7 +163,7 @@
     async def scenario(pair, tasks):
         pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
+        pair.start_heartbeats(tasks)
         await pair.slow.wait_for_version(1, within_s=5)
         for step in (1, 2, 3):
             await anyio.sleep(2)
@@ -178,7 +178,7 @@
     async def scenario(pair, tasks):
         pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
+        pair.start_heartbeats(tasks)
         await pair.slow.wait_for_version(1, within_s=5)
         pair.write_configuration(2, ROUTES * 2)
         await pair.slow.wait_for_version(2, within_s=20)
@@ -228,7 +228,7 @@
     async def scenario(pair, tasks):
         pair.write_configuration(1, ROUTES * 3)
         await pair.start(tasks)
-        pair.own(tasks)
+        pair.start_heartbeats(tasks)
         await pair.slow.wait_for_version(1, within_s=8)
         for version in range(2, 12):
             pair.write_configuration(version, ROUTES * 3 + version)
@@ -243,7 +243,7 @@
         pair.write_configuration(1, ROUTES * 3)
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.near_store.drops_all = True
-        pair.own(tasks)
+        pair.start_heartbeats(tasks)
         assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_S
         pair.write_configuration(2, ROUTES * 4)
         assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_S
@@ -255,7 +255,7 @@
     async def scenario(pair, tasks):
         pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
+        pair.start_heartbeats(tasks)
         await pair.fast.wait_for_version(1, within_s=5)
         await pair.slow.wait_for_version(1, within_s=5)
         pair.near_fast_store.drops_all = True
