--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -118,10 +118,10 @@
     async def start(self, tasks, timing=TIMING):
         store_address = await self.store.listen()
         tasks.start_soon(self.store.run)
-        self.near_store = FaultProxy(store_address, answers_over=self.link)
+        self.slow_store_proxy = FaultProxy(store_address, answers_over=self.link)
         self.near_fast_store = FaultProxy(store_address)
         self.fast = Instance('fast', await self.near_fast_store.listen(tasks))
-        self.slow = Instance('slow', await self.near_store.listen(tasks), timing)
+        self.slow = Instance('slow', await self.slow_store_proxy.listen(tasks), timing)
         await self._connect(tasks)
         self.fast.run(tasks)
         self.slow.run(tasks)
@@ -242,7 +242,7 @@
     async def scenario(pair, tasks):
         pair.write_configuration(1, ROUTES * 3)
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
-        pair.near_store.drops_all = True
+        pair.slow_store_proxy.drops_all = True
         pair.start_heartbeats(tasks)
         assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_S
         pair.write_configuration(2, ROUTES * 4)
