--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -119,8 +119,8 @@
         store_address = await self.store.listen()
         tasks.start_soon(self.store.run)
         self.slow_store_proxy = FaultProxy(store_address, answers_over=self.link)
-        self.near_fast_store = FaultProxy(store_address)
-        self.fast = Instance('fast', await self.near_fast_store.listen(tasks))
+        self.fast_store_proxy = FaultProxy(store_address)
+        self.fast = Instance('fast', await self.fast_store_proxy.listen(tasks))
         self.slow = Instance('slow', await self.slow_store_proxy.listen(tasks), timing)
         await self._connect(tasks)
         self.fast.run(tasks)
@@ -258,7 +258,7 @@
         pair.start_heartbeats(tasks)
         await pair.fast.wait_for_version(1, within_s=5)
         await pair.slow.wait_for_version(1, within_s=5)
-        pair.near_fast_store.drops_all = True
+        pair.fast_store_proxy.drops_all = True
         pair.write_configuration(2, ROUTES)
         assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_S
 
