--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -131,10 +131,10 @@
         to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
         to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
         self.slow_member = self._seen(self.slow, await to_slow.listen(tasks))
-        self.fast_seen = self._seen(self.fast, await to_fast.listen(tasks))
+        self.fast_member = self._seen(self.fast, await to_fast.listen(tasks))
         self.fast.membership.add(self.slow_member)
         # The heartbeats of the owner carry the address of its proxy.
-        self.fast.membership._member = self.fast_seen
+        self.fast.membership._member = self.fast_member
 
     def address(self, node):
         return Address(node.member.host, node.member.port)
