--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -130,8 +130,8 @@
         """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
         to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
         to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
-        self.slow_member = self._seen(self.slow, await to_slow.listen(tasks))
-        self.fast_member = self._seen(self.fast, await to_fast.listen(tasks))
+        self.slow_member = self._member_at(self.slow, await to_slow.listen(tasks))
+        self.fast_member = self._member_at(self.fast, await to_fast.listen(tasks))
         self.fast.membership.add(self.slow_member)
         # The heartbeats of the owner carry the address of its proxy.
         self.fast.membership._member = self.fast_member
@@ -139,7 +139,7 @@
     def address(self, node):
         return Address(node.member.host, node.member.port)
 
-    def _seen(self, node, address):
+    def _member_at(self, node, address):
         return node.member._replace(host=address.host, port=address.port)
 
     def start_heartbeats(self, tasks):
