--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -41,7 +41,7 @@
 # A link of 5 Mbit/s.
 SLOW_BYTES_PER_S = 600_000
 # Number of routes in a document of 290 KB; a configuration may grow to 1 MB.
-ROUTES = 1_400
+ROUTE_COUNT = 1_400
 # Deadline for a configuration to be in force on an instance with a slow link, in seconds.
 IN_FORCE_TIMEOUT_S = 3.0
 EPOCH = 1
@@ -167,9 +167,9 @@
         await pair.slow.wait_for_version(1, within_s=5)
         for step in (1, 2, 3):
             await anyio.sleep(2)
-            pair.write_configuration(step + 1, ROUTES * step)
+            pair.write_configuration(step + 1, ROUTE_COUNT * step)
             took_s = await pair.slow.wait_for_version(step + 1, within_s=20)
-            assert took_s < IN_FORCE_TIMEOUT_S, f'{ROUTES * step} routes took {took_s:.2f} s'
+            assert took_s < IN_FORCE_TIMEOUT_S, f'{ROUTE_COUNT * step} routes took {took_s:.2f} s'
 
     run_scenario(scenario)
 
@@ -180,7 +180,7 @@
         await pair.start(tasks)
         pair.start_heartbeats(tasks)
         await pair.slow.wait_for_version(1, within_s=5)
-        pair.write_configuration(2, ROUTES * 2)
+        pair.write_configuration(2, ROUTE_COUNT * 2)
         await pair.slow.wait_for_version(2, within_s=20)
         await anyio.sleep(2)
         before = pair.link.carried_bytes
@@ -196,12 +196,12 @@
     """Read at startup, or delivered by a watch that is about to time out: the transfer takes 1.9 s."""
 
     async def scenario(pair, tasks):
-        pair.write_configuration(1, 40 if after_s else ROUTES * 3)
+        pair.write_configuration(1, 40 if after_s else ROUTE_COUNT * 3)
         await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_timeout_s=1.4))
         if after_s:
             await pair.slow.wait_for_version(1, within_s=5)
             await anyio.sleep(after_s)
-            pair.write_configuration(2, ROUTES * 3)
+            pair.write_configuration(2, ROUTE_COUNT * 3)
         took_s = await pair.slow.wait_for_version(2 if after_s else 1, within_s=8)
         assert took_s < IN_FORCE_TIMEOUT_S
 
@@ -212,13 +212,13 @@
     """A watch would return all of them at once: 4 MB, which take 7 s on this link."""
 
     async def scenario(pair, tasks):
-        pair.write_configuration(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks)
         await pair.slow.wait_for_version(1, within_s=8)
         await anyio.sleep(0.2)
         # All versions are written before the pending watch is answered.
         for version in (2, 3, 4, 5):
-            pair.write_configuration(version, ROUTES * 3)
+            pair.write_configuration(version, ROUTE_COUNT * 3)
         assert await pair.slow.wait_for_version(5, within_s=20) < IN_FORCE_TIMEOUT_S
 
     run_scenario(scenario)
@@ -226,12 +226,12 @@
 
 def test_a_slow_instance_follows_changes_in_quick_succession():
     async def scenario(pair, tasks):
-        pair.write_configuration(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks)
         pair.start_heartbeats(tasks)
         await pair.slow.wait_for_version(1, within_s=8)
         for version in range(2, 12):
-            pair.write_configuration(version, ROUTES * 3 + version)
+            pair.write_configuration(version, ROUTE_COUNT * 3 + version)
             await anyio.sleep(0.3)
         assert await pair.slow.wait_for_version(11, within_s=20) < IN_FORCE_TIMEOUT_S - 0.3
 
@@ -240,12 +240,12 @@
 
 def test_an_instance_that_the_store_turns_away_follows_its_peers():
     async def scenario(pair, tasks):
-        pair.write_configuration(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.slow_store_proxy.drops_all = True
         pair.start_heartbeats(tasks)
         assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_TIMEOUT_S
-        pair.write_configuration(2, ROUTES * 4)
+        pair.write_configuration(2, ROUTE_COUNT * 4)
         assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_TIMEOUT_S
 
     run_scenario(scenario)
@@ -259,7 +259,7 @@
         await pair.fast.wait_for_version(1, within_s=5)
         await pair.slow.wait_for_version(1, within_s=5)
         pair.fast_store_proxy.drops_all = True
-        pair.write_configuration(2, ROUTES)
+        pair.write_configuration(2, ROUTE_COUNT)
         assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_TIMEOUT_S
 
     run_scenario(scenario)
