--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -174,7 +174,7 @@
     run_scenario(scenario)
 
 
-def test_a_link_is_quiet_once_a_configuration_is_in_force():
+def test_a_link_is_idle_once_a_configuration_is_in_force():
     async def scenario(pair, tasks):
         pair.write_configuration(1, 40)
         await pair.start(tasks)
