--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -238,7 +238,7 @@
     run_scenario(scenario)
 
 
-def test_an_instance_that_the_store_turns_away_follows_its_peers():
+def test_an_instance_cut_off_from_the_store_receives_versions_from_its_peers():
     async def scenario(pair, tasks):
         pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
