--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -251,7 +251,7 @@
     run_scenario(scenario)
 
 
-def test_an_owner_that_the_store_turns_away_follows_its_peers():
+def test_an_owner_cut_off_from_the_store_receives_versions_from_its_peers():
     async def scenario(pair, tasks):
         pair.write_configuration(1, 40)
         await pair.start(tasks)
