--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -22,7 +22,7 @@
     return PendingReply(True, 7)
 
 
-async def forward(target, tasks):
+async def start_proxy(target, tasks):
     proxy = FaultProxy(target)
     await proxy.listen(tasks)
     return proxy
@@ -33,7 +33,7 @@
         server = HttpServer(answer_call)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             client = HttpClient()
             async with anyio.create_task_group() as calls:
                 for _ in range(3):
@@ -62,7 +62,7 @@
             own = Mesh(answer_message)
             tasks.start_soon(peer.run, '127.0.0.1', port)
             tasks.start_soon(own.run, '127.0.0.1', free_ports(1)[0])
-            proxy = await forward(Address('127.0.0.1', port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', port), tasks)
             await anyio.sleep(0.1)
             await own.ask(proxy.address, AskPending('q'), timeout_s=5)
             proxy.silence()
@@ -89,7 +89,7 @@
         server = HttpServer(wait_long)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             failures = []
 
             async def watch():
@@ -124,7 +124,7 @@
         server = HttpServer(note)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             client = HttpClient()
             await client.call(proxy.address, 'GET', '/before', timeout_s=1)
             tasks.start_soon(proxy.lose_answers)
@@ -205,7 +205,7 @@
         server = HttpServer(answer_call)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             await ask(HttpClient(), proxy.address)
             await proxy.reset()
             proxy.silence()
