--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -154,7 +154,7 @@
         store.faults.is_silent = True
         with anyio.fail_after(3):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(watch_in_vain, client)
+                tasks.start_soon(expect_unanswered_watch, client)
                 await anyio.sleep(0.1)
                 with pytest.raises(STORE_FAILURES):
                     await client.get('any', timeout_s=0.2)
@@ -165,7 +165,7 @@
     anyio.run(scenario)
 
 
-async def watch_in_vain(client):
+async def expect_unanswered_watch(client):
     with pytest.raises(StoreUnansweredError):
         await client.watch(CONFIGURATION_KEY, 0, wait_s=6, timeout_s=7)
 
