--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -116,12 +116,12 @@
 def test_a_caller_that_is_cut_one_way_still_reaches_its_target():
     paths = []
 
-    async def note(request):
+    async def record_path(request):
         paths.append(request.path)
         return Response(200)
 
     async def scenario():
-        server = HttpServer(note)
+        server = HttpServer(record_path)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
             proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
