--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -138,7 +138,7 @@
     assert paths == ['/before', '/cut']
 
 
-def test_a_watch_that_a_silent_store_received_is_given_up_when_the_store_is_back():
+def test_a_watch_that_a_silent_store_received_is_abandoned_when_the_store_recovers():
     """Guards against instances that receive no new configuration for up to 7 s after an outage of the store.
 
     During the outage the store received each instance's next watch and never answered it. After the store had
