--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -170,7 +170,7 @@
         await client.watch(CONFIGURATION_KEY, 0, wait_s=6, timeout_s=7)
 
 
-def test_an_answer_that_has_begun_is_not_given_up_when_the_store_is_back():
+def test_a_partly_received_answer_is_not_abandoned_when_the_store_recovers():
     """On a slow link another call may time out while a large answer is being received."""
 
     async def scenario():
