--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -28,7 +28,7 @@
     return proxy
 
 
-def test_a_call_after_an_unanswered_one_uses_none_of_the_kept_connections():
+def test_a_call_after_an_unanswered_one_uses_no_pooled_connection():
     async def scenario():
         server = HttpServer(answer_call)
         await server.listen(LOOPBACK)
