--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -43,7 +43,7 @@
 # Number of routes in a document of 290 KB; a configuration may grow to 1 MB.
 ROUTE_COUNT = 1_400
 # Deadline for a configuration to be in force on an instance with a slow link, in seconds.
-IN_FORCE_TIMEOUT_S = 3.0
+IN_FORCE_DEADLINE_S = 3.0
 EPOCH = 1
 TIMING = StoreTiming()
 
@@ -169,7 +169,7 @@
             await anyio.sleep(2)
             pair.write_configuration(step + 1, ROUTE_COUNT * step)
             took_s = await pair.slow.wait_for_version(step + 1, within_s=20)
-            assert took_s < IN_FORCE_TIMEOUT_S, f'{ROUTE_COUNT * step} routes took {took_s:.2f} s'
+            assert took_s < IN_FORCE_DEADLINE_S, f'{ROUTE_COUNT * step} routes took {took_s:.2f} s'
 
     run_scenario(scenario)
 
@@ -203,7 +203,7 @@
             await anyio.sleep(after_s)
             pair.write_configuration(2, ROUTE_COUNT * 3)
         took_s = await pair.slow.wait_for_version(2 if after_s else 1, within_s=8)
-        assert took_s < IN_FORCE_TIMEOUT_S
+        assert took_s < IN_FORCE_DEADLINE_S
 
     run_scenario(scenario)
 
@@ -219,7 +219,7 @@
         # All versions are written before the pending watch is answered.
         for version in (2, 3, 4, 5):
             pair.write_configuration(version, ROUTE_COUNT * 3)
-        assert await pair.slow.wait_for_version(5, within_s=20) < IN_FORCE_TIMEOUT_S
+        assert await pair.slow.wait_for_version(5, within_s=20) < IN_FORCE_DEADLINE_S
 
     run_scenario(scenario)
 
@@ -233,7 +233,7 @@
         for version in range(2, 12):
             pair.write_configuration(version, ROUTE_COUNT * 3 + version)
             await anyio.sleep(0.3)
-        assert await pair.slow.wait_for_version(11, within_s=20) < IN_FORCE_TIMEOUT_S - 0.3
+        assert await pair.slow.wait_for_version(11, within_s=20) < IN_FORCE_DEADLINE_S - 0.3
 
     run_scenario(scenario)
 
@@ -244,9 +244,9 @@
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
         pair.slow_store_proxy.drops_all = True
         pair.start_heartbeats(tasks)
-        assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_TIMEOUT_S
+        assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_DEADLINE_S
         pair.write_configuration(2, ROUTE_COUNT * 4)
-        assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_TIMEOUT_S
+        assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_DEADLINE_S
 
     run_scenario(scenario)
 
@@ -260,6 +260,6 @@
         await pair.slow.wait_for_version(1, within_s=5)
         pair.fast_store_proxy.drops_all = True
         pair.write_configuration(2, ROUTE_COUNT)
-        assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_TIMEOUT_S
+        assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_DEADLINE_S
 
     run_scenario(scenario)
