--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -136,11 +136,11 @@
         # The heartbeats of the owner carry the address of its proxy.
         self.fast.membership._member = self.fast_member
 
-    def address(self, node):
-        return Address(node.member.host, node.member.port)
+    def address(self, instance):
+        return Address(instance.member.host, instance.member.port)
 
-    def _member_at(self, node, address):
-        return node.member._replace(host=address.host, port=address.port)
+    def _member_at(self, instance, address):
+        return instance.member._replace(host=address.host, port=address.port)
 
     def start_heartbeats(self, tasks):
         tasks.start_soon(self.fast.membership.send_heartbeats, EPOCH)
