--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -1,14 +1,13 @@
-"""An owner on a slow link keeps what has grown: a job of many tasks, and the list of its workers.
+"""The owner persists large values over a slow link: the progress of a job of many tasks, and the list of its workers.
 
-What happens: nothing is kept any more, so that no end is acknowledged or shown, and the link to the store is full.
+Guards against a write that never completes, so that no run's end is acknowledged or shown and the link to the store is
+saturated. The timeout of a write started with its first byte and did not depend on its size. A link of 5 Mbit/s
+transfers the progress of 20,000 tasks (533 KB as sent) in 0.9 s, but the timeout was 0.6 s; a link of 1 Mbit/s
+transfers the list of 1,400 workers (196 KB) in 1.6 s. Each write was abandoned before it was sent completely and was
+retried from its first byte, without end.
 
-The sequence: the wait for the answer to a write began with its first byte. A link of 5 Mbit/s carries the progress of
-20,000 tasks (533 KB as it is sent) in 0.9 s, and 0.6 s were waited; one of 1 Mbit/s carries the list of 1,400 workers
-(196 KB) in 1.6 s. So the write was given up before all of it was sent, and sent again from its first byte, for ever.
-
-The list was written whole each time that one worker came, left or drained: ten changes a second were 2 MB/s.
-
-The cause: a wait that knows nothing of the size of what is sent, and a thing that grows sent again at each change.
+Also guards against rewriting the whole list whenever one worker is added, removed or starts to drain: ten changes a
+second caused 2 MB/s of writes.
 """
 
 import anyio
@@ -31,26 +30,26 @@
 
 TIMING = StoreTiming()
 JOB = 'a' * 16
-TASKS = 20_000
-WORKERS = 1_400
-# Until what is kept is acknowledged, in seconds.
-KEPT_S = 10.0
+TASK_COUNT = 20_000
+WORKER_COUNT = 1_400
+# Timeout for a flush to be acknowledged by the store, in seconds.
+FLUSH_TIMEOUT_S = 10.0
 
 
-def worker(number, *, draining=False):
+def roster_entry(number, *, draining=False):
     capacity = Resources(128_000, 262_144, 8)
     labels = ('large-accelerated', f'northern-hall-r{number // 12}')
     profile = WorkerProfile(f'{number:016x}', 'pricing', 'northern-hall', capacity, labels, draining)
     return RosterEntry(profile, Address('10.0.0.1', 8_000))
 
 
-class Writer:
-    """A recorder, and the link that its writes go over."""
+class RecorderHarness:
+    """Runs a recorder whose writes to the store pass through a link of limited bandwidth."""
 
     def __init__(self, bytes_per_s):
         self.link = SlowLink(bytes_per_s)
         self.scheduler = None
-        self.rounds = 0
+        self.flush_count = 0
         self._store = StoreStandIn()
 
     async def start(self, tasks):
@@ -58,9 +57,9 @@
         self._epoch = self._store.put(OWNER_KEY, encode(Member('i', 'n', 'h', 1)))
         proxy = FaultProxy(address, requests_over=self.link)
         self.client = StoreClient(StoreSettings(await proxy.listen(tasks)), HttpClient(), lambda *_: None)
-        self.take_over(tasks)
+        self.start_recorder(tasks)
 
-    def take_over(self, tasks):
+    def start_recorder(self, tasks):
         self.scheduler = Scheduler(SchedulerSettings(), self._epoch)
         self.recorder = Recorder(
             self.client,
@@ -69,80 +68,82 @@
             self._epoch,
             held_starts=HeldStarts(lambda held: None),
             processed_ends=dict,
-            on_persisted=self._note,
+            on_persisted=self._count_flush,
             on_end_persisted=lambda job_id: None,
             on_deposed=lambda: None,
         )
         tasks.start_soon(self.recorder.run)
 
-    async def keep(self):
-        before = self.rounds
+    async def flush_and_wait(self):
+        before = self.flush_count
         self.recorder.flush_requested.set()
-        with anyio.fail_after(KEPT_S):
-            while self.rounds == before:
+        with anyio.fail_after(FLUSH_TIMEOUT_S):
+            while self.flush_count == before:
                 await anyio.sleep(0.02)
 
-    async def kept_workers(self):
+    async def persisted_workers(self):
         return (await read_workers(self.client, TIMING)).roster
 
-    def _note(self, processed_ends):
-        self.rounds += 1
+    def _count_flush(self, processed_ends):
+        self.flush_count += 1
 
 
-def play(bytes_per_s, scenario):
+def run_scenario(bytes_per_s, scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
-            writer = Writer(bytes_per_s)
-            await writer.start(tasks)
-            await scenario(writer, tasks)
+            harness = RecorderHarness(bytes_per_s)
+            await harness.start(tasks)
+            await scenario(harness, tasks)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_the_progress_of_a_job_of_many_tasks_is_kept_over_a_link_of_5_mbit_s():
-    async def scenario(writer, tasks):
-        spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASKS, Resources(1, 1, 1)),))
-        writer.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
-        for index in range(TASKS):
+def test_the_progress_of_a_job_of_many_tasks_is_persisted_over_a_link_of_5_mbit_s():
+    async def scenario(harness, tasks):
+        spec = JobSpec(JOB, '', 'q', '', (StepSpec(TASK_COUNT, Resources(1, 1, 1)),))
+        harness.scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
+        for index in range(TASK_COUNT):
             stopped = RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.STOPPED, f'{index:016x}')
-            writer.scheduler.run_ended(stopped, Moment(1.0, 1.0))
-        await writer.keep()
+            harness.scheduler.run_ended(stopped, Moment(1.0, 1.0))
+        await harness.flush_and_wait()
 
-    play(600_000, scenario)
+    run_scenario(600_000, scenario)
 
 
-def test_the_list_of_1400_workers_is_kept_over_a_link_of_1_mbit_s():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
-        assert len(await writer.kept_workers()) == WORKERS
+def test_the_list_of_1400_workers_is_persisted_over_a_link_of_1_mbit_s():
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        assert len(await harness.persisted_workers()) == WORKER_COUNT
 
-    play(125_000, scenario)
+    run_scenario(125_000, scenario)
 
 
-def test_a_worker_that_changes_is_kept_without_all_the_others():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
-        before = writer.link.carried_bytes
-        writer.recorder.roster = [worker(number, draining=number == 700) for number in range(WORKERS)]
-        await writer.keep()
-        assert writer.link.carried_bytes - before < 20_000
-        kept = {entry.profile.worker_id: entry.profile.draining for entry in await writer.kept_workers()}
-        assert [worker_id for worker_id, draining in kept.items() if draining] == [f'{700:016x}']
+def test_a_changed_worker_is_persisted_without_the_unchanged_ones():
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        before = harness.link.carried_bytes
+        harness.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        assert harness.link.carried_bytes - before < 20_000
+        draining_by_worker = {
+            entry.profile.worker_id: entry.profile.draining for entry in await harness.persisted_workers()
+        }
+        assert [worker_id for worker_id, draining in draining_by_worker.items() if draining] == [f'{700:016x}']
 
-    play(10_000_000, scenario)
+    run_scenario(10_000_000, scenario)
 
 
-def test_workers_that_only_a_previous_owner_knew_are_not_kept_for_ever():
-    async def scenario(writer, tasks):
-        writer.recorder.roster = [worker(number) for number in range(WORKERS)]
-        await writer.keep()
-        writer.take_over(tasks)
-        writer.recorder.revision_by_key = (await read_workers(writer.client, TIMING)).revision_by_key
-        writer.recorder.roster = [worker(0)]
-        await writer.keep()
-        assert await writer.kept_workers() == (worker(0),)
+def test_workers_known_only_to_a_previous_owner_are_removed():
+    async def scenario(harness, tasks):
+        harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
+        await harness.flush_and_wait()
+        harness.start_recorder(tasks)
+        harness.recorder.revision_by_key = (await read_workers(harness.client, TIMING)).revision_by_key
+        harness.recorder.roster = [roster_entry(0)]
+        await harness.flush_and_wait()
+        assert await harness.persisted_workers() == (roster_entry(0),)
 
-    play(10_000_000, scenario)
+    run_scenario(10_000_000, scenario)
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent for good while new ones work."""
+"""Established connections that stop carrying data without being closed, while new connections work."""
 
 import anyio
 import pytest
@@ -22,18 +22,18 @@
     return PendingReply(True, 7)
 
 
-async def forward(target, tasks):
+async def start_proxy(target, tasks):
     proxy = FaultProxy(target)
     await proxy.listen(tasks)
     return proxy
 
 
-def test_a_call_after_an_unanswered_one_uses_none_of_the_kept_connections():
+def test_a_call_after_an_unanswered_one_uses_no_pooled_connection():
     async def scenario():
         server = HttpServer(answer_call)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             client = HttpClient()
             async with anyio.create_task_group() as calls:
                 for _ in range(3):
@@ -62,7 +62,7 @@
             own = Mesh(answer_message)
             tasks.start_soon(peer.run, '127.0.0.1', port)
             tasks.start_soon(own.run, '127.0.0.1', free_ports(1)[0])
-            proxy = await forward(Address('127.0.0.1', port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', port), tasks)
             await anyio.sleep(0.1)
             await own.ask(proxy.address, AskPending('q'), timeout_s=5)
             proxy.silence()
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize('is_one_way', [False, True])
 def test_keep_alive_probes_show_a_connection_that_falls_silent_while_an_answer_is_awaited(is_one_way):
     async def scenario():
-        # The connections are cut once the request is there: one that is not open yet can't fall silent.
+        # The connection is silenced once the request has arrived: one that is not established yet can't be.
         received = anyio.Event()
 
         async def wait_long(request):
@@ -89,7 +89,7 @@
         server = HttpServer(wait_long)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             failures = []
 
             async def watch():
@@ -116,15 +116,15 @@
 def test_a_caller_that_is_cut_one_way_still_reaches_its_target():
     paths = []
 
-    async def note(request):
+    async def record_path(request):
         paths.append(request.path)
         return Response(200)
 
     async def scenario():
-        server = HttpServer(note)
+        server = HttpServer(record_path)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             client = HttpClient()
             await client.call(proxy.address, 'GET', '/before', timeout_s=1)
             tasks.start_soon(proxy.lose_answers)
@@ -138,13 +138,13 @@
     assert paths == ['/before', '/cut']
 
 
-def test_a_watch_that_a_silent_store_received_is_given_up_when_the_store_is_back():
-    """What happened: for up to 7 s after an outage no instance learnt of a new configuration.
+def test_a_watch_that_a_silent_store_received_is_abandoned_when_the_store_recovers():
+    """Guards against instances that receive no new configuration for up to 7 s after an outage of the store.
 
-    The sequence: the store fell silent, each instance's next watch was received and never answered, the store came
-    back, versions were written, and each instance waited for the answer to that watch until its 7 s were over. The
-    connection itself was sound, so that keep-alive probes showed nothing. What settled it: `configuration_unreachable
-    ... kv-watch ... no answer in 7.00 s` on all instances at once, 4 s after `store_regained`. Found by the soak,
+    During the outage the store received each instance's next watch and never answered it. After the store had
+    recovered and new versions were written, each instance still waited for that watch until its timeout of 7 s. The
+    connection itself was intact, so keep-alive probes detected nothing. The symptom is `configuration_unreachable ...
+    kv-watch ... no answer in 7.00 s` on all instances at once, 4 s after `store_regained`. Found by the soak test,
     seeds 2001, 2007 and 2012.
     """
 
@@ -154,7 +154,7 @@
         store.faults.is_silent = True
         with anyio.fail_after(3):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(watch_in_vain, client)
+                tasks.start_soon(expect_unanswered_watch, client)
                 await anyio.sleep(0.1)
                 with pytest.raises(STORE_FAILURES):
                     await client.get('any', timeout_s=0.2)
@@ -165,13 +165,13 @@
     anyio.run(scenario)
 
 
-async def watch_in_vain(client):
+async def expect_unanswered_watch(client):
     with pytest.raises(StoreUnansweredError):
         await client.watch(CONFIGURATION_KEY, 0, wait_s=6, timeout_s=7)
 
 
-def test_an_answer_that_has_begun_is_not_given_up_when_the_store_is_back():
-    """Over a slow link another call may be late while a large answer comes."""
+def test_a_partly_received_answer_is_not_abandoned_when_the_store_recovers():
+    """On a slow link another call may time out while a large answer is being received."""
 
     async def scenario():
         store = StoreStandIn()
@@ -205,7 +205,7 @@
         server = HttpServer(answer_call)
         await server.listen(LOOPBACK)
         async with anyio.create_task_group() as tasks:
-            proxy = await forward(Address('127.0.0.1', server.port), tasks)
+            proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             await ask(HttpClient(), proxy.address)
             await proxy.reset()
             proxy.silence()
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -1,18 +1,18 @@
-"""An instance on a slow link follows a configuration that has grown large.
+"""An instance on a slow link receives each version of a configuration that has grown large.
 
-What happened: instances on links of 5 Mbit/s answered 404 for routes of a version that had been acknowledged
-seconds before, and never got that version at all. The configuration had grown to 839 KB in three steps.
+Guards against instances on links of 5 Mbit/s that answered 404 for routes of a version acknowledged seconds before,
+and never received that version. The configuration had grown to 839 KB in three steps.
 
-The sequence: the owner's heartbeat carried the whole configuration to each instance that seemed to be behind. On a slow
-link that took longer than the 0.6 s for which the owner waited, so the owner went on to believe that the instance was
-behind and sent the document again with each heartbeat, also after it had arrived. From then on the heartbeats filled
-the link: every slow instance received 400 to 640 KB/s without a pause, while no version changed. When the next version
-came, the watch got no answer in its 7 s, and each read after it was given up after 1.00 s, with a part of the answer
-received, and began at the first byte again.
+The owner's heartbeat carried the whole configuration to each instance that appeared to be outdated. On a slow link the
+transfer took longer than the heartbeat timeout of 0.6 s, so the owner still considered the instance outdated and sent
+the document again with each heartbeat, even after it had arrived. These heartbeats saturated the link: every slow
+instance received 400 to 640 KB/s continuously while no version changed. When the next version was written, the watch
+got no answer within its 7 s, and each read after it was abandoned after 1.00 s, with the answer partly received, and
+restarted from the first byte.
 
-The cause: bounded waits that know nothing of the size of what is awaited, and retries that begin anew. What settled
-it: `configuration_unreachable ... no answer in 1.00 s` each 1.2 s without an end on instances whose processors were
-idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
+The cause was timeouts that do not depend on the size of the answer, combined with retries from the first byte. The
+symptoms are `configuration_unreachable ... no answer in 1.00 s` every 1.2 s without end on instances whose processors
+are idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
 """
 
 import time
@@ -40,16 +40,16 @@
 LOOPBACK = '127.0.0.1'
 # A link of 5 Mbit/s.
 SLOW_BYTES_PER_S = 600_000
-# Routes that make a document of 290 KB; it may grow to a megabyte.
-ROUTES = 1_400
-# Until a configuration has to be in force on such instances, in seconds.
-IN_FORCE_S = 3.0
+# Number of routes in a document of 290 KB; a configuration may grow to 1 MB.
+ROUTE_COUNT = 1_400
+# Deadline for a configuration to be in force on an instance with a slow link, in seconds.
+IN_FORCE_DEADLINE_S = 3.0
 EPOCH = 1
 TIMING = StoreTiming()
 
 
-def document(version, routes):
-    """Return a configuration of about 205 bytes a route."""
+def encode_configuration(version, routes):
+    """Return an encoded configuration of about 205 bytes per route."""
     rows = [
         {
             'Name': f'r-{number:07d}',
@@ -68,8 +68,8 @@
     return msgspec.json.encode({'Version': version, 'Routes': rows, 'Services': [{'Name': 'svc'}], 'Tenants': []})
 
 
-class Node:
-    """What follows the configuration on one instance."""
+class Instance:
+    """The parts of an instance that receive and forward the configuration."""
 
     def __init__(self, name, store_address, timing=TIMING):
         port = free_ports(1)[0]
@@ -99,8 +99,8 @@
         tasks.start_soon(self._store_feed.run)
         tasks.start_soon(self._peer_feed.run)
 
-    async def wait_for(self, version, within_s):
-        """Return how long it takes until a version is in force."""
+    async def wait_for_version(self, version, within_s):
+        """Wait until a version or a newer one is in force, and return how long that took, in seconds."""
         begun_s = time.monotonic()
         with anyio.fail_after(within_s):
             while self.follower.version < version:
@@ -108,8 +108,8 @@
         return time.monotonic() - begun_s
 
 
-class Pair:
-    """An owner on a fast link, and an instance on a slow one that all its bytes come over."""
+class InstancePair:
+    """An owner on a fast link, and an instance that receives all its traffic over a slow one."""
 
     def __init__(self):
         self.store = StoreStandIn()
@@ -118,41 +118,41 @@
     async def start(self, tasks, timing=TIMING):
         store_address = await self.store.listen()
         tasks.start_soon(self.store.run)
-        self.near_store = FaultProxy(store_address, answers_over=self.link)
-        self.near_fast_store = FaultProxy(store_address)
-        self.fast = Node('fast', await self.near_fast_store.listen(tasks))
-        self.slow = Node('slow', await self.near_store.listen(tasks), timing)
+        self.slow_store_proxy = FaultProxy(store_address, answers_over=self.link)
+        self.fast_store_proxy = FaultProxy(store_address)
+        self.fast = Instance('fast', await self.fast_store_proxy.listen(tasks))
+        self.slow = Instance('slow', await self.slow_store_proxy.listen(tasks), timing)
         await self._connect(tasks)
         self.fast.run(tasks)
         self.slow.run(tasks)
 
     async def _connect(self, tasks):
-        """Let each reach the other through the slow link only."""
+        """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
         to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
         to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
-        self.slow_seen = self._seen(self.slow, await to_slow.listen(tasks))
-        self.fast_seen = self._seen(self.fast, await to_fast.listen(tasks))
-        self.fast.membership.add(self.slow_seen)
-        # The owner tells where it is reached.
-        self.fast.membership._member = self.fast_seen
+        self.slow_member = self._member_at(self.slow, await to_slow.listen(tasks))
+        self.fast_member = self._member_at(self.fast, await to_fast.listen(tasks))
+        self.fast.membership.add(self.slow_member)
+        # The heartbeats of the owner carry the address of its proxy.
+        self.fast.membership._member = self.fast_member
 
-    def address(self, node):
-        return Address(node.member.host, node.member.port)
+    def address(self, instance):
+        return Address(instance.member.host, instance.member.port)
 
-    def _seen(self, node, address):
-        return node.member._replace(host=address.host, port=address.port)
+    def _member_at(self, instance, address):
+        return instance.member._replace(host=address.host, port=address.port)
 
-    def own(self, tasks):
+    def start_heartbeats(self, tasks):
         tasks.start_soon(self.fast.membership.send_heartbeats, EPOCH)
 
-    def configure(self, version, routes):
-        self.store.put(CONFIGURATION_KEY, document(version, routes))
+    def write_configuration(self, version, routes):
+        self.store.put(CONFIGURATION_KEY, encode_configuration(version, routes))
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def run():
         async with anyio.create_task_group() as tasks:
-            pair = Pair()
+            pair = InstancePair()
             await scenario(pair, tasks)
             tasks.cancel_scope.cancel()
 
@@ -161,105 +161,105 @@
 
 def test_each_version_of_a_growing_configuration_is_in_force_in_time():
     async def scenario(pair, tasks):
-        pair.configure(1, 40)
+        pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=5)
+        pair.start_heartbeats(tasks)
+        await pair.slow.wait_for_version(1, within_s=5)
         for step in (1, 2, 3):
             await anyio.sleep(2)
-            pair.configure(step + 1, ROUTES * step)
-            took_s = await pair.slow.wait_for(step + 1, within_s=20)
-            assert took_s < IN_FORCE_S, f'{ROUTES * step} routes took {took_s:.2f} s'
+            pair.write_configuration(step + 1, ROUTE_COUNT * step)
+            took_s = await pair.slow.wait_for_version(step + 1, within_s=20)
+            assert took_s < IN_FORCE_DEADLINE_S, f'{ROUTE_COUNT * step} routes took {took_s:.2f} s'
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_link_is_quiet_once_a_configuration_is_in_force():
+def test_a_link_is_idle_once_a_configuration_is_in_force():
     async def scenario(pair, tasks):
-        pair.configure(1, 40)
+        pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=5)
-        pair.configure(2, ROUTES * 2)
-        await pair.slow.wait_for(2, within_s=20)
+        pair.start_heartbeats(tasks)
+        await pair.slow.wait_for_version(1, within_s=5)
+        pair.write_configuration(2, ROUTE_COUNT * 2)
+        await pair.slow.wait_for_version(2, within_s=20)
         await anyio.sleep(2)
         before = pair.link.carried_bytes
         await anyio.sleep(2)
-        # Heartbeats, and the watches that end.
+        # Heartbeats and the answers to expired watches remain.
         assert pair.link.carried_bytes - before < 20_000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('after_s', [0.0, 0.9])
 def test_a_large_configuration_is_read_over_a_slow_link_from_the_store_alone(after_s):
-    """Read at the start, or brought by a watch that is about to end: its bytes take 1.9 s."""
+    """Read at startup, or delivered by a watch that is about to time out: the transfer takes 1.9 s."""
 
     async def scenario(pair, tasks):
-        pair.configure(1, 40 if after_s else ROUTES * 3)
+        pair.write_configuration(1, 40 if after_s else ROUTE_COUNT * 3)
         await pair.start(tasks, StoreTiming(watch_wait_s=1.0, watch_timeout_s=1.4))
         if after_s:
-            await pair.slow.wait_for(1, within_s=5)
+            await pair.slow.wait_for_version(1, within_s=5)
             await anyio.sleep(after_s)
-            pair.configure(2, ROUTES * 3)
-        took_s = await pair.slow.wait_for(2 if after_s else 1, within_s=8)
-        assert took_s < IN_FORCE_S
+            pair.write_configuration(2, ROUTE_COUNT * 3)
+        took_s = await pair.slow.wait_for_version(2 if after_s else 1, within_s=8)
+        assert took_s < IN_FORCE_DEADLINE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_of_several_versions_that_were_missed_only_the_newest_is_read():
-    """A watch would bring all of them at once: four megabytes, which the link needs 7 s for."""
+    """A watch would return all of them at once: 4 MB, which take 7 s on this link."""
 
     async def scenario(pair, tasks):
-        pair.configure(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks)
-        await pair.slow.wait_for(1, within_s=8)
+        await pair.slow.wait_for_version(1, within_s=8)
         await anyio.sleep(0.2)
-        # All are written before the watch that waits is answered.
+        # All versions are written before the pending watch is answered.
         for version in (2, 3, 4, 5):
-            pair.configure(version, ROUTES * 3)
-        assert await pair.slow.wait_for(5, within_s=20) < IN_FORCE_S
+            pair.write_configuration(version, ROUTE_COUNT * 3)
+        assert await pair.slow.wait_for_version(5, within_s=20) < IN_FORCE_DEADLINE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_slow_instance_follows_changes_in_quick_succession():
     async def scenario(pair, tasks):
-        pair.configure(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks)
-        pair.own(tasks)
-        await pair.slow.wait_for(1, within_s=8)
+        pair.start_heartbeats(tasks)
+        await pair.slow.wait_for_version(1, within_s=8)
         for version in range(2, 12):
-            pair.configure(version, ROUTES * 3 + version)
+            pair.write_configuration(version, ROUTE_COUNT * 3 + version)
             await anyio.sleep(0.3)
-        assert await pair.slow.wait_for(11, within_s=20) < IN_FORCE_S - 0.3
+        assert await pair.slow.wait_for_version(11, within_s=20) < IN_FORCE_DEADLINE_S - 0.3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_instance_that_the_store_turns_away_follows_its_peers():
+def test_an_instance_cut_off_from_the_store_receives_versions_from_its_peers():
     async def scenario(pair, tasks):
-        pair.configure(1, ROUTES * 3)
+        pair.write_configuration(1, ROUTE_COUNT * 3)
         await pair.start(tasks, TIMING._replace(call_timeout_s=0.2))
-        pair.near_store.drops_all = True
-        pair.own(tasks)
-        assert await pair.slow.wait_for(1, within_s=20) < IN_FORCE_S
-        pair.configure(2, ROUTES * 4)
-        assert await pair.slow.wait_for(2, within_s=20) < IN_FORCE_S
+        pair.slow_store_proxy.drops_all = True
+        pair.start_heartbeats(tasks)
+        assert await pair.slow.wait_for_version(1, within_s=20) < IN_FORCE_DEADLINE_S
+        pair.write_configuration(2, ROUTE_COUNT * 4)
+        assert await pair.slow.wait_for_version(2, within_s=20) < IN_FORCE_DEADLINE_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_owner_that_the_store_turns_away_follows_its_peers():
+def test_an_owner_cut_off_from_the_store_receives_versions_from_its_peers():
     async def scenario(pair, tasks):
-        pair.configure(1, 40)
+        pair.write_configuration(1, 40)
         await pair.start(tasks)
-        pair.own(tasks)
-        await pair.fast.wait_for(1, within_s=5)
-        await pair.slow.wait_for(1, within_s=5)
-        pair.near_fast_store.drops_all = True
-        pair.configure(2, ROUTES)
-        assert await pair.fast.wait_for(2, within_s=20) < IN_FORCE_S
-
-    play(scenario)
+        pair.start_heartbeats(tasks)
+        await pair.fast.wait_for_version(1, within_s=5)
+        await pair.slow.wait_for_version(1, within_s=5)
+        pair.fast_store_proxy.drops_all = True
+        pair.write_configuration(2, ROUTE_COUNT)
+        assert await pair.fast.wait_for_version(2, within_s=20) < IN_FORCE_DEADLINE_S
+
+    run_scenario(scenario)
