--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -1,10 +1,10 @@
-"""Workers that crash and start again under the id that they had, against real daemons.
+"""Workers that crash and restart under the same id, against real daemons.
 
-A worker counts its ends from one in each incarnation. The owner knew the number of the last end that it had read under
-the worker's id: it passed over ends up to it, and each of its questions told the worker to forget them. So the first
-ends of the later incarnation were lost, and what had ended ran again. What settled it, in the owner's log of the first
-test on the code of then: the worker starts again with `ends_taken_in` 8, `ends_acknowledged` 8 and `ends_listed` [],
-and 2.5 s after `run_ordered` comes `run_lost` with `not listed`, though its worker answered all the time.
+These tests guard against an owner that applies the end counter of one incarnation to the next. A worker numbers its
+ends from one in each incarnation. An owner that kept the last number by worker id skipped the first ends of the new
+incarnation and acknowledged them unread, so the worker dropped them and finished tasks ran again. The owner's log then
+showed the restarted worker with `ends_taken_in` 8, `ends_acknowledged` 8 and `ends_listed` [], and 2.5 s after
+`run_ordered` a `run_lost` with `not listed`, although the worker had answered throughout.
 """
 
 import time
@@ -13,22 +13,22 @@
 
 from .running import PARALLEL
 
-# Failed runs after which a job of the deployment's queues has failed.
+# Number of failed runs after which a job in the deployment's queues fails.
 MOST_ATTEMPTS = 3
 ENDED_STATES = ('succeeded', 'failed')
-# Starts that users bear of a task that crashes workers: three that tell, and two more.
+# Most starts allowed for a task that crashes workers: three conclusive crashes and two more.
 MOST_CRASHING_STARTS = 5
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
-# Enough tasks that every worker has reported some ends.
+# Enough tasks for every worker to report some ends.
 MANY_TASKS = [{**PARALLEL[0], 'Count': 32}]
-# How many of them each of the four workers has room for.
+# Number of these tasks that fit on each of the four workers.
 ENDS_ON_A_WORKER = 8
-# Longest wait of an owner for the answer to a survey.
+# Longest time that an owner waits for the answer to a survey.
 ANSWER_S = 0.6
 
 
 def follow(running, job_id, most_starts):
-    """Wait until a job of one task is shown as ended, and for no start too many; return its state."""
+    """Wait until a job of one task has ended and return its state; fail at more than `most_starts` starts."""
 
     deadline_s = time.monotonic() + 40.0
     state = ''
@@ -40,11 +40,11 @@
 
 
 def start_all_again(running):
-    """Let every worker crash and start again, once each has reported ends."""
+    """Crash and restart every worker after each has reported ends."""
     running.submit(MANY_TASKS)
     running.wait_for(running.job_ids[-1], 'succeeded')
     assert all(len(worker.ends) > MOST_ATTEMPTS for worker in running.workers)
-    # A worker that crashes beside an unanswered acknowledgement is probed, which starts a task more than once.
+    # A worker that crashes while an acknowledgement is unanswered is probed, which starts a task more than once.
     running.wait_until(lambda: all(len(worker.noted) == len(worker.ends) for worker in running.workers))
     running.sleep(ANSWER_S)
 
@@ -57,10 +57,10 @@
 
 
 def test_a_task_that_ends_on_a_worker_that_has_started_again_runs_once(running):
-    """A task that had ended well ran again, and the end of its first run had been acknowledged to its worker.
+    """Guards against a succeeded task that runs again because the owner acknowledged its end without reading it.
 
-    The worker had crashed before and come back under the id that it had. In the owner's log the task has `run_ordered`
-    on that worker and no `run_ended`; 2 s after its end another `run_ordered` stands elsewhere.
+    This happened on a worker that had crashed and restarted under the same id. The owner's log then had `run_ordered`
+    on that worker, no `run_ended`, and 2 s after the end another `run_ordered` on a different worker.
     """
     start_all_again(running)
     job_id = running.submit(ONE_TASK)
@@ -68,10 +68,10 @@
 
 
 def test_failed_runs_count_also_on_workers_that_have_started_again(running):
-    """A job was started a fifth time, after four failed runs, as many as its queue allows.
+    """Guards against a failed run that is not counted: a job started a fifth time after the four that its queue allows.
 
-    One of them had failed on a worker that had crashed before and come back under the id that it had. In the owner's
-    log it is the one run of five that has no `run_ended`.
+    One run had failed on a worker that had crashed and restarted under the same id. In the owner's log it was the only
+    one of the five runs without `run_ended`.
     """
     start_all_again(running)
     job_id = running.submit(ONE_TASK, 'fail')
@@ -79,11 +79,11 @@
 
 
 def test_a_start_that_got_no_answer_is_not_carried_out_by_the_next_incarnation(running):
-    """The next incarnation remembers neither the stop that took the start back nor the owner that sent it."""
+    """A new incarnation knows neither the stop that revoked the start nor the owner that sent it."""
     running.submit(MANY_TASKS, '0.1')
     running.wait_for(running.job_ids[-1], 'succeeded')
     for worker in running.workers:
-        # Carried out within the lease that the start carries.
+        # Late, but within the lease that the start carries.
         worker.faults.lost_share, worker.faults.late_s = 1.0, 1.8
     job_id = running.submit(ONE_TASK, '3')
     running.sleep(0.25)
@@ -96,17 +96,18 @@
 
 
 def test_an_acknowledgement_that_got_no_answer_does_not_cost_the_next_incarnation_its_ends(running):
-    """It came to the next incarnation before that had answered anybody: whatever ended there was forgotten unread.
+    """Guards against a late acknowledgement that reaches a new incarnation before it has answered any request.
 
-    Tasks that had ended well there ran again. A fence of its own protects an incarnation only from its first answer on,
-    so one that begins while such an acknowledgement may still come gets nothing new. What settled it: in a soak (seed
-    8001) `run_lost` with `not listed` 0.5 s after `run_ordered`, on a worker that had started again 5 s before while
-    orders to it were carried out late and answers took 0.4 s; in this test the worker passes over ends up to 8.
+    The worker then dropped ends that nobody had read, and succeeded tasks ran again. The fence of an incarnation
+    protects it only from its first answer on, so an incarnation gets no new work while such an acknowledgement may
+    still arrive. A soak (seed 8001) showed `run_lost` with `not listed` 0.5 s after `run_ordered`, on a worker that had
+    restarted 5 s before while orders to it were carried out late and answers took 0.4 s. In this test the worker skips
+    ends up to 8.
     """
     worker = running.workers[0]
 
     def lose_what_acknowledges(step, is_done):
-        # Ends that no answer lists before the crash are known to nobody, and their tasks have to run again.
+        # Ends that no answer listed before the crash are lost, and their tasks have to run again.
         has_listed_all = is_done and len(worker.ends) >= ENDS_ON_A_WORKER and not worker.running
         if step == '/hold' and has_listed_all:
             worker.faults.lost_share, worker.faults.late_s = 1.0, 1.2
@@ -116,7 +117,7 @@
     running.wait_until(lambda: worker.faults.lost_share)
     running.sleep(0.2)
     worker.faults.observer, worker.faults.lost_share = None, 0.0
-    # The late acknowledgement overtakes the first question to the next incarnation.
+    # The late acknowledgement arrives before the first survey of the new incarnation.
     worker.faults.delay_s = 1.2
     running.portal.call(worker.start_again, 0.2)
     running.sleep(1.5)
@@ -129,7 +130,7 @@
 
 
 def test_a_task_that_crashes_workers_is_given_up_though_they_keep_their_ids(running):
-    """Two crashes of one worker are two crashes."""
+    """Two crashes of the same worker count as two crashes."""
     for worker in running.workers:
         worker.keeps_id = True
     job_id = running.submit(ONE_TASK, 'crash1')
@@ -138,7 +139,7 @@
 
 
 def test_the_next_owner_adopts_what_runs_on_workers_that_have_started_again(running):
-    """The list of workers that it inherits names their incarnations."""
+    """The worker list that the new owner inherits includes their incarnations."""
     start_all_again(running)
     job_id = running.submit(PARALLEL, '6')
     running.wait_until(lambda: sum(start.task.startswith(job_id) for start in running.starts()) == 3)
