--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -1,4 +1,4 @@
-"""Drives a deployment from tests, which are not asynchronous."""
+"""A synchronous wrapper around a deployment, for tests."""
 
 import anyio
 
@@ -7,7 +7,7 @@
 
 
 class Running:
-    """A deployment that runs."""
+    """A running deployment with blocking methods, which run its coroutines through a portal."""
 
     def __init__(self, deployment, portal):
         self.deployment = deployment
@@ -45,7 +45,7 @@
         return job_id
 
     def cancel(self, job_id, queue='ordinary'):
-        """Cancel a job at an instance that is there."""
+        """Cancel a job through an instance whose process is running."""
         name = self.deployment.running_names[0]
         assert self.call('DELETE', f'/{queue}/{job_id}', names=(name,)).status == 200
 
@@ -85,7 +85,7 @@
         self.portal.call(wait)
 
     def doubled(self):
-        """Return tasks that ran twice at a time, or again after a success."""
+        """Return the tasks of which two runs overlapped, or that ran again after a success."""
         spans = {}
         end_by_run = {(end.worker, end.task, end.run, end.incarnation): end for end in self.ends()}
         for start in self.starts():
