--- a/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def running(tmp_path):
-    """A deployment of real daemons; the stand-ins run in a thread of this process."""
+    """Start a deployment of real daemons, with the stand-ins in a thread of the test process."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
         with portal.wrap_async_context_manager(Running(deployment, portal)) as started:
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def advised(tmp_path):
-    """The same, with a policy that consents to two of the four workers."""
+    """Start a deployment whose policy consents to two of the four workers."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
         deployment.policy = PolicyStandIn({'w0', 'w1'})
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def long_leased(tmp_path):
-    """The same as the first, with leases that outlast a takeover by far."""
+    """Start a deployment whose workers allow leases much longer than a takeover takes."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
         deployment.max_hold_s = 10.0
