--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -1,4 +1,4 @@
-"""Workers that answer surveys well and carry out no start, beside idle healthy ones, against real daemons."""
+"""Workers that answer surveys but carry out no start, while healthy ones are idle, against real daemons."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 from .running import PARALLEL
 
-# A ready task must run within this time where the pool has room for it.
+# A ready task must run within this time if the pool has capacity for it.
 LONGEST_STALL_S = 3.0
-# Runs take longer than is watched, in seconds.
+# Duration of a run in seconds: longer than `WATCHED_S`, so that no run ends during the test.
 WORK_S = '20'
 WATCHED_S = 10.0
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
@@ -21,22 +21,22 @@
 
 
 def fail(worker):
-    """Fail every task at once."""
+    """Fail every task as soon as it starts."""
     worker.fails_tasks = True
 
 
 def leave_unanswered(worker):
-    """Answer no start, and carry it out when its lease has ended."""
+    """Answer no start, and carry it out only after its lease has ended."""
     worker.faults.lost_paths, worker.faults.late_s = frozenset({'/run-start'}), 4.0
 
 
 def leave_all_orders_unanswered(worker):
-    """Answer neither starts nor stops, and carry them out when their lease has ended."""
+    """Answer neither starts nor stops, and carry them out only after their lease has ended."""
     worker.faults.lost_paths, worker.faults.late_s = frozenset({'/run-start', '/run-stop'}), 4.0
 
 
 def chosen_workers(running, steps):
-    """Return the workers that a job gets in the idle pool."""
+    """Return the workers on which a job is placed while the pool is idle."""
     job_id = running.submit(steps, '0.1')
     running.wait_for(job_id, 'succeeded')
     chosen = {start.worker for start in running.starts() if start.task.startswith(job_id)}
@@ -44,14 +44,14 @@
 
 
 def break_gangs(running):
-    """End all members of gangs of which one has failed, as workers do."""
+    """End all members of every gang that has a failed member, as real workers do."""
     failed = {end.run for end in running.ends() if end.how == 'failed'}
     for worker in running.workers:
         worker.break_off(failed)
 
 
 def stands_for_s(running, steps):
-    """Return how long a job has nothing running, or not all of a gang."""
+    """Return the time in seconds until all tasks of a new job run at once."""
     begun_s = time.monotonic()
     job_id = running.submit(steps, WORK_S)
     width = steps[0]['Count']
