--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -1,4 +1,4 @@
-"""Scenarios with real daemons; the stand-ins see every order that is given."""
+"""Step definitions of `must_hold.feature`: real daemons, with stand-ins that record every order."""
 
 import time
 
@@ -26,7 +26,7 @@
     return advised
 
 
-@given('a deployment whose leases outlast a takeover', target_fixture='running')
+@given('a deployment whose leases last longer than a takeover', target_fixture='running')
 def _(long_leased):
     return long_leased
 
@@ -37,7 +37,7 @@
     assert running.deployment.policy.calls
 
 
-@given('every accelerator runs patient work')
+@given('every accelerator runs work that is not urgent')
 def _(running):
     steps = [{**PARALLEL[0], 'Count': 32, 'EstimateMs': 20_000}]
     running.submit(steps, '20')
@@ -55,14 +55,14 @@
     running.wait_until(lambda: len(running.starts()) == 3)
 
 
-@when('its last task has just ended')
+@when('its last task ends')
 def _(running):
     running.wait_until(lambda: len(running.ends()) == 3)
 
 
-@then('the first question at each instance is answered with its end')
+@then('the first state query at each instance returns its end')
 def _(running):
-    # The stand-in's callers ask one after the other: only the first finds an end that is not kept yet.
+    # The queries run one after the other, so only the first can find an end that is not stored yet.
     for name in running.deployment.names:
         assert running.state(running.job_ids[-1], names=(name,)) == 'succeeded'
 
@@ -72,7 +72,7 @@
     running.submit(GANG, queue='urgent')
 
 
-@then('it begins within the bound of reclaim')
+@then('it starts within the time limit for reclaiming capacity')
 def _(running):
     def both_run():
         job_id = running.job_ids[-1]
@@ -117,12 +117,12 @@
     running.wait_until(lambda: running.owner_now() not in {None, stopped}, timeout_s=2.0)
 
 
-@then('the owner ended without an error')
+@then('the former owner exits without an error')
 def _(running, stopped):
     assert running.portal.call(running.deployment.wait_stopped, stopped) == 0
 
 
-@when('the store is silent for three seconds once its tasks run')
+@when('the store answers nothing for three seconds once its tasks run')
 def _(running):
     running.wait_until(lambda: len(running.starts()) == 3)
     running.store.faults.is_silent = True
@@ -130,14 +130,14 @@
     running.store.faults.is_silent = False
 
 
-@when('its tasks end while the store is away')
+@when('its tasks end while the store is unavailable')
 def _(running):
     running.wait_until(lambda: len(running.starts()) == 3)
     running.store.faults.is_silent = True
     running.wait_until(lambda: len(running.ends()) == 3)
 
 
-@when('the entries of the workers that ran it lapse and the owner is killed')
+@when('the entries of the workers that ran it expire and the owner is killed')
 def _(running):
     running.portal.call(_lapse, running)
     running.deployment.kill(running.owner())
@@ -163,36 +163,36 @@
     return running.store.calls
 
 
-@then('the store is not asked more often than it should be')
+@then('the store receives fewer than 20 calls per second')
 def _(running, calls_before):
     before = running.store.calls
     running.sleep(2.0)
-    # Three instances: renewals, watches and heartbeats make well under 20 a second.
+    # The renewals, watches and heartbeats of three instances make well under 20 calls per second.
     assert running.store.calls - before < 40
 
 
-@when('half of the answers to writes are lost')
+@when('half of the replies to writes are lost')
 def _(running):
     running.store.faults.lost_share = 0.5
 
 
-@when('a third of the orders to workers is carried out late')
+@when('a third of the orders to workers are unanswered and carried out late')
 def _(running):
     for worker in running.workers:
         worker.faults.lost_share = 0.33
         worker.faults.late_s = 1.5
 
 
-@when('orders to workers are left unanswered and carried out late')
+@when('all orders to workers are unanswered and carried out late')
 def _(running):
-    # Starts go out on connections that work before has left: a new one is greeted first, and nobody answers that.
+    # The starts reuse connections of earlier work: a new one begins with a greeting, which would go unanswered.
     running.submit([{**PARALLEL[0], 'Count': 8 * len(running.workers)}], '0.1')
     running.wait_for(running.job_ids[-1], 'succeeded')
     for worker in running.workers:
         worker.starts.clear()
         worker.ends.clear()
         worker.faults.lost_share = 1.0
-        # Within the lease that a start carries, after which workers refuse it.
+        # Shorter than the lease that a start carries, after which workers refuse it.
         worker.faults.late_s = 1.8
 
 
@@ -209,7 +209,7 @@
         worker.faults.lost_share = 0.0
 
 
-@when('its tasks begin')
+@when('its tasks start')
 def _(running):
     running.wait_until(lambda: len(running.starts()) == 3)
 
@@ -229,7 +229,7 @@
         running.store.remove(key)
 
 
-@when("the workers' entries lapse and the workers are silent for five seconds")
+@when("the workers' entries expire and the workers answer nothing for five seconds")
 def _(running):
     for worker in running.workers:
         worker.faults.is_silent = True
@@ -241,7 +241,7 @@
     running.portal.call(_return, running)
 
 
-@then('all that ran of it was stopped')
+@then('every task of it that started was stopped')
 def _(running):
     assert len(running.starts()) == 3
     assert {end.how for end in running.ends()} == {'stopped'}
@@ -252,17 +252,17 @@
     running.cancel(running.job_ids[-1])
 
 
-@then('it is shown as cancelled')
+@then('it is reported as cancelled')
 def _(running):
     running.wait_for(running.job_ids[-1], 'cancelled')
 
 
-@then('nothing of it runs')
+@then('none of its tasks runs')
 def _(running):
     running.wait_until(lambda: not any(worker.running for worker in running.workers), timeout_s=3.0)
 
 
-@when('a worker that runs some of it vanishes')
+@when('a worker that runs one of its tasks disappears')
 def _(running):
     running.wait_until(lambda: any(worker.running for worker in running.workers))
     worker = next(worker for worker in running.workers if worker.running)
@@ -273,7 +273,7 @@
     worker.leave()
 
 
-@when('a worker that runs some of it says that it leaves and is cut off', target_fixture='cut_off')
+@when('a worker that runs one of its tasks starts draining and is disconnected', target_fixture='cut_off')
 def _(running):
     worker = next(worker for worker in running.workers if worker.running)
     running.portal.call(_leave_and_cut_off, worker)
@@ -294,14 +294,14 @@
     running.wait_until(lambda: tasks <= {task for other in others for task in other.running})
 
 
-@when('the same job is handed in at every instance')
+@when('the same job is submitted to every instance')
 def _(running):
     job_id = 'cd' * 8
     for name in running.deployment.names:
         running.submit(PARALLEL, job_id=job_id, names=(name,))
 
 
-@then('it is shown as succeeded')
+@then('it is reported as succeeded')
 def _(running):
     job_id = running.job_ids[-1]
     queue = 'urgent' if running.starts() and running.state(job_id, 'ordinary') == '404' else 'ordinary'
@@ -319,14 +319,14 @@
     running.deployment.kill(running.owner())
 
 
-@then('it is shown as failed')
+@then('it is reported as failed')
 def _(running):
     running.wait_for(running.job_ids[-1], 'failed')
 
 
-@then('no more than five workers have crashed under it')
+@then('it has crashed at most five workers')
 def _(running):
-    # After three crashes, which may tell of a task, two more are borne: starts that were under way.
+    # Three conclusive crashes, and two more for starts that were already on their way.
     running.sleep(1.0)
     assert len(running.starts()) <= 5
 
@@ -341,7 +341,7 @@
     running.store.faults.is_refusing = True
 
 
-@then('a job is refused with a time to come back')
+@then('a job is refused with a time to retry')
 def _(running):
     reply = running.call('POST', JOB, {'Spec': '0.1', 'Steps': PARALLEL})
     assert reply.status == 503
@@ -372,7 +372,7 @@
             assert time.monotonic() < deadline_s
 
 
-@then('the new key is taken')
+@then('the new key is accepted')
 def _(running):
     for name in running.deployment.names:
         assert running.call('GET', JOB, names=(name,), key=OTHER_KEY).status == 410
