--- a/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
@@ -3,7 +3,7 @@
 
 from ...platform import PolicyStandIn
 from ..core import Deployment
-from .running import Running
+from .running import RunningDeployment
 
 
 @pytest.fixture
@@ -11,7 +11,7 @@
     """Start a deployment of real daemons, with the stand-ins in a thread of the test process."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
-        with portal.wrap_async_context_manager(Running(deployment, portal)) as started:
+        with portal.wrap_async_context_manager(RunningDeployment(deployment, portal)) as started:
             yield started
 
 
@@ -23,7 +23,7 @@
         deployment.policy = PolicyStandIn({'w0', 'w1'})
         for worker in deployment.workers:
             worker.policy = deployment.policy
-        with portal.wrap_async_context_manager(Running(deployment, portal)) as started:
+        with portal.wrap_async_context_manager(RunningDeployment(deployment, portal)) as started:
             yield started
 
 
@@ -33,5 +33,5 @@
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
         deployment.max_hold_s = 10.0
-        with portal.wrap_async_context_manager(Running(deployment, portal)) as started:
+        with portal.wrap_async_context_manager(RunningDeployment(deployment, portal)) as started:
             yield started
--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -6,7 +6,7 @@
 GANG = [{'Count': 2, 'Cpu': 1000, 'MemMb': 1000, 'Gpu': 8, 'EstimateMs': 500, 'Gang': True, 'SameRack': True}]
 
 
-class Running:
+class RunningDeployment:
     """A running deployment with blocking methods, which run its coroutines through a portal."""
 
     def __init__(self, deployment, portal):
