--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -84,7 +84,7 @@
 
         self.portal.call(wait)
 
-    def doubled(self):
+    def tasks_run_twice(self):
         """Return the tasks of which two runs overlapped, or that ran again after a success."""
         spans = {}
         end_by_run = {(end.worker, end.task, end.run, end.incarnation): end for end in self.ends()}
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -333,7 +333,7 @@
 
 @then('no task ran twice')
 def _(running):
-    assert not running.doubled()
+    assert not running.tasks_run_twice()
 
 
 @when('the store refuses every call')
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -92,7 +92,7 @@
     meant = next(worker for worker in running.workers if worker.late_starts)
     running.portal.call(meant.start_again, 0.2)
     assert follow(running, job_id, most_starts=1) == 'succeeded'
-    assert not running.doubled()
+    assert not running.tasks_run_twice()
 
 
 def test_an_acknowledgement_that_got_no_answer_does_not_cost_the_next_incarnation_its_ends(running):
@@ -126,7 +126,7 @@
     running.sleep(1.0)
     running.submit(MANY_TASKS, '1')
     running.wait_for(running.job_ids[-1], 'succeeded')
-    assert not running.doubled()
+    assert not running.tasks_run_twice()
 
 
 def test_a_task_that_crashes_workers_is_given_up_though_they_keep_their_ids(running):
@@ -145,5 +145,5 @@
     running.wait_until(lambda: sum(start.task.startswith(job_id) for start in running.starts()) == 3)
     running.deployment.kill(running.owner())
     running.wait_for(job_id, 'succeeded')
-    assert not running.doubled()
+    assert not running.tasks_run_twice()
     assert sum(start.task.startswith(job_id) for start in running.starts()) == 3
