--- a/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
@@ -16,7 +16,7 @@
 
 
 @pytest.fixture
-def advised(tmp_path):
+def limited_by_policy(tmp_path):
     """Start a deployment whose policy consents to two of the four workers."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -22,8 +22,8 @@
 
 
 @given('a deployment whose policy consents to half of the workers', target_fixture='running')
-def _(advised):
-    return advised
+def _(limited_by_policy):
+    return limited_by_policy
 
 
 @given('a deployment whose leases last longer than a takeover', target_fixture='running')
