--- a/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/conftest.py
@@ -28,7 +28,7 @@
 
 
 @pytest.fixture
-def long_leased(tmp_path):
+def with_long_leases(tmp_path):
     """Start a deployment whose workers allow leases much longer than a takeover takes."""
     with start_blocking_portal() as portal:
         deployment = portal.call(Deployment, tmp_path)
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -27,8 +27,8 @@
 
 
 @given('a deployment whose leases last longer than a takeover', target_fixture='running')
-def _(long_leased):
-    return long_leased
+def _(with_long_leases):
+    return with_long_leases
 
 
 @then('it ran on those workers with valid tickets only')
