--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -76,10 +76,10 @@
     def sleep(self, seconds):
         self.portal.call(anyio.sleep, seconds)
 
-    def wait_until(self, holds, timeout_s=20.0):
+    def wait_until(self, condition, timeout_s=20.0):
         async def wait():
             with anyio.fail_after(timeout_s):
-                while not holds():
+                while not condition():
                     await anyio.sleep(0.02)
 
         self.portal.call(wait)
