--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -37,10 +37,10 @@
         return self.portal.call(ask)
 
     def submit(self, steps, payload='0.5', queue='ordinary', job_id='', names=()):
-        async def hand_in():
+        async def submit_job():
             return await self.deployment.caller(*names).submit(queue, steps, payload, job_id)
 
-        job_id = self.portal.call(hand_in)
+        job_id = self.portal.call(submit_job)
         self.job_ids.append(job_id)
         return job_id
 
