--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -50,7 +50,7 @@
         worker.break_off(failed)
 
 
-def stands_for_s(running, steps):
+def time_to_run_s(running, steps):
     """Return the time in seconds until all tasks of a new job run at once."""
     begun_s = time.monotonic()
     job_id = running.submit(steps, WORK_S)
@@ -68,10 +68,10 @@
 @pytest.mark.parametrize('failing', [refuse, fail, leave_unanswered, leave_all_orders_unanswered])
 def test_a_task_does_not_wait_for_a_worker_that_carries_out_no_start(running, failing):
     failing(chosen_workers(running, ONE_TASK)[0])
-    assert stands_for_s(running, ONE_TASK) < LONGEST_STALL_S
+    assert time_to_run_s(running, ONE_TASK) < LONGEST_STALL_S
 
 
 @pytest.mark.parametrize('failing', [refuse, fail, leave_unanswered, leave_all_orders_unanswered])
 def test_a_gang_does_not_wait_for_a_worker_that_carries_out_no_start(running, failing):
     failing(chosen_workers(running, GANG)[0])
-    assert stands_for_s(running, GANG) < LONGEST_STALL_S
+    assert time_to_run_s(running, GANG) < LONGEST_STALL_S
