--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -9,7 +9,7 @@
 # A ready task must run within this time if the pool has capacity for it.
 MAX_START_DELAY_S = 3.0
 # Duration of a run in seconds: longer than `WATCHED_S`, so that no run ends during the test.
-WORK_S = '20'
+RUN_DURATION_S = '20'
 WATCHED_S = 10.0
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
 GANG = [{**PARALLEL[0], 'Count': 2, 'Gpu': 8, 'Gang': True}]
@@ -53,7 +53,7 @@
 def time_to_run_s(running, steps):
     """Return the time in seconds until all tasks of a new job run at once."""
     begun_s = time.monotonic()
-    job_id = running.submit(steps, WORK_S)
+    job_id = running.submit(steps, RUN_DURATION_S)
     width = steps[0]['Count']
 
     def runs():
