--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -10,7 +10,7 @@
 MAX_START_DELAY_S = 3.0
 # Duration of a run in seconds: longer than `WATCHED_S`, so that no run ends during the test.
 RUN_DURATION_S = '20'
-WATCHED_S = 10.0
+START_TIMEOUT_S = 10.0
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
 GANG = [{**PARALLEL[0], 'Count': 2, 'Gpu': 8, 'Gang': True}]
 
@@ -61,7 +61,7 @@
         started = [task for worker in running.workers for task in worker.running if task.startswith(job_id)]
         return len(started) == width
 
-    running.wait_until(runs, timeout_s=WATCHED_S)
+    running.wait_until(runs, timeout_s=START_TIMEOUT_S)
     return time.monotonic() - begun_s
 
 
