--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -43,7 +43,7 @@
     return [worker for worker in running.workers if worker.worker_id in chosen]
 
 
-def break_gangs(running):
+def end_failed_gangs(running):
     """End all members of every gang that has a failed member, as real workers do."""
     failed = {end.run for end in running.ends() if end.how == 'failed'}
     for worker in running.workers:
@@ -57,7 +57,7 @@
     width = steps[0]['Count']
 
     def runs():
-        break_gangs(running)
+        end_failed_gangs(running)
         started = [task for worker in running.workers for task in worker.running if task.startswith(job_id)]
         return len(started) == width
 
