--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -39,7 +39,7 @@
     return state
 
 
-def start_all_again(running):
+def restart_all_workers(running):
     """Crash and restart every worker after each has reported ends."""
     running.submit(MANY_TASKS)
     running.wait_for(running.job_ids[-1], 'succeeded')
@@ -62,7 +62,7 @@
     This happened on a worker that had crashed and restarted under the same id. The owner's log then had `run_ordered`
     on that worker, no `run_ended`, and 2 s after the end another `run_ordered` on a different worker.
     """
-    start_all_again(running)
+    restart_all_workers(running)
     job_id = running.submit(ONE_TASK)
     assert wait_for_end(running, job_id, most_starts=1) == 'succeeded'
 
@@ -73,7 +73,7 @@
     One run had failed on a worker that had crashed and restarted under the same id. In the owner's log it was the only
     one of the five runs without `run_ended`.
     """
-    start_all_again(running)
+    restart_all_workers(running)
     job_id = running.submit(ONE_TASK, 'fail')
     assert wait_for_end(running, job_id, most_starts=MOST_ATTEMPTS) == 'failed'
 
@@ -140,7 +140,7 @@
 
 def test_the_next_owner_adopts_what_runs_on_workers_that_have_started_again(running):
     """The worker list that the new owner inherits includes their incarnations."""
-    start_all_again(running)
+    restart_all_workers(running)
     job_id = running.submit(PARALLEL, '6')
     running.wait_until(lambda: sum(start.task.startswith(job_id) for start in running.starts()) == 3)
     running.deployment.kill(running.owner())
