--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -27,14 +27,14 @@
 ANSWER_S = 0.6
 
 
-def wait_for_end(running, job_id, most_starts):
+def wait_for_end(running, job_id, max_starts):
     """Wait until a job of one task has ended and return its state; fail at more than `most_starts` starts."""
 
     deadline_s = time.monotonic() + 40.0
     state = ''
     while state not in ENDED_STATES and time.monotonic() < deadline_s:
         running.sleep(0.1)
-        assert sum(start.task.startswith(job_id) for start in running.starts()) <= most_starts
+        assert sum(start.task.startswith(job_id) for start in running.starts()) <= max_starts
         state = running.state(job_id)
     return state
 
@@ -64,7 +64,7 @@
     """
     restart_all_workers(running)
     job_id = running.submit(ONE_TASK)
-    assert wait_for_end(running, job_id, most_starts=1) == 'succeeded'
+    assert wait_for_end(running, job_id, max_starts=1) == 'succeeded'
 
 
 def test_failed_runs_count_also_on_workers_that_have_started_again(running):
@@ -75,7 +75,7 @@
     """
     restart_all_workers(running)
     job_id = running.submit(ONE_TASK, 'fail')
-    assert wait_for_end(running, job_id, most_starts=MOST_ATTEMPTS) == 'failed'
+    assert wait_for_end(running, job_id, max_starts=MOST_ATTEMPTS) == 'failed'
 
 
 def test_a_start_that_got_no_answer_is_not_carried_out_by_the_next_incarnation(running):
@@ -91,7 +91,7 @@
         worker.faults.lost_share = 0.0
     meant = next(worker for worker in running.workers if worker.late_starts)
     running.portal.call(meant.start_again, 0.2)
-    assert wait_for_end(running, job_id, most_starts=1) == 'succeeded'
+    assert wait_for_end(running, job_id, max_starts=1) == 'succeeded'
     assert not running.tasks_run_twice()
 
 
@@ -134,7 +134,7 @@
     for worker in running.workers:
         worker.keeps_id = True
     job_id = running.submit(ONE_TASK, 'crash1')
-    assert wait_for_end(running, job_id, most_starts=MOST_CRASHING_STARTS) == 'failed'
+    assert wait_for_end(running, job_id, max_starts=MOST_CRASHING_STARTS) == 'failed'
     assert {start.worker for start in running.starts() if start.task.startswith(job_id)} <= {'w0', 'w1', 'w2', 'w3'}
 
 
