--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -14,7 +14,7 @@
 from .running import PARALLEL
 
 # Number of failed runs after which a job in the deployment's queues fails.
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 ENDED_STATES = ('succeeded', 'failed')
 # Most starts allowed for a task that crashes workers: three conclusive crashes and two more.
 MOST_CRASHING_STARTS = 5
@@ -43,7 +43,7 @@
     """Crash and restart every worker after each has reported ends."""
     running.submit(MANY_TASKS)
     running.wait_for(running.job_ids[-1], 'succeeded')
-    assert all(len(worker.ends) > MOST_ATTEMPTS for worker in running.workers)
+    assert all(len(worker.ends) > MAX_ATTEMPTS for worker in running.workers)
     # A worker that crashes while an acknowledgement is unanswered is probed, which starts a task more than once.
     running.wait_until(lambda: all(len(worker.noted) == len(worker.ends) for worker in running.workers))
     running.sleep(ANSWER_S)
@@ -75,7 +75,7 @@
     """
     restart_all_workers(running)
     job_id = running.submit(ONE_TASK, 'fail')
-    assert wait_for_end(running, job_id, max_starts=MOST_ATTEMPTS) == 'failed'
+    assert wait_for_end(running, job_id, max_starts=MAX_ATTEMPTS) == 'failed'
 
 
 def test_a_start_that_got_no_answer_is_not_carried_out_by_the_next_incarnation(running):
