--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -17,7 +17,7 @@
 MAX_ATTEMPTS = 3
 ENDED_STATES = ('succeeded', 'failed')
 # Most starts allowed for a task that crashes workers: three conclusive crashes and two more.
-MOST_CRASHING_STARTS = 5
+MAX_CRASHING_STARTS = 5
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
 # Enough tasks for every worker to report some ends.
 MANY_TASKS = [{**PARALLEL[0], 'Count': 32}]
@@ -134,7 +134,7 @@
     for worker in running.workers:
         worker.keeps_id = True
     job_id = running.submit(ONE_TASK, 'crash1')
-    assert wait_for_end(running, job_id, max_starts=MOST_CRASHING_STARTS) == 'failed'
+    assert wait_for_end(running, job_id, max_starts=MAX_CRASHING_STARTS) == 'failed'
     assert {start.worker for start in running.starts() if start.task.startswith(job_id)} <= {'w0', 'w1', 'w2', 'w3'}
 
 
