--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -22,7 +22,7 @@
 # Enough tasks for every worker to report some ends.
 MANY_TASKS = [{**PARALLEL[0], 'Count': 32}]
 # Number of these tasks that fit on each of the four workers.
-ENDS_ON_A_WORKER = 8
+ENDS_PER_WORKER = 8
 # Longest time that an owner waits for the answer to a survey.
 ANSWER_S = 0.6
 
@@ -108,7 +108,7 @@
 
     def lose_what_acknowledges(step, is_done):
         # Ends that no answer listed before the crash are lost, and their tasks have to run again.
-        has_listed_all = is_done and len(worker.ends) >= ENDS_ON_A_WORKER and not worker.running
+        has_listed_all = is_done and len(worker.ends) >= ENDS_PER_WORKER and not worker.running
         if step == '/hold' and has_listed_all:
             worker.faults.lost_share, worker.faults.late_s = 1.0, 1.2
 
