--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -24,7 +24,7 @@
 # Number of these tasks that fit on each of the four workers.
 ENDS_PER_WORKER = 8
 # Longest time that an owner waits for the answer to a survey.
-ANSWER_S = 0.6
+SURVEY_TIMEOUT_S = 0.6
 
 
 def wait_for_end(running, job_id, max_starts):
@@ -46,7 +46,7 @@
     assert all(len(worker.ends) > MAX_ATTEMPTS for worker in running.workers)
     # A worker that crashes while an acknowledgement is unanswered is probed, which starts a task more than once.
     running.wait_until(lambda: all(len(worker.noted) == len(worker.ends) for worker in running.workers))
-    running.sleep(ANSWER_S)
+    running.sleep(SURVEY_TIMEOUT_S)
 
     async def start_again():
         async with anyio.create_task_group() as tasks:
