--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -106,13 +106,13 @@
     """
     worker = running.workers[0]
 
-    def lose_what_acknowledges(step, is_done):
+    def lose_acknowledgements(step, is_done):
         # Ends that no answer listed before the crash are lost, and their tasks have to run again.
         has_listed_all = is_done and len(worker.ends) >= ENDS_PER_WORKER and not worker.running
         if step == '/hold' and has_listed_all:
             worker.faults.lost_share, worker.faults.late_s = 1.0, 1.2
 
-    worker.faults.observer = lose_what_acknowledges
+    worker.faults.observer = lose_acknowledgements
     running.submit(MANY_TASKS, '0.1')
     running.wait_until(lambda: worker.faults.lost_share)
     running.sleep(0.2)
