--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -89,8 +89,8 @@
     running.sleep(0.25)
     for worker in running.workers:
         worker.faults.lost_share = 0.0
-    meant = next(worker for worker in running.workers if worker.late_starts)
-    running.portal.call(meant.start_again, 0.2)
+    target_worker = next(worker for worker in running.workers if worker.late_starts)
+    running.portal.call(target_worker.start_again, 0.2)
     assert wait_for_end(running, job_id, max_starts=1) == 'succeeded'
     assert not running.tasks_run_twice()
 
