--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -139,14 +139,14 @@
 
 @when('the entries of the workers that ran it expire and the owner is killed')
 def _(running):
-    running.portal.call(_lapse, running)
+    running.portal.call(_remove_worker_entries, running)
     running.deployment.kill(running.owner())
     running.store.faults.is_silent = False
     running.sleep(4.0)
     running.portal.call(_return, running)
 
 
-async def _lapse(running):
+async def _remove_worker_entries(running):
     for worker in running.workers:
         if worker.starts:
             running.store.remove(f'servers/{worker.worker_id}')
@@ -233,7 +233,7 @@
 def _(running):
     for worker in running.workers:
         worker.faults.is_silent = True
-    running.portal.call(_lapse, running)
+    running.portal.call(_remove_worker_entries, running)
     running.sleep(5.0)
     assert all(worker.running for worker in running.workers if worker.starts)
     for worker in running.workers:
