--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -143,7 +143,7 @@
     running.deployment.kill(running.owner())
     running.store.faults.is_silent = False
     running.sleep(4.0)
-    running.portal.call(_return, running)
+    running.portal.call(_publish_worker_entries, running)
 
 
 async def _remove_worker_entries(running):
@@ -152,7 +152,7 @@
             running.store.remove(f'servers/{worker.worker_id}')
 
 
-async def _return(running):
+async def _publish_worker_entries(running):
     for worker in running.workers:
         worker.publish()
 
@@ -238,7 +238,7 @@
     assert all(worker.running for worker in running.workers if worker.starts)
     for worker in running.workers:
         worker.faults.is_silent = False
-    running.portal.call(_return, running)
+    running.portal.call(_publish_worker_entries, running)
 
 
 @then('every task of it that started was stopped')
