--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -266,10 +266,10 @@
 def _(running):
     running.wait_until(lambda: any(worker.running for worker in running.workers))
     worker = next(worker for worker in running.workers if worker.running)
-    running.portal.call(_vanish, worker)
+    running.portal.call(_remove_worker, worker)
 
 
-async def _vanish(worker):
+async def _remove_worker(worker):
     worker.leave()
 
 
