--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -221,10 +221,10 @@
 
 @when('its record is removed from the store')
 def _(running):
-    running.portal.call(_remove, running, running.job_ids[-1])
+    running.portal.call(_remove_job_record, running, running.job_ids[-1])
 
 
-async def _remove(running, job_id):
+async def _remove_job_record(running, job_id):
     for key in (job_key(job_id), cancel_key(job_id), progress_key(job_id)):
         running.store.remove(key)
 
