--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -357,10 +357,10 @@
 
 @when('the key is replaced by another')
 def _(running):
-    running.portal.call(_configure, running)
+    running.portal.call(_replace_key, running)
 
 
-async def _configure(running):
+async def _replace_key(running):
     running.deployment.configure(keys=(OTHER_KEY,))
 
 
