--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -8,7 +8,7 @@
 
 # A ready task must run within this time if the pool has capacity for it.
 MAX_START_DELAY_S = 3.0
-# Duration of a run in seconds: longer than `WATCHED_S`, so that no run ends during the test.
+# Duration of a run in seconds: longer than `START_TIMEOUT_S`, so that no run ends during the test.
 RUN_DURATION_S = '20'
 START_TIMEOUT_S = 10.0
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
