--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -28,7 +28,7 @@
 
 
 def wait_for_end(running, job_id, max_starts):
-    """Wait until a job of one task has ended and return its state; fail at more than `most_starts` starts."""
+    """Wait until a job of one task has ended and return its state; fail at more than `max_starts` starts."""
 
     deadline_s = time.monotonic() + 40.0
     state = ''
