--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -45,7 +45,7 @@
         self.started_s = now_s
         self.stops_at_s: float | None = None
 
-    def ended_how(self, now_s: float) -> str:
+    def outcome(self, now_s: float) -> str:
         """Return how it has ended; nothing while it runs."""
         if self.stops_at_s is not None and now_s >= self.stops_at_s:
             return 'stopped'
@@ -246,7 +246,7 @@
         if lapsed:
             incarnation.lapsed_at_s = now_s
         for run in tuple(incarnation.run_by_task.values()):
-            how = 'lapsed' if lapsed else run.ended_how(now_s)
+            how = 'lapsed' if lapsed else run.outcome(now_s)
             if how:
                 self._end(run, how, now_s)
 
