--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -170,7 +170,7 @@
         self._store = store
         self._incarnation = _Incarnation(time.monotonic())
         self._updated = anyio.Event()
-        self._must_crash = False
+        self._crash_pending = False
         self._is_down = False
         self._crashes = 0
         self.address = Address('127.0.0.1', 0)
@@ -192,7 +192,7 @@
                 self._heartbeat()
                 next_heartbeat_s = time.monotonic() + _HEARTBEAT_S
             self._work(time.monotonic())
-            if self._must_crash and not self._is_down:
+            if self._crash_pending and not self._is_down:
                 await self._crash_and_return()
             await anyio.sleep(_TICK_S)
 
@@ -374,7 +374,7 @@
     @asynccontextmanager
     async def _down(self) -> AsyncGenerator[None, None]:
         """Take no connections for a while; nobody else gets the address meanwhile."""
-        self._must_crash = False
+        self._crash_pending = False
         self._is_down = True
         self.server.close()
         with socket.socket() as kept:
@@ -400,7 +400,7 @@
         incarnation.highest_by_task[task] = number
         payload = body['Spec']
         work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASHING))
-        self._must_crash = self._must_crash or payload.startswith(_CRASHING)
+        self._crash_pending = self._crash_pending or payload.startswith(_CRASHING)
         incarnation.run_by_task[task] = _Run(task, number, work_s, now_s)
         self.starts.append(Started(self.worker_id, task, number, body.get('Fence', 0), now_s, incarnation.incarnation))
         return self._reply({})
