--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -23,7 +23,7 @@
 # How long a worker that crashed is away.
 _DOWN_S = 0.4
 # A payload that begins so crashes the worker that starts it.
-_CRASHING = 'crash'
+_CRASH_PREFIX = 'crash'
 
 
 class Noted(NamedTuple):
@@ -399,8 +399,8 @@
         self._extend(body)
         incarnation.highest_by_task[task] = number
         payload = body['Spec']
-        work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASHING))
-        self._crash_pending = self._crash_pending or payload.startswith(_CRASHING)
+        work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
+        self._crash_pending = self._crash_pending or payload.startswith(_CRASH_PREFIX)
         incarnation.run_by_task[task] = _Run(task, number, work_s, now_s)
         self.starts.append(Started(self.worker_id, task, number, body.get('Fence', 0), now_s, incarnation.incarnation))
         return self._reply({})
