--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -264,7 +264,7 @@
         refusal = await self.faults.before(request)
         if refusal is not None:
             return refusal
-        if not self._is_meant(request):
+        if not self._matches_expected_worker(request):
             return Response(421)
         body = msgspec.json.decode(request.body)
         if 0 < self.faults.highest_fence < body.get('Fence', 0):
@@ -277,15 +277,15 @@
             if request.path == '/run-start':
                 self.late_starts.append(body['Task'])
             await anyio.sleep(self.faults.late_s)
-            if self._is_down or self._is_fenced_off(body) or not self._is_meant(request):
+            if self._is_down or self._is_fenced_off(body) or not self._matches_expected_worker(request):
                 # A newer owner has given orders meanwhile, or the worker has crashed.
                 return await self.faults.lose()
         self.faults.observe(request.path, is_done=False)
         response = await self._carry_out(request.path, body)
         self.faults.observe(request.path, is_done=True)
-        return await self.faults.lose() if is_lost or not self._is_meant(request) else response
+        return await self.faults.lose() if is_lost or not self._matches_expected_worker(request) else response
 
-    def _is_meant(self, request: Request) -> bool:
+    def _matches_expected_worker(self, request: Request) -> bool:
         """Tell whether a call is meant for this incarnation."""
         return request.header('expected-instance') in {'', self.worker_id}
 
