--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -269,7 +269,7 @@
         body = msgspec.json.decode(request.body)
         if 0 < self.faults.highest_fence < body.get('Fence', 0):
             return await self.faults.lose()
-        if self._is_fenced_off(body):
+        if self._has_stale_fence(body):
             return self._reply({'Reason': 'fence'}, 409)
         self._incarnation.fence = body.get('Fence', 0)
         is_lost = self.faults.loses(request.path)
@@ -277,7 +277,7 @@
             if request.path == '/run-start':
                 self.late_starts.append(body['Task'])
             await anyio.sleep(self.faults.late_s)
-            if self._is_down or self._is_fenced_off(body) or not self._matches_expected_worker(request):
+            if self._is_down or self._has_stale_fence(body) or not self._matches_expected_worker(request):
                 # A newer owner has given orders meanwhile, or the worker has crashed.
                 return await self.faults.lose()
         self.faults.observe(request.path, is_done=False)
@@ -289,7 +289,7 @@
         """Tell whether a call is meant for this incarnation."""
         return request.header('expected-instance') in {'', self.worker_id}
 
-    def _is_fenced_off(self, body: dict[str, Any]) -> bool:
+    def _has_stale_fence(self, body: dict[str, Any]) -> bool:
         """Tell whether an order is of an older owner than another that came."""
         return self.checks_fences and body.get('Fence', 0) < self._incarnation.fence
 
