--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -355,7 +355,7 @@
         """
         if self._is_down:
             return
-        async with self._down():
+        async with self._downtime():
             self._lose_everything()
             await anyio.sleep(down_s)
             self._begin_incarnation()
@@ -366,13 +366,13 @@
         if self.keeps_id:
             await self.start_again()
             return
-        async with self._down():
+        async with self._downtime():
             self._crashes += 1
             self.crash(f'{self.worker_id.partition("-")[0]}-c{self._crashes}')
             await anyio.sleep(_DOWN_S)
 
     @asynccontextmanager
-    async def _down(self) -> AsyncGenerator[None, None]:
+    async def _downtime(self) -> AsyncGenerator[None, None]:
         """Take no connections for a while; nobody else gets the address meanwhile."""
         self._crash_pending = False
         self._is_down = True
