--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -330,13 +330,13 @@
 
     def crash(self, worker_id: str) -> None:
         """Lose everything and come back as another incarnation at the same address."""
-        self._lose_everything()
+        self._discard_state()
         if worker_id != self.worker_id:
             self._store.remove(f'servers/{self.worker_id}')
         self.worker_id = worker_id
         self.publish()
 
-    def _lose_everything(self) -> None:
+    def _discard_state(self) -> None:
         now_s = time.monotonic()
         for run in self._incarnation.run_by_task.values():
             self.ends.append(
@@ -356,7 +356,7 @@
         if self._is_down:
             return
         async with self._downtime():
-            self._lose_everything()
+            self._discard_state()
             await anyio.sleep(down_s)
             self._begin_incarnation()
         self.publish()
