--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -256,7 +256,7 @@
         incarnation.ends += 1
         incarnation.finished.append([incarnation.ends, run.task, run.number, how, ''])
         self.ends.append(Ended(self.worker_id, run.task, run.number, how, now_s, incarnation.incarnation))
-        self._forget(incarnation.acknowledged)
+        self._acknowledge_ends(incarnation.acknowledged)
         updated, self._updated = self._updated, anyio.Event()
         updated.set()
 
@@ -304,7 +304,7 @@
 
     async def _hold(self, body: dict[str, Any]) -> Response:
         self._extend(body)
-        self._forget(body['AckedUpto'])
+        self._acknowledge_ends(body['AckedUpto'])
         if not self._incarnation.finished and body.get('WaitMs'):
             updated = self._updated
             with anyio.move_on_after(body['WaitMs'] / _MS):
@@ -315,7 +315,7 @@
             {'born': self._incarnation.born_ms, 'Running': running, 'Finished': self._incarnation.finished[:500]}
         )
 
-    def _forget(self, acknowledged: int) -> None:
+    def _acknowledge_ends(self, acknowledged: int) -> None:
         """Forget the ends that are acknowledged, also those that are yet to come under such numbers."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
