--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -319,13 +319,15 @@
         """Forget the ends that are acknowledged, also those that are yet to come under such numbers."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
-        now = {self._noted(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged}
+        now = {
+            self._acknowledged_end(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged
+        }
         # An end counts as noted unless the lease has ended between the two.
-        lapsed = {self._noted(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s}
+        lapsed = {self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s}
         self.noted.update(dict.fromkeys(now - lapsed, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
 
-    def _noted(self, task: str, run: int) -> Noted:
+    def _acknowledged_end(self, task: str, run: int) -> Noted:
         return Noted(self.worker_id, task, run, self._incarnation.incarnation)
 
     def crash(self, worker_id: str) -> None:
