--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -303,7 +303,7 @@
         return Response(404)
 
     async def _hold(self, body: dict[str, Any]) -> Response:
-        self._extend(body)
+        self._extend_lease(body)
         self._acknowledge_ends(body['AckedUpto'])
         if not self._incarnation.finished and body.get('WaitMs'):
             updated = self._updated
@@ -398,7 +398,7 @@
             return self._reply({'Reason': 'old'}, 409)
         if self.policy is not None and not self._has_ticket(task, body):
             return self._reply({'Reason': 'ticket'}, 409)
-        self._extend(body)
+        self._extend_lease(body)
         incarnation.highest_by_task[task] = number
         payload = body['Spec']
         work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
@@ -421,7 +421,7 @@
             run.stops_at_s = time.monotonic() + 0.1
         return self._reply({})
 
-    def _extend(self, body: dict[str, Any]) -> None:
+    def _extend_lease(self, body: dict[str, Any]) -> None:
         asked_s = body.get('UntilMs', 0) / _MS
         self._incarnation.until_s = max(
             self._incarnation.until_s, min(asked_s, self._incarnation.clock_s() + self.max_hold_s)
