--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -191,7 +191,7 @@
             if time.monotonic() >= next_heartbeat_s:
                 self._heartbeat()
                 next_heartbeat_s = time.monotonic() + _HEARTBEAT_S
-            self._work(time.monotonic())
+            self._update_runs(time.monotonic())
             if self._crash_pending and not self._is_down:
                 await self._crash_and_return()
             await anyio.sleep(_TICK_S)
@@ -240,7 +240,7 @@
             if run.number in numbers:
                 self._end(run, 'broken', time.monotonic())
 
-    def _work(self, now_s: float) -> None:
+    def _update_runs(self, now_s: float) -> None:
         incarnation = self._incarnation
         lapsed = incarnation.until_s and incarnation.clock_s() > incarnation.until_s
         if lapsed:
