--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -238,7 +238,7 @@
         """End the runs of gangs, by number, of which a member has failed elsewhere."""
         for run in tuple(self._incarnation.run_by_task.values()):
             if run.number in numbers:
-                self._end(run, 'broken', time.monotonic())
+                self._end_run(run, 'broken', time.monotonic())
 
     def _update_runs(self, now_s: float) -> None:
         incarnation = self._incarnation
@@ -248,9 +248,9 @@
         for run in tuple(incarnation.run_by_task.values()):
             how = 'lapsed' if lapsed else run.outcome(now_s)
             if how:
-                self._end(run, how, now_s)
+                self._end_run(run, how, now_s)
 
-    def _end(self, run: _Run, how: str, now_s: float) -> None:
+    def _end_run(self, run: _Run, how: str, now_s: float) -> None:
         incarnation = self._incarnation
         incarnation.run_by_task.pop(run.task, None)
         incarnation.ends += 1
