--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -96,7 +96,7 @@
         self.born_s = now_s
         self.born_ms = int(time.time() * _MS)
         self.run_by_task: dict[str, _Run] = {}
-        self.highest_by_task: dict[str, int] = {}
+        self.highest_run_by_task: dict[str, int] = {}
         self.finished: list[list[Any]] = []
         self.ends = 0
         self.acknowledged = 0
@@ -394,12 +394,12 @@
             return self._reply({})
         if body['UntilMs'] / _MS <= incarnation.clock_s():
             return self._reply({'Reason': 'late'}, 409)
-        if self.checks_run_numbers and number <= incarnation.highest_by_task.get(task, 0):
+        if self.checks_run_numbers and number <= incarnation.highest_run_by_task.get(task, 0):
             return self._reply({'Reason': 'old'}, 409)
         if self.policy is not None and not self._has_ticket(task, body):
             return self._reply({'Reason': 'ticket'}, 409)
         self._extend_lease(body)
-        incarnation.highest_by_task[task] = number
+        incarnation.highest_run_by_task[task] = number
         payload = body['Spec']
         work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
         self._crash_pending = self._crash_pending or payload.startswith(_CRASH_PREFIX)
@@ -416,7 +416,7 @@
         task, number = body['Task'], body['Run']
         incarnation = self._incarnation
         run = incarnation.run_by_task.get(task)
-        incarnation.highest_by_task[task] = max(number, incarnation.highest_by_task.get(task, 0))
+        incarnation.highest_run_by_task[task] = max(number, incarnation.highest_run_by_task.get(task, 0))
         if run is not None and run.number == number:
             run.stops_at_s = time.monotonic() + 0.1
         return self._reply({})
