--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -102,7 +102,7 @@
         self.acknowledged = 0
         self.fence = 0
         # Its lease, by its own clock, and when that last ended, by the machine's.
-        self.until_s = 0.0
+        self.lease_end_s = 0.0
         self.lapsed_at_s = 0.0
 
     def clock_s(self) -> float:
@@ -242,7 +242,7 @@
 
     def _update_runs(self, now_s: float) -> None:
         incarnation = self._incarnation
-        lapsed = incarnation.until_s and incarnation.clock_s() > incarnation.until_s
+        lapsed = incarnation.lease_end_s and incarnation.clock_s() > incarnation.lease_end_s
         if lapsed:
             incarnation.lapsed_at_s = now_s
         for run in tuple(incarnation.run_by_task.values()):
@@ -423,8 +423,8 @@
 
     def _extend_lease(self, body: dict[str, Any]) -> None:
         asked_s = body.get('UntilMs', 0) / _MS
-        self._incarnation.until_s = max(
-            self._incarnation.until_s, min(asked_s, self._incarnation.clock_s() + self.max_hold_s)
+        self._incarnation.lease_end_s = max(
+            self._incarnation.lease_end_s, min(asked_s, self._incarnation.clock_s() + self.max_hold_s)
         )
 
     def _reply(self, fields: dict[str, Any], status: int = 200) -> Response:
