--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -379,9 +379,9 @@
         self._crash_pending = False
         self._is_down = True
         self.server.close()
-        with socket.socket() as kept:
-            kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            kept.bind(self.address)
+        with socket.socket() as address_holder:
+            address_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            address_holder.bind(self.address)
             yield
             self._is_down = False
             await self.server.listen(self.address)
