--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -108,11 +108,11 @@
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         step = _step(request, parts.path, query)
         self.faults.observe(step, is_done=False)
-        response = await self._carry_out(request, parts.path, query)
+        response = await self._dispatch(request, parts.path, query)
         self.faults.observe(step, is_done=True)
         return response
 
-    async def _carry_out(self, request: Request, path: str, query: dict[str, str]) -> Response:
+    async def _dispatch(self, request: Request, path: str, query: dict[str, str]) -> Response:
         match (request.method, path):
             case ('GET', '/kv-key'):
                 return self._get(query['Key'])
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -281,7 +281,7 @@
                 # A newer owner has given orders meanwhile, or the worker has crashed.
                 return await self.faults.lose()
         self.faults.observe(request.path, is_done=False)
-        response = await self._carry_out(request.path, body)
+        response = await self._dispatch(request.path, body)
         self.faults.observe(request.path, is_done=True)
         return await self.faults.lose() if is_lost or not self._matches_expected_worker(request) else response
 
@@ -293,7 +293,7 @@
         """Tell whether an order is of an older owner than another that came."""
         return self.checks_fences and body.get('Fence', 0) < self._incarnation.fence
 
-    async def _carry_out(self, path: str, body: dict[str, Any]) -> Response:
+    async def _dispatch(self, path: str, body: dict[str, Any]) -> Response:
         if path == '/hold':
             return await self._hold(body)
         if path == '/run-start':
