--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -16,7 +16,7 @@
 
 _MS = 1000.0
 # Most items, and most updates, in one answer.
-_PAGE = 500
+_MAX_PAGE_ITEMS = 500
 
 
 class StoreStandIn:
@@ -150,8 +150,8 @@
     def _range(self, query: dict[str, str]) -> Response:
         after = query.get('After', '')
         keys = [key for key in self.keys(query['PathPrefix']) if key > after]
-        items = [self._item_by_key[key] for key in keys[:_PAGE]]
-        return _json({'items': items, 'Truncated': len(keys) > _PAGE, 'StoreRevision': self.revision})
+        items = [self._item_by_key[key] for key in keys[:_MAX_PAGE_ITEMS]]
+        return _json({'items': items, 'Truncated': len(keys) > _MAX_PAGE_ITEMS, 'StoreRevision': self.revision})
 
     async def _watch(self, query: dict[str, str]) -> Response:
         after = int(query['After'])
@@ -163,7 +163,7 @@
                 prefix = query['PathPrefix']
                 events = [each for each in self._history if each['Revision'] > after and each['Key'].startswith(prefix)]
                 if events and prefix != self.muted_key:
-                    cut = events[:_PAGE]
+                    cut = events[:_MAX_PAGE_ITEMS]
                     last = self.revision if len(cut) == len(events) else cut[-1]['Revision']
                     return _json({'events': cut, 'StoreRevision': last})
                 await changed.wait()
