--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -121,7 +121,7 @@
             case ('GET', '/kv-watch'):
                 return await self._watch(query)
             case ('POST', '/kv-txn'):
-                return await self._write(request)
+                return await self._handle_transaction(request)
             case ('POST', '/kv-lease'):
                 return self._grant(request)
         name, _, number = path.strip('/').partition('/')
@@ -132,7 +132,7 @@
             return Response(200)
         return Response(404)
 
-    async def _write(self, request: Request) -> Response:
+    async def _handle_transaction(self, request: Request) -> Response:
         """Carry out a transaction; its answer may be lost, or it may be late."""
         if self.faults.loses():
             if self.faults.late_s:
