--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -137,9 +137,9 @@
         if self.faults.loses():
             if self.faults.late_s:
                 await anyio.sleep(self.faults.late_s)
-            self._transact(request)
+            self._apply_transaction(request)
             return await self.faults.lose()
-        return self._transact(request)
+        return self._apply_transaction(request)
 
     def _get(self, key: str) -> Response:
         item = self._item_by_key.get(key)
@@ -169,7 +169,7 @@
                 await changed.wait()
         return _json({'events': [], 'StoreRevision': self.revision})
 
-    def _transact(self, request: Request) -> Response:
+    def _apply_transaction(self, request: Request) -> Response:
         body = msgspec.json.decode(request.body)
         conditions = body.get('ExpectedRev', ())
         for row in conditions:
