--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -126,7 +126,7 @@
                 return self._grant(request)
         name, _, number = path.strip('/').partition('/')
         if name == 'kv-keep':
-            return self._keep(int(number))
+            return self._renew_lease(int(number))
         if name == 'kv-lease-end':
             self._end_lease(int(number))
             return Response(200)
@@ -194,7 +194,7 @@
         self._lease_ends[self._leases] = (time.monotonic() + ttl_s, ttl_s)
         return _json({'Lease': self._leases, 'TtlMs': int(ttl_s * _MS)})
 
-    def _keep(self, lease: int) -> Response:
+    def _renew_lease(self, lease: int) -> Response:
         if lease not in self._lease_ends:
             return Response(404)
         _, ttl_s = self._lease_ends[lease]
