--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -123,7 +123,7 @@
             case ('POST', '/kv-txn'):
                 return await self._handle_transaction(request)
             case ('POST', '/kv-lease'):
-                return self._grant(request)
+                return self._grant_lease(request)
         name, _, number = path.strip('/').partition('/')
         if name == 'kv-keep':
             return self._renew_lease(int(number))
@@ -188,7 +188,7 @@
             self.remove(key)
         return _json({'Revision': self.revision})
 
-    def _grant(self, request: Request) -> Response:
+    def _grant_lease(self, request: Request) -> Response:
         ttl_s = msgspec.json.decode(request.body)['TtlMs'] / _MS
         self._leases += 1
         self._lease_ends[self._leases] = (time.monotonic() + ttl_s, ttl_s)
