--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -97,7 +97,7 @@
         """Answer 410 to watches from any earlier revision."""
         self._history.clear()
         self._oldest = self.revision
-        self._wake()
+        self._notify_watchers()
 
     async def _answer(self, request: Request) -> Response:
         self.calls += 1
@@ -209,9 +209,9 @@
 
     def _record(self, event: dict[str, Any]) -> None:
         self._history.append(event)
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         changed, self._changed = self._changed, anyio.Event()
         changed.set()
 
