--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -39,7 +39,7 @@
         self.revision = 0
         self._item_by_key: dict[str, dict[str, Any]] = {}
         self._history: deque[dict[str, Any]] = deque(maxlen=50_000)
-        self._oldest = 0
+        self._oldest_watchable = 0
         self._changed = anyio.Event()
         self._lease_ends: dict[int, tuple[float, float]] = {}
         self._leases = 0
@@ -96,7 +96,7 @@
     def forget_history(self) -> None:
         """Answer 410 to watches from any earlier revision."""
         self._history.clear()
-        self._oldest = self.revision
+        self._oldest_watchable = self.revision
         self._notify_watchers()
 
     async def _answer(self, request: Request) -> Response:
@@ -157,7 +157,7 @@
         after = int(query['After'])
         with anyio.move_on_after(int(query['WaitMs']) / _MS):
             while True:
-                if after < self._oldest:
+                if after < self._oldest_watchable:
                     return Response(410)
                 changed = self._changed
                 prefix = query['PathPrefix']
