--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -42,7 +42,7 @@
         self._oldest_watchable = 0
         self._changed = anyio.Event()
         self._lease_ends: dict[int, tuple[float, float]] = {}
-        self._leases = 0
+        self._lease_count = 0
         self.server = HttpServer(self._answer, max_body_bytes=4 * 1024 * 1024)
 
     async def listen(self) -> Address:
@@ -190,9 +190,9 @@
 
     def _grant_lease(self, request: Request) -> Response:
         ttl_s = msgspec.json.decode(request.body)['TtlMs'] / _MS
-        self._leases += 1
-        self._lease_ends[self._leases] = (time.monotonic() + ttl_s, ttl_s)
-        return _json({'Lease': self._leases, 'TtlMs': int(ttl_s * _MS)})
+        self._lease_count += 1
+        self._lease_ends[self._lease_count] = (time.monotonic() + ttl_s, ttl_s)
+        return _json({'Lease': self._lease_count, 'TtlMs': int(ttl_s * _MS)})
 
     def _renew_lease(self, lease: int) -> Response:
         if lease not in self._lease_ends:
