--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -40,7 +40,7 @@
         self._item_by_key: dict[str, dict[str, Any]] = {}
         self._history: deque[dict[str, Any]] = deque(maxlen=50_000)
         self._oldest_watchable = 0
-        self._changed = anyio.Event()
+        self._change_event = anyio.Event()
         self._lease_ends: dict[int, tuple[float, float]] = {}
         self._lease_count = 0
         self.server = HttpServer(self._answer, max_body_bytes=4 * 1024 * 1024)
@@ -159,7 +159,7 @@
             while True:
                 if after < self._oldest_watchable:
                     return Response(410)
-                changed = self._changed
+                changed = self._change_event
                 prefix = query['PathPrefix']
                 events = [each for each in self._history if each['Revision'] > after and each['Key'].startswith(prefix)]
                 if events and prefix != self.muted_key:
@@ -212,7 +212,7 @@
         self._notify_watchers()
 
     def _notify_watchers(self) -> None:
-        changed, self._changed = self._changed, anyio.Event()
+        changed, self._change_event = self._change_event, anyio.Event()
         changed.set()
 
 
