--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -106,7 +106,7 @@
             return refusal
         parts = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
-        step = _step(request, parts.path, query)
+        step = _call_label(request, parts.path, query)
         self.faults.observe(step, is_done=False)
         response = await self._dispatch(request, parts.path, query)
         self.faults.observe(step, is_done=True)
@@ -216,7 +216,7 @@
         changed.set()
 
 
-def _step(request: Request, path: str, query: dict[str, str]) -> str:
+def _call_label(request: Request, path: str, query: dict[str, str]) -> str:
     """Return a name for a call: what it does, and to which kind of key."""
     if path != '/kv-txn':
         key = query.get('Key') or query.get('PathPrefix', '')
