--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -220,13 +220,13 @@
     """Return a name for a call: what it does, and to which kind of key."""
     if path != '/kv-txn':
         key = query.get('Key') or query.get('PathPrefix', '')
-        return f'{path.strip("/").split("/")[0]} {_kind(key)}'.strip()
+        return f'{path.strip("/").split("/")[0]} {_key_kind(key)}'.strip()
     body = msgspec.json.decode(request.body)
     keys = [row['Key'] for row in body.get('Writes', ())] + list(body.get('Remove', ()))
-    return f'kv-txn {_kind(keys[0]) if keys else ""}'.strip()
+    return f'kv-txn {_key_kind(keys[0]) if keys else ""}'.strip()
 
 
-def _kind(key: str) -> str:
+def _key_kind(key: str) -> str:
     """Return the part of a key that tells what it is about."""
     kind = key.removeprefix('dahliaarch/').split('/')[0]
     return 'cancel' if key.endswith('.cancel') else kind
