--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -163,9 +163,9 @@
                 prefix = query['PathPrefix']
                 events = [each for each in self._history if each['Revision'] > after and each['Key'].startswith(prefix)]
                 if events and prefix != self.muted_key:
-                    cut = events[:_MAX_PAGE_ITEMS]
-                    last = self.revision if len(cut) == len(events) else cut[-1]['Revision']
-                    return _json({'events': cut, 'StoreRevision': last})
+                    page = events[:_MAX_PAGE_ITEMS]
+                    last = self.revision if len(page) == len(events) else page[-1]['Revision']
+                    return _json({'events': page, 'StoreRevision': last})
                 await changed.wait()
         return _json({'events': [], 'StoreRevision': self.revision})
 
