--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -66,12 +66,12 @@
 
     def _put(self, key: str, value: bytes, lease: int) -> int:
         """Write a key at the present revision."""
-        known = self._item_by_key.get(key)
+        existing = self._item_by_key.get(key)
         item = {
             'Key': key,
             'Value': base64.b64encode(value).decode(),
             'Revision': self.revision,
-            'Created': known['Created'] if known else self.revision,
+            'Created': existing['Created'] if existing else self.revision,
             'Lease': lease,
         }
         self._item_by_key[key] = item
