--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -175,8 +175,10 @@
         for row in conditions:
             item = self._item_by_key.get(row['Key'])
             if self.checks_conditions and (item['Revision'] if item else 0) != row['Revision']:
-                present = [self._item_by_key[each['Key']] for each in conditions if each['Key'] in self._item_by_key]
-                return _json({'items': present}, 412)
+                current_items = [
+                    self._item_by_key[each['Key']] for each in conditions if each['Key'] in self._item_by_key
+                ]
+                return _json({'items': current_items}, 412)
         writes = body.get('Writes', ())
         if any(row.get('Lease') and row['Lease'] not in self._lease_ends for row in writes):
             return Response(404)
