--- a/packages/standins/dahliaarch_standins/platform/faults.py
+++ b/packages/standins/dahliaarch_standins/platform/faults.py
@@ -44,12 +44,12 @@
             await anyio.sleep(self.delay_s)
         if self.is_silent:
             await anyio.sleep(_SILENCE_S)
-        is_refused = request.path in self.refused_paths or self._refuses()
+        is_refused = request.path in self.refused_paths or self._draws_refusal()
         if self.is_refusing or self.is_silent or is_refused:
             return Response(503)
         return None
 
-    def _refuses(self) -> bool:
+    def _draws_refusal(self) -> bool:
         """Tell whether this call is one of those refused."""
         return self.refused_share > 0 and self._random.random() < self.refused_share
 
