--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -27,7 +27,7 @@
     def __init__(self, consents: Collection[str]) -> None:
         """Start without tickets."""
         self.calls = 0
-        self._consents = consents
+        self._consenting_workers = consents
         self._until_by_ticket: dict[tuple[str, str, str], float] = {}
         self.server = HttpServer(self._answer)
 
@@ -44,7 +44,9 @@
         self.calls += 1
         body = msgspec.json.decode(request.body)
         await anyio.sleep(DECISION_S)
-        rows = [(worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consents]
+        rows = [
+            (worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consenting_workers
+        ]
         for worker_id, ticket in rows:
             self._until_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + VALID_S
         return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': VALID_S * 1000}))
