--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -28,7 +28,7 @@
         """Start without tickets."""
         self.calls = 0
         self._consenting_workers = consents
-        self._until_by_ticket: dict[tuple[str, str, str], float] = {}
+        self._expiry_by_ticket: dict[tuple[str, str, str], float] = {}
         self.server = HttpServer(self._answer)
 
     async def listen(self) -> Address:
@@ -38,7 +38,7 @@
 
     def is_valid(self, step: str, worker_id: str, ticket: str) -> bool:
         """Tell whether a ticket for a step on a worker holds now."""
-        return self._until_by_ticket.get((step, worker_id, ticket), 0.0) > time.monotonic()
+        return self._expiry_by_ticket.get((step, worker_id, ticket), 0.0) > time.monotonic()
 
     async def _answer(self, request: Request) -> Response:
         self.calls += 1
@@ -48,5 +48,5 @@
             (worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consenting_workers
         ]
         for worker_id, ticket in rows:
-            self._until_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + VALID_S
+            self._expiry_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + VALID_S
         return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': VALID_S * 1000}))
