--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -29,7 +29,7 @@
         self.calls = 0
         self._consenting_workers = consents
         self._expiry_by_ticket: dict[tuple[str, str, str], float] = {}
-        self.server = HttpServer(self._answer)
+        self.server = HttpServer(self._handle_request)
 
     async def listen(self) -> Address:
         """Listen on a free port of the loopback address."""
@@ -40,7 +40,7 @@
         """Tell whether a ticket for a step on a worker holds now."""
         return self._expiry_by_ticket.get((step, worker_id, ticket), 0.0) > time.monotonic()
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle_request(self, request: Request) -> Response:
         self.calls += 1
         body = msgspec.json.decode(request.body)
         await anyio.sleep(DECISION_S)
--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -43,7 +43,7 @@
         self._change_event = anyio.Event()
         self._lease_ends: dict[int, tuple[float, float]] = {}
         self._lease_count = 0
-        self.server = HttpServer(self._answer, max_body_bytes=4 * 1024 * 1024)
+        self.server = HttpServer(self._handle_request, max_body_bytes=4 * 1024 * 1024)
 
     async def listen(self) -> Address:
         """Listen on a free port of the loopback address."""
@@ -99,7 +99,7 @@
         self._oldest_watchable = self.revision
         self._notify_watchers()
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle_request(self, request: Request) -> Response:
         self.calls += 1
         refusal = await self.faults.before(request)
         if refusal is not None:
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -175,7 +175,7 @@
         self._crashes = 0
         self.address = Address('127.0.0.1', 0)
         self._seq = 0
-        self.server = HttpServer(self._answer)
+        self.server = HttpServer(self._handle_request)
 
     @property
     def running(self) -> dict[str, int]:
@@ -260,7 +260,7 @@
         updated, self._updated = self._updated, anyio.Event()
         updated.set()
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle_request(self, request: Request) -> Response:
         refusal = await self.faults.before(request)
         if refusal is not None:
             return refusal
