--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -18,7 +18,7 @@
     return {'Task': TASK, 'Run': 1, 'Spec': '5', 'UntilMs': until_ms, 'Fence': fence}
 
 
-def starts_after(meanwhile):
+def count_starts_after(meanwhile):
     """Return how many starts are carried out of one that is left unanswered and late, after what happens meanwhile."""
 
     async def scenario():
@@ -47,7 +47,7 @@
     async def survey(worker):
         await call(worker, '/hold', {'Fence': newer_fence, 'AckedUpto': 0})
 
-    assert starts_after(survey) == runs
+    assert count_starts_after(survey) == runs
 
 
 @pytest.mark.parametrize(('crashes', 'runs'), [(False, 1), (True, 0)], ids=['same incarnation', 'another incarnation'])
@@ -58,7 +58,7 @@
         if crashes:
             worker.crash('w0-1')
 
-    assert starts_after(crash) == runs
+    assert count_starts_after(crash) == runs
 
 
 def test_an_order_that_is_carried_out_late_is_by_the_next_incarnation_under_the_same_id():
@@ -68,7 +68,7 @@
         await call(worker, '/hold', {'Fence': 2, 'AckedUpto': 0})
         await worker.start_again(0.05)
 
-    assert starts_after(start_again) == 1
+    assert count_starts_after(start_again) == 1
 
 
 def test_a_worker_that_starts_again_under_its_id_knows_and_counts_nothing_of_before():
