--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -18,7 +18,7 @@
     return {'Task': TASK, 'Run': 1, 'Spec': '5', 'UntilMs': until_ms, 'Fence': fence}
 
 
-def count_starts_after(meanwhile):
+def count_starts_after(between):
     """Return how many starts are carried out of one that is left unanswered and late, after what happens meanwhile."""
 
     async def scenario():
@@ -31,7 +31,7 @@
             with pytest.raises(RequestUnansweredError):
                 await call(worker, '/run-start', start(fence=1), incarnation='w0')
             worker.faults.lost_share = 0.0
-            await meanwhile(worker)
+            await between(worker)
             await anyio.sleep(0.5)
             tasks.cancel_scope.cancel()
         worker.server.close()
