--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -50,7 +50,7 @@
     assert sorted(tmp_path.iterdir()) == sorted(folders[5:])
 
 
-def play(monkeypatch, tmp_path, outcome):
+def run_soak_with_outcome(monkeypatch, tmp_path, outcome):
     async def run(settings, folder):
         (folder / 'i0.log').touch()
         await anyio.sleep(0)
@@ -64,19 +64,19 @@
 
 
 def test_logs_and_report_of_a_violation_are_kept_and_named(monkeypatch, tmp_path):
-    result = play(monkeypatch, tmp_path, (DOUBLED,))
+    result = run_soak_with_outcome(monkeypatch, tmp_path, (DOUBLED,))
     (folder,) = tmp_path.iterdir()
     assert result.report == str(folder / 'report.json')
     assert {path.name for path in folder.iterdir()} == {'i0.log', 'report.json'}
 
 
 def test_nothing_is_kept_of_a_soak_without_a_violation(monkeypatch, tmp_path):
-    assert not play(monkeypatch, tmp_path, ()).report
+    assert not run_soak_with_outcome(monkeypatch, tmp_path, ()).report
     assert not list(tmp_path.iterdir())
 
 
 def test_logs_of_a_soak_that_does_not_come_to_its_end_are_kept_and_named(monkeypatch, tmp_path):
     with pytest.raises(TimeoutError) as failure:
-        play(monkeypatch, tmp_path, TimeoutError())
+        run_soak_with_outcome(monkeypatch, tmp_path, TimeoutError())
     (folder,) = tmp_path.iterdir()
     assert str(folder) in ''.join(failure.value.__notes__)
