--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -19,7 +19,7 @@
 DOUBLED = Violation('never two runs of a task at a time', f'{TASK}: 5, then 5')
 
 
-def worker_that_started_again():
+def restarted_worker():
     worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
     worker.starts = [Started('w0', TASK, 5, 9, 12.0, 1), Started('w0', TASK, 5, 9, 10.0, 0)]
     worker.starts.append(Started('w0', OTHER, 6, 9, 10.5, 0))
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize('violation', [DOUBLED, Violation('an accepted job is done', f'{JOB}: running')])
 def test_a_report_tells_what_became_of_the_tasks_that_violations_name(tmp_path, violation):
     plan = draw_plan(SETTINGS)
-    path = write_report(tmp_path, SETTINGS, plan, [violation], [worker_that_started_again()], Origin(10.0, 1000.0))
+    path = write_report(tmp_path, SETTINGS, plan, [violation], [restarted_worker()], Origin(10.0, 1000.0))
     report = json.loads(path.read_text())
     assert report['settings']['seed'] == 7
     assert [fault['at_s'] for fault in report['faults']] == [fault.at_s for fault in plan]
