--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -152,7 +152,7 @@
     assert [found.promise for found in doubled_runs([worker])] == promises
 
 
-class Busy:
+class WorkerOfTwoJobs:
     """A worker that runs a task of each of two jobs."""
 
     worker_id = 'w'
@@ -160,6 +160,6 @@
 
 
 def test_a_task_of_a_cancelled_job_that_runs_is_reported():
-    assert [found.detail for found in still_running({'a': 'cancelled', 'b': 'running'}, [Busy()])] == [
+    assert [found.detail for found in still_running({'a': 'cancelled', 'b': 'running'}, [WorkerOfTwoJobs()])] == [
         'w: a.0.0.0, 1, cancelled'
     ]
