--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -94,7 +94,7 @@
     assert not Submission('a', 'urgent', 1, ()).is_refused
 
 
-class Crashed:
+class CrashedWorker:
     """A worker that crashed under tasks."""
 
     def __init__(self, *tasks):
@@ -113,7 +113,7 @@
     ids=['two crashes', 'one each of two tasks', 'none', 'not known', 'not done'],
 )
 def test_a_job_may_be_shown_as_failed_only_after_two_crashes_under_a_task(job_id, state, is_false):
-    excused = may_be_given_up([Crashed('a.0.0.0', 'b.0.0.0'), Crashed('a.0.0.0', 'b.0.0.1')])
+    excused = may_be_given_up([CrashedWorker('a.0.0.0', 'b.0.0.0'), CrashedWorker('a.0.0.0', 'b.0.0.1')])
     found = list(false_ends({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
     assert bool(found) is is_false
 
