--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -65,12 +65,12 @@
 NEW = draw_settings(1)
 TASK = f'{"a" * 16}.0.0.0'
 # Each is 3 daemons.
-_AT_A_TIME = 3
+_PARALLEL_SOAKS = 3
 
 
 @pytest.fixture(scope='module')
 def soaks():
-    with ProcessPoolExecutor(_AT_A_TIME, multiprocessing.get_context('spawn')) as pool:
+    with ProcessPoolExecutor(_PARALLEL_SOAKS, multiprocessing.get_context('spawn')) as pool:
         yield {settings: pool.submit(run_soak, settings) for settings in (NEW, *REGRESSIONS)}
 
 
