--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -62,7 +62,7 @@
     # Three owners in turn were cut off from the store before they could keep a crash: a task was started six times.
     draw_settings(9440)._replace(kinds=_FOURTH_KINDS),
 )
-NEW = draw_settings(1)
+UNRESTRICTED_SETTINGS = draw_settings(1)
 TASK = f'{"a" * 16}.0.0.0'
 # Each is 3 daemons.
 _PARALLEL_SOAKS = 3
@@ -71,10 +71,10 @@
 @pytest.fixture(scope='module')
 def soaks():
     with ProcessPoolExecutor(_PARALLEL_SOAKS, multiprocessing.get_context('spawn')) as pool:
-        yield {settings: pool.submit(run_soak, settings) for settings in (NEW, *REGRESSIONS)}
+        yield {settings: pool.submit(run_soak, settings) for settings in (UNRESTRICTED_SETTINGS, *REGRESSIONS)}
 
 
-@pytest.mark.parametrize('settings', [NEW, *REGRESSIONS], ids=lambda settings: settings.seed)
+@pytest.mark.parametrize('settings', [UNRESTRICTED_SETTINGS, *REGRESSIONS], ids=lambda settings: settings.seed)
 def test_promises_are_kept_under_random_faults(settings, soaks):
     result = soaks[settings].result()
     assert result.accepted
