--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -132,7 +132,7 @@
 
 
 TWICE_AT_A_TIME = 'never two runs of a task at a time'
-AFTER_A_NOTE = 'no run after a success that was noted'
+AFTER_ACKNOWLEDGED_SUCCESS = 'no run after a success that was noted'
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
         ([(0, 'crashed', 2.0), (1, 'done', 4.0)], [], []),
         ([(0, 'crashed', 3.5), (1, 'done', 4.0)], [], [TWICE_AT_A_TIME]),
         ([(1, 'done', 4.0)], [], [TWICE_AT_A_TIME]),
-        ([(0, 'done', 2.0), (1, 'done', 4.0)], [0], [AFTER_A_NOTE]),
+        ([(0, 'done', 2.0), (1, 'done', 4.0)], [0], [AFTER_ACKNOWLEDGED_SUCCESS]),
         ([(0, 'done', 2.0), (1, 'done', 4.0)], [1], []),
     ],
 )
