--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -131,7 +131,7 @@
     return worker
 
 
-TWICE_AT_A_TIME = 'never two runs of a task at a time'
+CONCURRENT_RUNS = 'never two runs of a task at a time'
 AFTER_ACKNOWLEDGED_SUCCESS = 'no run after a success that was noted'
 
 
@@ -141,8 +141,8 @@
         # A late start, carried out again by the next incarnation, ended with its own end: taken for that of both.
         ([(0, 'crashed', 2.0), (1, 'done', 4.0)], [1], []),
         ([(0, 'crashed', 2.0), (1, 'done', 4.0)], [], []),
-        ([(0, 'crashed', 3.5), (1, 'done', 4.0)], [], [TWICE_AT_A_TIME]),
-        ([(1, 'done', 4.0)], [], [TWICE_AT_A_TIME]),
+        ([(0, 'crashed', 3.5), (1, 'done', 4.0)], [], [CONCURRENT_RUNS]),
+        ([(1, 'done', 4.0)], [], [CONCURRENT_RUNS]),
         ([(0, 'done', 2.0), (1, 'done', 4.0)], [0], [AFTER_ACKNOWLEDGED_SUCCESS]),
         ([(0, 'done', 2.0), (1, 'done', 4.0)], [1], []),
     ],
