--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -51,7 +51,7 @@
         return list(self.check.violations(logs))
 
     @property
-    def is_blamed(self):
+    def has_violation(self):
         return [each.promise for each in self.found()] == [PROMISE]
 
 
@@ -60,7 +60,7 @@
     pool.look_for(BOUND_S - 0.2)
     assert not pool.found()
     pool.look_for(0.5)
-    assert pool.is_blamed
+    assert pool.has_violation
 
 
 def test_a_wait_is_blamed_when_it_has_ended():
@@ -68,7 +68,7 @@
     pool.look_for(BOUND_S + 0.3)
     pool.workers[0].running['a.0.0.0'] = 1
     pool.look_for(1.0)
-    assert pool.is_blamed
+    assert pool.has_violation
 
 
 @pytest.mark.parametrize(
@@ -99,36 +99,36 @@
     assert not pool.found()
 
 
-@pytest.mark.parametrize(('done', 'is_blamed'), [(['a.0.0.0'], False), (['a.0.0.0', 'a.0.0.1'], True)])
-def test_a_step_is_ready_once_all_tasks_before_it_are_done(done, is_blamed):
+@pytest.mark.parametrize(('done', 'has_violation'), [(['a.0.0.0'], False), (['a.0.0.0', 'a.0.0.1'], True)])
+def test_a_step_is_ready_once_all_tasks_before_it_are_done(done, has_violation):
     wide = STEP._replace(demand=Resources(4000, 16_000, 9))
     pool = Pool(job('a', wide, STEP._replace(after=(0,))))
     pool.workers[0].ended(*done)
     pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('task_count', 'is_blamed'), [(2, True), (3, False)])
-def test_a_gang_needs_room_for_all_of_it_twice(task_count, is_blamed):
+@pytest.mark.parametrize(('task_count', 'has_violation'), [(2, True), (3, False)])
+def test_a_gang_needs_room_for_all_of_it_twice(task_count, has_violation):
     pool = Pool(job('a', STEP._replace(task_count=task_count, gang=True)))
     pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('accelerators', 'is_blamed'), [(1, True), (4, True), (5, False)])
-def test_room_for_one_more_is_not_enough(accelerators, is_blamed):
+@pytest.mark.parametrize(('accelerators', 'has_violation'), [(1, True), (4, True), (5, False)])
+def test_room_for_one_more_is_not_enough(accelerators, has_violation):
     pool = Pool(job('a', STEP._replace(demand=Resources(4000, 16_000, accelerators))), workers=1)
     pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('cores', 'is_blamed'), [(60, True), (64, False)])
-def test_capacity_of_which_half_is_in_use_is_not_idle(cores, is_blamed):
+@pytest.mark.parametrize(('cores', 'has_violation'), [(60, True), (64, False)])
+def test_capacity_of_which_half_is_in_use_is_not_idle(cores, has_violation):
     small = STEP._replace(demand=Resources(0, 16_000, 1))
     pool = Pool(job('a', small), job('b', StepSpec(1, Resources(1000 * cores, 0, 0))), workers=1)
     pool.workers[0].running['b.0.0.0'] = 1
     pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    assert pool.has_violation is has_violation
 
 
 def exit_of_a_daemon(pool):
@@ -147,7 +147,7 @@
     pool.look_for(BOUND_S - 0.2)
     assert not pool.found()
     pool.look_for(0.6)
-    assert pool.is_blamed
+    assert pool.has_violation
 
 
 def test_a_job_under_which_a_worker_crashed_may_wait_anew():
@@ -157,16 +157,16 @@
     pool.look_for(BOUND_S - 0.2)
     assert not pool.found()
     pool.look_for(0.6)
-    assert pool.is_blamed
+    assert pool.has_violation
 
 
-@pytest.mark.parametrize(('workers', 'is_blamed'), [(2, False), (3, True)])
-def test_capacity_of_a_worker_that_crashed_of_late_is_not_idle(workers, is_blamed):
+@pytest.mark.parametrize(('workers', 'has_violation'), [(2, False), (3, True)])
+def test_capacity_of_a_worker_that_crashed_of_late_is_not_idle(workers, has_violation):
     pool = Pool(job(), workers=workers)
     pool.look_for(CONTACT_S - 0.5)
     pool.workers[0].ended('c.0.0.0', how='crashed', at_s=pool.now_s)
     pool.look_for(READY_S + 1.0)
-    assert pool.is_blamed is is_blamed
+    assert pool.has_violation is has_violation
 
 
 def test_of_many_jobs_that_waited_the_longest_five_are_told_and_the_rest_counted():
