--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -47,18 +47,18 @@
             self.now_s += 0.1
             self.check.look(self.now_s)
 
-    def found(self, *logs):
+    def violations(self, *logs):
         return list(self.check.violations(logs))
 
     @property
     def has_violation(self):
-        return [each.promise for each in self.found()] == [PROMISE]
+        return [each.promise for each in self.violations()] == [PROMISE]
 
 
 def test_a_ready_job_that_waits_beside_idle_capacity_is_blamed_after_the_bound():
     pool = Pool(job())
     pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
+    assert not pool.violations()
     pool.look_for(0.5)
     assert pool.has_violation
 
@@ -80,7 +80,7 @@
     pool = Pool(submission)
     pool.workers[0].ended('b.0.0.0', 'b.0.0.0', how='crashed')
     pool.look_for(2 * BOUND_S)
-    assert not pool.found()
+    assert not pool.violations()
 
 
 def test_a_job_of_which_a_task_runs_or_that_is_done_is_not_blamed():
@@ -88,7 +88,7 @@
     pool.workers[0].running['a.0.0.0'] = 1
     pool.workers[1].ended('b.0.0.0', 'b.0.0.1')
     pool.look_for(2 * BOUND_S)
-    assert not pool.found()
+    assert not pool.violations()
 
 
 def test_a_run_between_two_looks_ends_a_wait():
@@ -96,7 +96,7 @@
     pool.look_for(BOUND_S - 1.0)
     pool.workers[0].starts.append(Started('w', 'a.0.0.0', 1, 0, pool.now_s + 0.05))
     pool.look_for(2.0)
-    assert not pool.found()
+    assert not pool.violations()
 
 
 @pytest.mark.parametrize(('done', 'has_violation'), [(['a.0.0.0'], False), (['a.0.0.0', 'a.0.0.1'], True)])
@@ -145,7 +145,7 @@
     pool.look_for(BOUND_S - 0.5)
     disturb(pool)
     pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
+    assert not pool.violations()
     pool.look_for(0.6)
     assert pool.has_violation
 
@@ -155,7 +155,7 @@
     pool.look_for(BOUND_S - 0.5)
     pool.workers[0].ended('a.0.0.0', how='crashed', at_s=pool.now_s)
     pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
+    assert not pool.violations()
     pool.look_for(0.6)
     assert pool.has_violation
 
@@ -174,9 +174,9 @@
     pool.look_for(BOUND_S + 0.5)
     pool.workers[0].running['a.0.0.0'] = 1
     pool.look_for(1.0)
-    found = pool.found()
-    assert len(found) == 5
-    assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in found)
+    violations = pool.violations()
+    assert len(violations) == 5
+    assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in violations)
 
 
 def test_the_last_reason_that_an_owner_logged_of_the_job_is_told(tmp_path):
@@ -188,7 +188,7 @@
     log.write_text('a trace\n' + ''.join(json.dumps(row, separators=(',', ':')) + '\n' for row in written))
     pool = Pool(job())
     pool.look_for(BOUND_S + 1.0)
-    detail = pool.found(log)[0].detail
+    detail = pool.violations(log)[0].detail
     assert detail.startswith('a: nothing ran from ')
     assert '"reason": "reserved"' in detail
-    assert pool.found()[0].detail.endswith('no step_waiting line')
+    assert pool.violations()[0].detail.endswith('no step_waiting line')
