--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -42,7 +42,7 @@
         self.check = ReadyWorkCheck(submissions, self.workers, CALM_S)
         self.now_s = CALM_S
 
-    def look_for(self, seconds):
+    def advance(self, seconds):
         for _ in range(round(seconds / 0.1)):
             self.now_s += 0.1
             self.check.look(self.now_s)
@@ -57,17 +57,17 @@
 
 def test_a_ready_job_that_waits_beside_idle_capacity_is_blamed_after_the_bound():
     pool = Pool(job())
-    pool.look_for(BOUND_S - 0.2)
+    pool.advance(BOUND_S - 0.2)
     assert not pool.violations()
-    pool.look_for(0.5)
+    pool.advance(0.5)
     assert pool.has_violation
 
 
 def test_a_wait_is_blamed_when_it_has_ended():
     pool = Pool(job())
-    pool.look_for(BOUND_S + 0.3)
+    pool.advance(BOUND_S + 0.3)
     pool.workers[0].running['a.0.0.0'] = 1
-    pool.look_for(1.0)
+    pool.advance(1.0)
     assert pool.has_violation
 
 
@@ -79,7 +79,7 @@
 def test_a_job_that_need_not_run_is_not_blamed(submission):
     pool = Pool(submission)
     pool.workers[0].ended('b.0.0.0', 'b.0.0.0', how='crashed')
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert not pool.violations()
 
 
@@ -87,15 +87,15 @@
     pool = Pool(job('a'), job('b'))
     pool.workers[0].running['a.0.0.0'] = 1
     pool.workers[1].ended('b.0.0.0', 'b.0.0.1')
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert not pool.violations()
 
 
 def test_a_run_between_two_looks_ends_a_wait():
     pool = Pool(job())
-    pool.look_for(BOUND_S - 1.0)
+    pool.advance(BOUND_S - 1.0)
     pool.workers[0].starts.append(Started('w', 'a.0.0.0', 1, 0, pool.now_s + 0.05))
-    pool.look_for(2.0)
+    pool.advance(2.0)
     assert not pool.violations()
 
 
@@ -104,21 +104,21 @@
     wide = STEP._replace(demand=Resources(4000, 16_000, 9))
     pool = Pool(job('a', wide, STEP._replace(after=(0,))))
     pool.workers[0].ended(*done)
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
 
 
 @pytest.mark.parametrize(('task_count', 'has_violation'), [(2, True), (3, False)])
 def test_a_gang_needs_room_for_all_of_it_twice(task_count, has_violation):
     pool = Pool(job('a', STEP._replace(task_count=task_count, gang=True)))
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
 
 
 @pytest.mark.parametrize(('accelerators', 'has_violation'), [(1, True), (4, True), (5, False)])
 def test_room_for_one_more_is_not_enough(accelerators, has_violation):
     pool = Pool(job('a', STEP._replace(demand=Resources(4000, 16_000, accelerators))), workers=1)
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
 
 
@@ -127,7 +127,7 @@
     small = STEP._replace(demand=Resources(0, 16_000, 1))
     pool = Pool(job('a', small), job('b', StepSpec(1, Resources(1000 * cores, 0, 0))), workers=1)
     pool.workers[0].running['b.0.0.0'] = 1
-    pool.look_for(2 * BOUND_S)
+    pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
 
 
@@ -142,38 +142,38 @@
 @pytest.mark.parametrize('disturb', [exit_of_a_daemon, late_look])
 def test_a_disturbance_ends_a_wait(disturb):
     pool = Pool(job())
-    pool.look_for(BOUND_S - 0.5)
+    pool.advance(BOUND_S - 0.5)
     disturb(pool)
-    pool.look_for(BOUND_S - 0.2)
+    pool.advance(BOUND_S - 0.2)
     assert not pool.violations()
-    pool.look_for(0.6)
+    pool.advance(0.6)
     assert pool.has_violation
 
 
 def test_a_job_under_which_a_worker_crashed_may_wait_anew():
     pool = Pool(job(), workers=3)
-    pool.look_for(BOUND_S - 0.5)
+    pool.advance(BOUND_S - 0.5)
     pool.workers[0].ended('a.0.0.0', how='crashed', at_s=pool.now_s)
-    pool.look_for(BOUND_S - 0.2)
+    pool.advance(BOUND_S - 0.2)
     assert not pool.violations()
-    pool.look_for(0.6)
+    pool.advance(0.6)
     assert pool.has_violation
 
 
 @pytest.mark.parametrize(('workers', 'has_violation'), [(2, False), (3, True)])
 def test_capacity_of_a_worker_that_crashed_of_late_is_not_idle(workers, has_violation):
     pool = Pool(job(), workers=workers)
-    pool.look_for(CONTACT_S - 0.5)
+    pool.advance(CONTACT_S - 0.5)
     pool.workers[0].ended('c.0.0.0', how='crashed', at_s=pool.now_s)
-    pool.look_for(READY_S + 1.0)
+    pool.advance(READY_S + 1.0)
     assert pool.has_violation is has_violation
 
 
 def test_of_many_jobs_that_waited_the_longest_five_are_told_and_the_rest_counted():
     pool = Pool(*(job(name) for name in 'abcdefgh'))
-    pool.look_for(BOUND_S + 0.5)
+    pool.advance(BOUND_S + 0.5)
     pool.workers[0].running['a.0.0.0'] = 1
-    pool.look_for(1.0)
+    pool.advance(1.0)
     violations = pool.violations()
     assert len(violations) == 5
     assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in violations)
@@ -187,7 +187,7 @@
     written = ({'at': at + wall_s, 'event': 'step_waiting', 'job': name, 'reason': why} for name, why, at in rows)
     log.write_text('a trace\n' + ''.join(json.dumps(row, separators=(',', ':')) + '\n' for row in written))
     pool = Pool(job())
-    pool.look_for(BOUND_S + 1.0)
+    pool.advance(BOUND_S + 1.0)
     detail = pool.violations(log)[0].detail
     assert detail.startswith('a: nothing ran from ')
     assert '"reason": "reserved"' in detail
