--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -131,7 +131,7 @@
     assert pool.has_violation is has_violation
 
 
-def exit_of_a_daemon(pool):
+def exit_daemon(pool):
     pool.check.disturb(pool.now_s)
 
 
@@ -139,7 +139,7 @@
     pool.now_s += 1.0
 
 
-@pytest.mark.parametrize('disturb', [exit_of_a_daemon, late_look])
+@pytest.mark.parametrize('disturb', [exit_daemon, late_look])
 def test_a_disturbance_ends_a_wait(disturb):
     pool = Pool(job())
     pool.advance(BOUND_S - 0.5)
