--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -135,11 +135,11 @@
     pool.check.disturb(pool.now_s)
 
 
-def late_look(pool):
+def delay_next_look(pool):
     pool.now_s += 1.0
 
 
-@pytest.mark.parametrize('disturb', [exit_daemon, late_look])
+@pytest.mark.parametrize('disturb', [exit_daemon, delay_next_look])
 def test_a_disturbance_ends_a_wait(disturb):
     pool = Pool(job())
     pool.advance(BOUND_S - 0.5)
