--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -8,7 +8,7 @@
 from dahliaarch_standins.soak.following import Answer, APPLY_S, FollowingCheck
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
-TIME = 'a configuration is in force in time'
+IN_FORCE_IN_TIME = 'a configuration is in force in time'
 BACK = 'no version goes back'
 INCARNATION = 7
 
@@ -40,7 +40,7 @@
 
 def test_an_older_version_is_right_until_the_bound_and_wrong_after_it(checked):
     assert not checked.take('only-2', 404, 10.0 + APPLY_S - 0.1)
-    assert checked.take('only-2', 404, 10.0 + APPLY_S + 0.1) == [TIME]
+    assert checked.take('only-2', 404, 10.0 + APPLY_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 @pytest.mark.parametrize(
@@ -49,13 +49,13 @@
     ids=['a route that has gone', 'a route that has come', 'a key that has come'],
 )
 def test_routes_and_keys_tell_an_older_version(checked, route, key, status):
-    assert checked.take(route, status, 20.0, key) == [TIME]
+    assert checked.take(route, status, 20.0, key) == [IN_FORCE_IN_TIME]
 
 
 def test_a_key_that_has_gone_is_refused(checked):
     checked.versions.append(version(3, 20.0))
     assert not checked.take('urgent', 400, 21.0, OTHER_KEY)
-    assert checked.take('urgent', 400, 23.0, OTHER_KEY) == [TIME]
+    assert checked.take('urgent', 400, 23.0, OTHER_KEY) == [IN_FORCE_IN_TIME]
 
 
 def test_a_version_that_is_not_due_yet_is_right(checked):
@@ -75,12 +75,12 @@
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('a',), 21.0)
     assert not checked.take('only-2', 404, 21.0 + CONTACT_S - 0.1)
-    assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [TIME]
+    assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 def test_a_disturbance_of_another_instance_excuses_nothing(checked):
     checked.contact.begin(('b',))
-    assert checked.take('only-2', 404, 20.0) == [TIME]
+    assert checked.take('only-2', 404, 20.0) == [IN_FORCE_IN_TIME]
 
 
 def test_of_disturbances_that_overlap_the_last_counts(checked):
@@ -99,7 +99,7 @@
 def test_a_store_that_forgets_its_history_stretches_the_bound(checked):
     checked.contact.lose_history(11.0)
     assert not checked.take('only-2', 404, 13.0)
-    assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [TIME]
+    assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 def test_a_slow_link_is_bound_while_a_fast_one_is_in_touch():
@@ -107,7 +107,7 @@
     checked.contact.begin(('b',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('b',), 20.0)
-    assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [TIME]
+    assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [IN_FORCE_IN_TIME]
 
 
 def test_an_incarnation_that_showed_a_version_does_not_go_back(checked):
@@ -128,4 +128,4 @@
 
 def test_an_incarnation_is_blamed_once_for_each_promise(checked):
     found = itertools.chain.from_iterable(checked.take('only-2', 404, 20.0 + part / 10) for part in range(5))
-    assert list(found) == [TIME]
+    assert list(found) == [IN_FORCE_IN_TIME]
