--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -9,7 +9,7 @@
 from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
 
 IN_FORCE_IN_TIME = 'a configuration is in force in time'
-BACK = 'no version goes back'
+NO_OLDER_VERSION = 'no version goes back'
 INCARNATION = 7
 
 
@@ -112,7 +112,7 @@
 
 def test_an_incarnation_that_showed_a_version_does_not_go_back(checked):
     assert not checked.take('only-2', 400, 10.1)
-    assert checked.take('only-1', 400, 10.2) == [BACK]
+    assert checked.take('only-1', 400, 10.2) == [NO_OLDER_VERSION]
 
 
 def test_another_incarnation_may_be_older(checked):
@@ -123,7 +123,7 @@
 def test_a_disturbed_instance_does_not_go_back_either(checked):
     checked.contact.begin(('a',))
     assert not checked.take('only-2', 400, 10.1)
-    assert checked.take('only-2', 404, 10.2) == [BACK]
+    assert checked.take('only-2', 404, 10.2) == [NO_OLDER_VERSION]
 
 
 def test_an_incarnation_is_blamed_once_for_each_promise(checked):
