--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -98,7 +98,7 @@
         self.run_by_task: dict[str, _Run] = {}
         self.highest_run_by_task: dict[str, int] = {}
         self.finished: list[list[Any]] = []
-        self.ends = 0
+        self.end_count = 0
         self.acknowledged = 0
         self.fence = 0
         # Its lease, by its own clock, and when that last ended, by the machine's.
@@ -253,8 +253,8 @@
     def _end_run(self, run: _Run, how: str, now_s: float) -> None:
         incarnation = self._incarnation
         incarnation.run_by_task.pop(run.task, None)
-        incarnation.ends += 1
-        incarnation.finished.append([incarnation.ends, run.task, run.number, how, ''])
+        incarnation.end_count += 1
+        incarnation.finished.append([incarnation.end_count, run.task, run.number, how, ''])
         self.ends.append(Ended(self.worker_id, run.task, run.number, how, now_s, incarnation.incarnation))
         self._acknowledge_ends(incarnation.acknowledged)
         updated, self._updated = self._updated, anyio.Event()
