--- a/packages/standins/dahliaarch_standins/platform/__init__.py
+++ b/packages/standins/dahliaarch_standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's store and workers, in memory, over the published protocol."""
+"""In-memory stand-ins for the platform's store, workers and external policy, served over the published protocol."""
 
 from .faults import Faults
 from .policy import PolicyStandIn
