--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -1,4 +1,4 @@
-"""The outside policy that consents to workers, in memory."""
+"""In-memory stand-in for the external policy that consents to the use of workers."""
 
 import secrets
 import time
@@ -10,22 +10,22 @@
 from dahliaarch_platform.http import HttpServer, Request, Response
 from dahliaarch_platform.settings import Address
 
-# How long its tickets hold, and what a call takes, in seconds.
+# Validity of a ticket and duration of a call, in seconds.
 VALID_S = 1.5
 DECISION_S = 0.1
 
 
 class PolicyStandIn:
-    """Consents to some workers and knows the tickets that it gave.
+    """Consents to given workers and records the tickets that it issues.
 
     Parameters
     ----------
     consents : collection of str
-        Workers that it consents to.
+        Identifiers of the workers that the policy consents to.
     """
 
     def __init__(self, consents: Collection[str]) -> None:
-        """Start without tickets."""
+        """Initialize without tickets."""
         self.calls = 0
         self._consenting_workers = consents
         self._expiry_by_ticket: dict[tuple[str, str, str], float] = {}
@@ -37,7 +37,7 @@
         return Address('127.0.0.1', self.server.port)
 
     def is_valid(self, step: str, worker_id: str, ticket: str) -> bool:
-        """Tell whether a ticket for a step on a worker holds now."""
+        """Return whether a ticket for a step on a worker is currently valid."""
         return self._expiry_by_ticket.get((step, worker_id, ticket), 0.0) > time.monotonic()
 
     async def _handle_request(self, request: Request) -> Response:
