--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory."""
+"""In-memory stand-in for the platform's store."""
 
 import base64
 import time
@@ -15,26 +15,26 @@
 from .faults import Faults
 
 _MS = 1000.0
-# Most items, and most updates, in one answer.
+# Maximum number of items, or of updates, in one response.
 _MAX_PAGE_ITEMS = 500
 
 
 class StoreStandIn:
-    """Keys with revisions, leases, watches and transactions.
+    """Key-value store with revisions, leases, watches and transactions.
 
     Parameters
     ----------
     faults : Faults
-        Faults that it has.
+        Faults to inject.
     """
 
     def __init__(self, faults: Faults | None = None) -> None:
-        """Start empty."""
+        """Initialize an empty store."""
         self.faults = faults or Faults()
         self.calls = 0
-        # Protections that control arms switch off.
+        # Safeguard that control arms disable.
         self.checks_conditions = True
-        # Key whose updates watches leave out.
+        # Watches of this key or prefix report no updates.
         self.muted_key = ''
         self.revision = 0
         self._item_by_key: dict[str, dict[str, Any]] = {}
@@ -51,7 +51,7 @@
         return Address('127.0.0.1', self.server.port)
 
     async def run(self) -> None:
-        """Let leases run out, until cancelled."""
+        """Expire leases until cancelled."""
         while True:
             await anyio.sleep(0.05)
             now_s = time.monotonic()
@@ -60,12 +60,12 @@
                     self._end_lease(lease)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key as the operator or a worker does."""
+        """Write a key under a new revision, as the operator or a worker does."""
         self.revision += 1
         return self._put(key, value, lease)
 
     def _put(self, key: str, value: bytes, lease: int) -> int:
-        """Write a key at the present revision."""
+        """Write a key under the current revision."""
         existing = self._item_by_key.get(key)
         item = {
             'Key': key,
@@ -85,16 +85,16 @@
             self._record({'Key': key, 'Revision': self.revision, 'Removed': True})
 
     def value(self, key: str) -> bytes | None:
-        """Return a value."""
+        """Return the value of a key, or None if the key does not exist."""
         item = self._item_by_key.get(key)
         return None if item is None else base64.b64decode(item['Value'])
 
     def keys(self, prefix: str) -> list[str]:
-        """Return the keys of a prefix."""
+        """Return the keys that start with a prefix, sorted."""
         return sorted(key for key in self._item_by_key if key.startswith(prefix))
 
     def forget_history(self) -> None:
-        """Answer 410 to watches from any earlier revision."""
+        """Discard the history: watches from an earlier revision get status 410."""
         self._history.clear()
         self._oldest_watchable = self.revision
         self._notify_watchers()
@@ -133,7 +133,7 @@
         return Response(404)
 
     async def _handle_transaction(self, request: Request) -> Response:
-        """Carry out a transaction; its answer may be lost, or it may be late."""
+        """Apply a transaction, whose response may be lost and which may be applied late."""
         if self.faults.loses():
             if self.faults.late_s:
                 await anyio.sleep(self.faults.late_s)
@@ -182,7 +182,7 @@
         writes = body.get('Writes', ())
         if any(row.get('Lease') and row['Lease'] not in self._lease_ends for row in writes):
             return Response(404)
-        # All of a transaction is one revision.
+        # All writes of a transaction share one revision.
         self.revision += 1
         for row in writes:
             self._put(row['Key'], base64.b64decode(row['Value']), row.get('Lease', 0))
@@ -219,7 +219,7 @@
 
 
 def _call_label(request: Request, path: str, query: dict[str, str]) -> str:
-    """Return a name for a call: what it does, and to which kind of key."""
+    """Return a label of a call: its operation and the kind of key that it concerns."""
     if path != '/kv-txn':
         key = query.get('Key') or query.get('PathPrefix', '')
         return f'{path.strip("/").split("/")[0]} {_key_kind(key)}'.strip()
@@ -229,7 +229,7 @@
 
 
 def _key_kind(key: str) -> str:
-    """Return the part of a key that tells what it is about."""
+    """Return the part of a key that identifies the kind of its record."""
     kind = key.removeprefix('dahliaarch/').split('/')[0]
     return 'cancel' if key.endswith('.cancel') else kind
 
