--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""The worker's stand-in keeps what a worker has to keep."""
+"""Tests that the stand-in for workers keeps the guarantees of a worker."""
 
 import socket
 import time
@@ -19,7 +19,7 @@
 
 
 def count_starts_after(between):
-    """Return how many starts are carried out of one that is left unanswered and late, after what happens meanwhile."""
+    """Return how often a start without a response is carried out if `between` runs before its late execution."""
 
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize(('newer_fence', 'runs'), [(1, 1), (2, 0)], ids=['same owner', 'newer owner'])
 def test_an_order_that_is_carried_out_late_is_held_against_the_highest_fence(newer_fence, runs):
-    """An owner's start was carried out after its successor had surveyed the worker: the task ran twice."""
+    """A start of an owner, carried out after its successor had surveyed the worker, ran the task twice."""
 
     async def survey(worker):
         await call(worker, '/hold', {'Fence': newer_fence, 'AckedUpto': 0})
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize(('crashes', 'runs'), [(False, 1), (True, 0)], ids=['same incarnation', 'another incarnation'])
 def test_an_order_that_is_carried_out_late_is_not_by_another_incarnation(crashes, runs):
-    """A start meant for a worker that had crashed began on its next incarnation, while its task ran elsewhere."""
+    """A start sent to a crashed worker was carried out by its next incarnation while the task ran elsewhere."""
 
     async def crash(worker):
         if crashes:
@@ -62,7 +62,7 @@
 
 
 def test_an_order_that_is_carried_out_late_is_by_the_next_incarnation_under_the_same_id():
-    """The id does not tell incarnations apart, and the later one remembers no fence."""
+    """The id does not distinguish the incarnations, and the later one has lost the fence of the earlier one."""
 
     async def start_again(worker):
         await call(worker, '/hold', {'Fence': 2, 'AckedUpto': 0})
@@ -96,7 +96,7 @@
 
 
 def test_nobody_gets_the_address_of_a_worker_that_is_down():
-    """Another process had it as the port of a call: the worker could not come back, and all ended."""
+    """Another process got the port for an outgoing call, so the worker could not restart and the soak aborted."""
 
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
