--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -1,4 +1,4 @@
-"""A worker in memory: runs tasks under leases and refuses older owners."""
+"""In-memory stand-in for a worker, which runs tasks under leases and rejects orders of outdated owners."""
 
 import socket
 import time
@@ -20,14 +20,14 @@
 _MS = 1000.0
 _HEARTBEAT_S = 0.5
 _TICK_S = 0.02
-# How long a worker that crashed is away.
+# Downtime of a worker after a crash.
 _DOWN_S = 0.4
-# A payload that begins so crashes the worker that starts it.
+# A payload with this prefix crashes the worker that starts it.
 _CRASH_PREFIX = 'crash'
 
 
 class Noted(NamedTuple):
-    """An end that was acknowledged to a worker whose lease had not ended since."""
+    """End of a run that was acknowledged and after which the lease of the worker had not expired by then."""
 
     worker: str
     task: str
@@ -36,7 +36,7 @@
 
 
 class _Run:
-    """One run: its number, work done and whether it stops."""
+    """Run of a task, with its number, duration and requested stop."""
 
     def __init__(self, task: str, number: int, work_s: float, now_s: float) -> None:
         self.task = task
@@ -46,7 +46,7 @@
         self.stops_at_s: float | None = None
 
     def outcome(self, now_s: float) -> str:
-        """Return how it has ended; nothing while it runs."""
+        """Return how the run has ended; an empty string while it is running."""
         if self.stops_at_s is not None and now_s >= self.stops_at_s:
             return 'stopped'
         if now_s - self.started_s < self.work_s:
@@ -58,7 +58,7 @@
 
 
 class Started(NamedTuple):
-    """A start that a worker carried out."""
+    """Start of a run that a worker carried out."""
 
     worker: str
     task: str
@@ -69,7 +69,7 @@
 
 
 class Ended(NamedTuple):
-    """An end of a run."""
+    """End of a run on a worker."""
 
     worker: str
     task: str
@@ -80,18 +80,18 @@
 
 
 class _Incarnation:
-    """What a worker holds and knows since its start, and forgets when it crashes.
+    """State of a worker that is lost when it crashes.
 
     Parameters
     ----------
     now_s : float
-        When it starts, by the clock of the whole machine.
+        Start time of the incarnation on the clock of the machine.
     incarnation : int
-        Number of the incarnation among those of its worker.
+        Sequence number of the incarnation within its worker.
     """
 
     def __init__(self, now_s: float, incarnation: int = 0) -> None:
-        """Start with nothing."""
+        """Initialize without runs and without a lease."""
         self.incarnation = incarnation
         self.born_s = now_s
         self.born_ms = int(time.time() * _MS)
@@ -101,34 +101,35 @@
         self.end_count = 0
         self.acknowledged = 0
         self.fence = 0
-        # Its lease, by its own clock, and when that last ended, by the machine's.
+        # End of the lease on the clock of the incarnation, and time at which a lease last
+        # expired on the clock of the machine.
         self.lease_end_s = 0.0
         self.lapsed_at_s = 0.0
 
     def clock_s(self) -> float:
-        """Return a reading of its own clock, which starts anew with it."""
+        """Return the time on the clock of the incarnation, which starts at 0 with it."""
         return time.monotonic() - self.born_s
 
 
 class WorkerStandIn:
-    """A worker, through all of its incarnations.
+    """Worker with all of its successive incarnations.
 
-    Tasks take the time that their payload names in seconds; a payload that
-    begins with ``fail`` fails, and one that begins with ``crash`` crashes the
-    worker, which is back a little later as another incarnation.
+    The payload of a task is its duration in seconds. A payload that starts with ``fail``
+    fails, and one that starts with ``crash`` crashes the worker, which returns after
+    0.4 s as another incarnation.
 
     Parameters
     ----------
     worker_id : str
-        Identifier that it publishes; an incarnation may keep that of the incarnation before.
+        Published identifier; an incarnation may reuse that of the previous incarnation.
     service : str
-        Service that it belongs to.
+        Service that the worker belongs to.
     rack : str
-        Its rack.
+        Rack of the worker.
     store : StoreStandIn
-        Where it publishes its entry.
+        Store in which the worker publishes its entry.
     faults : Faults
-        Faults that it has.
+        Faults to inject.
     """
 
     def __init__(
@@ -139,31 +140,31 @@
         store: StoreStandIn,
         faults: Faults | None = None,
     ) -> None:
-        """Start empty."""
+        """Initialize a worker without runs."""
         self.worker_id = worker_id
         self.faults = faults or Faults()
-        # Protections that control arms switch off: older owners are refused, and
-        # runs that were stopped before they were there.
+        # Safeguards that control arms disable: rejecting orders of outdated owners, and
+        # starts of runs that were stopped before their start arrived.
         self.checks_fences = True
         self.checks_run_numbers = True
-        # Asked about the tickets of starts on queues that need one.
+        # Validates the tickets of starts; None if starts need no ticket.
         self.policy: PolicyStandIn | None = None
-        # Where it says that it takes orders: a proxy, where one stands before it.
+        # Published address for orders, if it is that of a proxy in front of the worker.
         self.published_address: Address | None = None
-        # Ends that were noted, and when.
+        # Acknowledged ends of runs, with the time of the acknowledgement.
         self.noted: dict[Noted, float] = {}
         self.starts: list[Started] = []
         self.ends: list[Ended] = []
-        # Starts that were left unanswered, to be carried out late.
+        # Tasks whose start got no response and is carried out late.
         self.late_starts: list[str] = []
-        # Whether every task that it starts fails at once.
+        # Whether every task fails immediately after its start.
         self.fails_tasks = False
         self.is_draining = False
         self.is_cut_off = False
         self.capacity = Resources(64_000, 262_144, 8)
-        # Longest lease that it grants, in seconds.
+        # Maximum duration of a lease, in seconds.
         self.max_hold_s = 10.0
-        # Whether it comes back under the id that it had when a task crashes it.
+        # Whether the worker keeps its id after a crash caused by a task.
         self.keeps_id = False
         self._service = service
         self._rack = rack
@@ -179,11 +180,11 @@
 
     @property
     def running(self) -> dict[str, int]:
-        """Runs by task."""
+        """Numbers of the active runs, by task."""
         return {task: run.number for task, run in self._incarnation.run_by_task.items()}
 
     async def run(self) -> None:
-        """Serve, work and publish, until cancelled."""
+        """Serve requests, advance runs and publish the entry until cancelled."""
         await self.server.listen(Address('127.0.0.1', 0))
         self.address = Address('127.0.0.1', self.server.port)
         next_heartbeat_s = 0.0
@@ -197,25 +198,25 @@
             await anyio.sleep(_TICK_S)
 
     def leave(self) -> None:
-        """Vanish without a word."""
+        """Remove the entry and stop without reporting the ends of active runs."""
         self._store.remove(f'servers/{self.worker_id}')
         self.server.close()
         self._incarnation.run_by_task.clear()
 
     def cut_off(self) -> None:
-        """Part it from the store and from all instances; its entry lapses and it runs on."""
+        """Disconnect the worker from the store and all instances: its entry is removed, and its runs continue."""
         self.is_cut_off = True
         self._store.remove(f'servers/{self.worker_id}')
         self.server.close()
 
     def _heartbeat(self) -> None:
-        """Write the entry when it has changed."""
+        """Publish the entry at the first heartbeat and, while draining, at every heartbeat."""
         if (self._seq == 0 or self.is_draining) and not self.is_cut_off:
             self.publish()
         self._seq += 1
 
     def publish(self) -> None:
-        """Write the entry."""
+        """Write the entry of the worker to the store."""
         address = self.published_address or self.address
         entry = {
             'Service': self._service,
@@ -235,7 +236,7 @@
         self._store.put(f'servers/{self.worker_id}', msgspec.json.encode(entry))
 
     def break_off(self, numbers: Collection[int]) -> None:
-        """End the runs of gangs, by number, of which a member has failed elsewhere."""
+        """End the runs with the given numbers, because another member of their gang has failed."""
         for run in tuple(self._incarnation.run_by_task.values()):
             if run.number in numbers:
                 self._end_run(run, 'broken', time.monotonic())
@@ -278,7 +279,7 @@
                 self.late_starts.append(body['Task'])
             await anyio.sleep(self.faults.late_s)
             if self._is_down or self._has_stale_fence(body) or not self._matches_expected_worker(request):
-                # A newer owner has given orders meanwhile, or the worker has crashed.
+                # A newer owner has sent orders in the meantime, or the worker has crashed.
                 return await self.faults.lose()
         self.faults.observe(request.path, is_done=False)
         response = await self._dispatch(request.path, body)
@@ -286,11 +287,11 @@
         return await self.faults.lose() if is_lost or not self._matches_expected_worker(request) else response
 
     def _matches_expected_worker(self, request: Request) -> bool:
-        """Tell whether a call is meant for this incarnation."""
+        """Return whether a call is addressed to the current id of the worker, or to any."""
         return request.header('expected-instance') in {'', self.worker_id}
 
     def _has_stale_fence(self, body: dict[str, Any]) -> bool:
-        """Tell whether an order is of an older owner than another that came."""
+        """Return whether an order is from an older owner than the last accepted order."""
         return self.checks_fences and body.get('Fence', 0) < self._incarnation.fence
 
     async def _dispatch(self, path: str, body: dict[str, Any]) -> Response:
@@ -316,13 +317,14 @@
         )
 
     def _acknowledge_ends(self, acknowledged: int) -> None:
-        """Forget the ends that are acknowledged, also those that are yet to come under such numbers."""
+        """Discard the acknowledged ends, including later ends with numbers up to the acknowledged one."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
         now = {
             self._acknowledged_end(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged
         }
-        # An end counts as noted unless the lease has ended between the two.
+        # An end does not count as acknowledged if the lease has expired between the end
+        # and its acknowledgement.
         lapsed = {self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s}
         self.noted.update(dict.fromkeys(now - lapsed, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
@@ -331,7 +333,7 @@
         return Noted(self.worker_id, task, run, self._incarnation.incarnation)
 
     def crash(self, worker_id: str) -> None:
-        """Lose everything and come back as another incarnation at the same address."""
+        """Crash and restart at once as another incarnation at the same address, without downtime."""
         self._discard_state()
         if worker_id != self.worker_id:
             self._store.remove(f'servers/{self.worker_id}')
@@ -350,10 +352,10 @@
         self._incarnation = _Incarnation(time.monotonic(), self._incarnation.incarnation + 1)
 
     async def start_again(self, down_s: float = _DOWN_S) -> None:
-        """Crash and come back under the same id, with the entry written again before it has lapsed.
+        """Crash and restart under the same id; the entry is rewritten before it expires.
 
-        Calls that were not answered yet may be carried out by the later incarnation. One
-        that is down already stays so for as long as it was to.
+        Calls without a response yet may be carried out by the next incarnation. If the worker
+        is already down, its downtime does not change.
         """
         if self._is_down:
             return
@@ -364,7 +366,7 @@
         self.publish()
 
     async def _crash_and_return(self) -> None:
-        """Crash, and take connections again a little later."""
+        """Crash, and accept connections again after the downtime."""
         if self.keeps_id:
             await self.start_again()
             return
@@ -375,7 +377,7 @@
 
     @asynccontextmanager
     async def _downtime(self) -> AsyncGenerator[None, None]:
-        """Take no connections for a while; nobody else gets the address meanwhile."""
+        """Accept no connections within the context, and keep the address reserved."""
         self._crash_pending = False
         self._is_down = True
         self.server.close()
