--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -1,4 +1,4 @@
-"""The check of versions blames what breaks a promise, and nothing else."""
+"""Tests that the check of configuration versions reports violations, and nothing else."""
 
 import itertools
 
@@ -18,7 +18,7 @@
 
 
 class CheckedVersions:
-    """Versions 1 at 0 s and 2 at 10 s; instances calm since 0 s."""
+    """Check with version 1 acknowledged at 0 s, version 2 at 10 s and instances undisturbed since 0 s."""
 
     def __init__(self, slow_names=()):
         self.contact = Contact(('a', 'b'), slow_names)
