--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -1,4 +1,4 @@
-"""The check of ready work blames jobs that wait beside idle capacity, and nothing else."""
+"""Tests that the check of ready work reports jobs that wait despite idle capacity, and nothing else."""
 
 import json
 import time
@@ -22,7 +22,7 @@
 
 
 class Worker:
-    """A worker with what it saw."""
+    """Worker with its active runs and its recorded starts and ends."""
 
     def __init__(self, *running):
         self.capacity = Resources(64_000, 262_144, 8)
@@ -35,7 +35,7 @@
 
 
 class Pool:
-    """Two workers, the check, and the time at which it last looked."""
+    """Pool of workers, two by default, with the check and the time of its last look."""
 
     def __init__(self, *submissions, workers=2):
         self.workers = [Worker() for _ in range(workers)]
