--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What a soak keeps when something went wrong."""
+"""Tests of the report and logs that a soak keeps after a violation or an error."""
 
 import json
 
