--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds, and the seeds that ever failed."""
+"""Short soaks with fixed seeds, including all seeds that have failed before."""
 
 import multiprocessing
 from concurrent.futures import ProcessPoolExecutor
@@ -10,8 +10,8 @@
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
 from dahliaarch_standins.soak.violations import doubled_runs, false_ends, may_be_given_up, still_running, Submission
 
-# The kinds of faults to draw from when a seed failed: kinds that came later would
-# make it another plan.
+# Fault kinds that existed when a seed failed: drawing from later kinds as well would
+# change its fault plan.
 _FIRST_KINDS = (
     'change_keys',
     'crash_worker',
@@ -36,35 +36,36 @@
 _SECOND_KINDS = tuple(sorted((*_FIRST_KINDS, 'cut_instance_from_peers', 'grow_configuration', 'slow_link')))
 _THIRD_KINDS = tuple(sorted((*_SECOND_KINDS, 'leave_owner_a_worker')))
 _FOURTH_KINDS = tuple(sorted((*_THIRD_KINDS, 'restart_worker')))
-# Seeds that failed once, each with its cause; see docs/findings.md.
+# Seeds that have failed, each with its cause; see docs/findings.md.
 REGRESSIONS = (
-    # SIGHUP during the start, before the handler stands, ended an instance.
+    # SIGHUP during startup, before its handler was installed, terminated an instance.
     SoakSettings(1, kinds=_FIRST_KINDS, changes=0),
-    # A watch that a silent store had received was waited for when it was back: a configuration came 7 s late.
+    # An instance kept waiting for a watch that a silent store had received, also after the store had recovered: a
+    # configuration took effect 7 s late.
     draw_settings(2001)._replace(kinds=_SECOND_KINDS, crashing_share=0.0, keeping_ids=0),
     draw_settings(2007)._replace(kinds=_SECOND_KINDS, crashing_share=0.0, keeping_ids=0),
-    # The same; then the stand-in of a worker carried out a start of an owner whose successor had been there: a task
-    # ran twice at a time.
+    # As above; then the stand-in for a worker carried out a start of an owner whose successor had already surveyed
+    # the worker: a task had two concurrent runs.
     draw_settings(2012)._replace(kinds=_SECOND_KINDS, crashing_share=0.0, keeping_ids=0),
-    # SIGTERM at an instance that was being started, which ends it at once, ended the soak.
+    # SIGTERM during the startup of an instance, which terminates it immediately, aborted the soak.
     draw_settings(3017)._replace(kinds=_SECOND_KINDS, crashing_share=0.0, keeping_ids=0),
-    # Three owners in turn, none of which could keep the crashes that it counted, started a task six times.
+    # Three successive owners, none of which could save the crashes that it counted, started a task six times.
     draw_settings(6019)._replace(kinds=_THIRD_KINDS, keeping_ids=0),
-    # The same under two, after a crash that fell between two owners.
+    # The same with two owners, after a crash between the terms of two owners.
     draw_settings(6021)._replace(kinds=_THIRD_KINDS, keeping_ids=0),
-    # The stand-in of a worker let its next incarnation carry out a late start that was meant for the incarnation
-    # before.
+    # The stand-in for a worker let its next incarnation carry out a late start that was addressed to the previous
+    # incarnation.
     draw_settings(7002)._replace(kinds=_THIRD_KINDS, keeping_ids=0),
-    # A late acknowledgement was carried out by a worker's next incarnation, which forgot ends that nobody had read.
+    # The next incarnation of a worker carried out a late acknowledgement and discarded ends that no owner had read.
     draw_settings(8001)._replace(kinds=_FOURTH_KINDS),
-    # Incarnations rested for acknowledgements that were never sent, so that jobs did not end in time.
+    # Incarnations stayed unused while waiting for acknowledgements that were never sent, so jobs did not end in time.
     draw_settings(9039)._replace(kinds=_FOURTH_KINDS),
-    # Three owners in turn were cut off from the store before they could keep a crash: a task was started six times.
+    # Three successive owners lost the store before they could save a crash: a task was started six times.
     draw_settings(9440)._replace(kinds=_FOURTH_KINDS),
 )
 UNRESTRICTED_SETTINGS = draw_settings(1)
 TASK = f'{"a" * 16}.0.0.0'
-# Each is 3 daemons.
+# Each soak starts 3 daemons.
 _PARALLEL_SOAKS = 3
 
 
@@ -95,7 +96,7 @@
 
 
 class CrashedWorker:
-    """A worker that crashed under tasks."""
+    """Worker that crashed while it ran the given tasks."""
 
     def __init__(self, *tasks):
         self.ends = [Ended('w', task, number, 'crashed', 1.0) for number, task in enumerate(tasks)]
@@ -123,7 +124,7 @@
 
 
 def worker_with(starts, ends, noted=()):
-    """Return a worker whose incarnations ran one task under one number."""
+    """Return a worker whose incarnations ran one task under the same run number."""
     worker = WorkerStandIn('w', 'svc', 'r0', StoreStandIn())
     worker.starts = [Started('w', TASK, 1, 9, at_s, incarnation) for incarnation, at_s in starts]
     worker.ends = [Ended('w', TASK, 1, how, at_s, incarnation) for incarnation, how, at_s in ends]
@@ -138,7 +139,7 @@
 @pytest.mark.parametrize(
     ('ends', 'noted', 'promises'),
     [
-        # A late start, carried out again by the next incarnation, ended with its own end: taken for that of both.
+        # The next incarnation carried out a late start again; its end was attributed to the runs of both incarnations.
         ([(0, 'crashed', 2.0), (1, 'done', 4.0)], [1], []),
         ([(0, 'crashed', 2.0), (1, 'done', 4.0)], [], []),
         ([(0, 'crashed', 3.5), (1, 'done', 4.0)], [], [CONCURRENT_RUNS]),
@@ -153,7 +154,7 @@
 
 
 class WorkerOfTwoJobs:
-    """A worker that runs a task of each of two jobs."""
+    """Worker that runs one task of each of two jobs."""
 
     worker_id = 'w'
     running = {'a.0.0.0': 1, 'b.0.0.0': 2}
