--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize('status', [503, 504, 429])
-def test_an_answer_that_tells_nothing_is_not_checked(checked, status):
+def test_an_answer_that_does_not_identify_a_version_is_not_checked(checked, status):
     assert not checked.take('only-2', status, 20.0)
     assert not checked.check.checked
 
