--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -90,7 +90,7 @@
     assert not checked.take('only-2', 404, 20.0)
 
 
-def test_a_request_sent_before_a_disturbance_that_is_over_is_not_checked(checked):
+def test_a_request_sent_during_or_before_a_past_disturbance_is_not_checked(checked):
     checked.contact.begin(('a',))
     checked.contact.end(('a',), 20.5)
     assert not checked.take('only-2', 404, 20.0)
