--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -110,7 +110,7 @@
     assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [IN_FORCE_IN_TIME]
 
 
-def test_an_incarnation_that_showed_a_version_does_not_go_back(checked):
+def test_an_incarnation_must_not_return_to_an_older_version(checked):
     assert not checked.take('only-2', 400, 10.1)
     assert checked.take('only-1', 400, 10.2) == [NO_OLDER_VERSION]
 
