--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -115,7 +115,7 @@
     assert checked.take('only-1', 400, 10.2) == [NO_OLDER_VERSION]
 
 
-def test_another_incarnation_may_be_older(checked):
+def test_another_incarnation_may_have_an_older_version(checked):
     assert not checked.take('only-2', 400, 10.1)
     assert not checked.take('only-1', 400, 10.2, incarnation=INCARNATION + 1)
 
