--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -126,6 +126,6 @@
     assert checked.take('only-2', 404, 10.2) == [NO_OLDER_VERSION]
 
 
-def test_an_incarnation_is_blamed_once_for_each_promise(checked):
+def test_each_promise_is_reported_once_per_incarnation(checked):
     found = itertools.chain.from_iterable(checked.take('only-2', 404, 20.0 + part / 10) for part in range(5))
     assert list(found) == [IN_FORCE_IN_TIME]
