--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -55,7 +55,7 @@
         return [each.promise for each in self.violations()] == [PROMISE]
 
 
-def test_a_ready_job_that_waits_beside_idle_capacity_is_blamed_after_the_bound():
+def test_a_ready_job_that_waits_despite_idle_capacity_is_reported_after_the_bound():
     pool = Pool(job())
     pool.advance(BOUND_S - 0.2)
     assert not pool.violations()
