--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -63,7 +63,7 @@
     assert pool.has_violation
 
 
-def test_a_wait_is_blamed_when_it_has_ended():
+def test_a_wait_is_reported_after_its_end():
     pool = Pool(job())
     pool.advance(BOUND_S + 0.3)
     pool.workers[0].running['a.0.0.0'] = 1
