--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -76,7 +76,7 @@
     [job(statuses=(503, 504)), job(is_cancelled=True), job('b')],
     ids=['not accepted', 'cancelled', 'crashed twice'],
 )
-def test_a_job_that_need_not_run_is_not_blamed(submission):
+def test_a_job_that_need_not_run_is_not_reported(submission):
     pool = Pool(submission)
     pool.workers[0].ended('b.0.0.0', 'b.0.0.0', how='crashed')
     pool.advance(2 * BOUND_S)
