--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -83,7 +83,7 @@
     assert not pool.violations()
 
 
-def test_a_job_of_which_a_task_runs_or_that_is_done_is_not_blamed():
+def test_a_job_that_is_running_or_done_is_not_reported():
     pool = Pool(job('a'), job('b'))
     pool.workers[0].running['a.0.0.0'] = 1
     pool.workers[1].ended('b.0.0.0', 'b.0.0.1')
