--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -91,7 +91,7 @@
     assert not pool.violations()
 
 
-def test_a_run_between_two_looks_ends_a_wait():
+def test_a_run_between_two_checks_ends_a_wait():
     pool = Pool(job())
     pool.advance(BOUND_S - 1.0)
     pool.workers[0].starts.append(Started('w', 'a.0.0.0', 1, 0, pool.now_s + 0.05))
