--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(('task_count', 'has_violation'), [(2, True), (3, False)])
-def test_a_gang_needs_room_for_all_of_it_twice(task_count, has_violation):
+def test_a_gang_is_reported_only_if_it_fits_twice(task_count, has_violation):
     pool = Pool(job('a', STEP._replace(task_count=task_count, gang=True)))
     pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
