--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(('accelerators', 'has_violation'), [(1, True), (4, True), (5, False)])
-def test_room_for_one_more_is_not_enough(accelerators, has_violation):
+def test_capacity_for_a_single_task_is_not_idle_capacity(accelerators, has_violation):
     pool = Pool(job('a', STEP._replace(demand=Resources(4000, 16_000, accelerators))), workers=1)
     pool.advance(2 * BOUND_S)
     assert pool.has_violation is has_violation
