--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -150,7 +150,7 @@
     assert pool.has_violation
 
 
-def test_a_job_under_which_a_worker_crashed_may_wait_anew():
+def test_a_worker_crash_restarts_the_wait_of_the_job():
     pool = Pool(job(), workers=3)
     pool.advance(BOUND_S - 0.5)
     pool.workers[0].ended('a.0.0.0', how='crashed', at_s=pool.now_s)
