--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(('workers', 'has_violation'), [(2, False), (3, True)])
-def test_capacity_of_a_worker_that_crashed_of_late_is_not_idle(workers, has_violation):
+def test_capacity_of_a_recently_crashed_worker_is_not_idle(workers, has_violation):
     pool = Pool(job(), workers=workers)
     pool.advance(CONTACT_S - 0.5)
     pool.workers[0].ended('c.0.0.0', how='crashed', at_s=pool.now_s)
