--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -169,7 +169,7 @@
     assert pool.has_violation is has_violation
 
 
-def test_of_many_jobs_that_waited_the_longest_five_are_told_and_the_rest_counted():
+def test_the_five_longest_waits_are_reported_with_the_total_count():
     pool = Pool(*(job(name) for name in 'abcdefgh'))
     pool.advance(BOUND_S + 0.5)
     pool.workers[0].running['a.0.0.0'] = 1
