--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -179,7 +179,7 @@
     assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in violations)
 
 
-def test_the_last_reason_that_an_owner_logged_of_the_job_is_told(tmp_path):
+def test_the_last_logged_wait_reason_of_the_job_is_reported(tmp_path):
     log = tmp_path / 'i0.log'
     now_s = time.time()
     wall_s = now_s - time.monotonic()
