--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -75,7 +75,7 @@
     assert not list(tmp_path.iterdir())
 
 
-def test_logs_of_a_soak_that_does_not_come_to_its_end_are_kept_and_named(monkeypatch, tmp_path):
+def test_logs_of_an_aborted_soak_are_kept_and_named(monkeypatch, tmp_path):
     with pytest.raises(TimeoutError) as failure:
         run_soak_with_outcome(monkeypatch, tmp_path, TimeoutError())
     (folder,) = tmp_path.iterdir()
