--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -83,7 +83,7 @@
     assert not result.violations, f'{result.report} traces {result.violations}'
 
 
-def test_instances_that_learn_nothing_of_a_configuration_are_found(tmp_path):
+def test_instances_without_configuration_updates_are_reported(tmp_path):
     result = run_soak(control_arm(1, 'updates'), tmp_path)
     assert 'a configuration is in force in time' in {each.promise for each in result.violations}
 
