--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -61,7 +61,7 @@
     assert count_starts_after(crash) == runs
 
 
-def test_an_order_that_is_carried_out_late_is_by_the_next_incarnation_under_the_same_id():
+def test_a_late_order_is_carried_out_by_the_next_incarnation_with_the_same_id():
     """The id does not distinguish the incarnations, and the later one has lost the fence of the earlier one."""
 
     async def start_again(worker):
