--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -320,13 +320,13 @@
         """Discard the acknowledged ends, including later ends with numbers up to the acknowledged one."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
-        now = {
+        acknowledged_ends = {
             self._acknowledged_end(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged
         }
         # An end does not count as acknowledged if the lease has expired between the end
         # and its acknowledgement.
         lapsed = {self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s}
-        self.noted.update(dict.fromkeys(now - lapsed, time.monotonic()))
+        self.noted.update(dict.fromkeys(acknowledged_ends - lapsed, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
 
     def _acknowledged_end(self, task: str, run: int) -> Noted:
