--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -325,8 +325,10 @@
         }
         # An end does not count as acknowledged if the lease has expired between the end
         # and its acknowledgement.
-        lapsed = {self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s}
-        self.noted.update(dict.fromkeys(acknowledged_ends - lapsed, time.monotonic()))
+        ends_before_lapse = {
+            self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s
+        }
+        self.noted.update(dict.fromkeys(acknowledged_ends - ends_before_lapse, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
 
     def _acknowledged_end(self, task: str, run: int) -> Noted:
