--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -38,7 +38,7 @@
     return CheckedVersions()
 
 
-def test_an_older_version_is_right_until_the_bound_and_wrong_after_it(checked):
+def test_an_older_version_is_a_violation_only_after_the_bound(checked):
     assert not checked.take('only-2', 404, 10.0 + APPLY_S - 0.1)
     assert checked.take('only-2', 404, 10.0 + APPLY_S + 0.1) == [IN_FORCE_IN_TIME]
 
