--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -48,7 +48,7 @@
     [('only-1', KEY, 400), ('only-2', KEY, 404), ('urgent', OTHER_KEY, 401)],
     ids=['a route that has gone', 'a route that has come', 'a key that has come'],
 )
-def test_routes_and_keys_tell_an_older_version(checked, route, key, status):
+def test_an_older_version_is_recognized_by_its_routes_and_keys(checked, route, key, status):
     assert checked.take(route, status, 20.0, key) == [IN_FORCE_IN_TIME]
 
 
