--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -52,7 +52,7 @@
     assert checked.take(route, status, 20.0, key) == [IN_FORCE_IN_TIME]
 
 
-def test_a_key_that_has_gone_is_refused(checked):
+def test_a_removed_key_must_be_refused_after_the_bound(checked):
     checked.versions.append(version(3, 20.0))
     assert not checked.take('urgent', 400, 21.0, OTHER_KEY)
     assert checked.take('urgent', 400, 23.0, OTHER_KEY) == [IN_FORCE_IN_TIME]
