--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -58,7 +58,7 @@
     assert checked.take('urgent', 400, 23.0, OTHER_KEY) == [IN_FORCE_IN_TIME]
 
 
-def test_a_version_that_is_not_due_yet_is_right(checked):
+def test_a_version_may_be_in_force_before_the_bound(checked):
     assert not checked.take('only-2', 400, 10.1)
     checked.versions.append(version(3, 20.0))
     assert not checked.take('only-2', 404, 20.1)
