--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -70,7 +70,7 @@
     assert not checked.check.checked
 
 
-def test_an_instance_that_was_disturbed_of_late_is_not_bound(checked):
+def test_a_recently_disturbed_instance_is_exempt_from_the_bound(checked):
     checked.contact.begin(('a',))
     assert not checked.take('only-2', 404, 20.0)
     checked.contact.end(('a',), 21.0)
