--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -78,7 +78,7 @@
     assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
-def test_a_disturbance_of_another_instance_excuses_nothing(checked):
+def test_a_disturbance_of_another_instance_gives_no_exemption(checked):
     checked.contact.begin(('b',))
     assert checked.take('only-2', 404, 20.0) == [IN_FORCE_IN_TIME]
 
