--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -83,7 +83,7 @@
     assert checked.take('only-2', 404, 20.0) == [IN_FORCE_IN_TIME]
 
 
-def test_of_disturbances_that_overlap_the_last_counts(checked):
+def test_an_instance_is_exempt_until_the_last_of_overlapping_disturbances_ends(checked):
     checked.contact.begin(('a',))
     checked.contact.begin(('a',))
     checked.contact.end(('a',), 12.0)
