--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -96,7 +96,7 @@
     assert not checked.take('only-2', 404, 20.0)
 
 
-def test_a_store_that_forgets_its_history_stretches_the_bound(checked):
+def test_lost_store_history_extends_the_bound(checked):
     checked.contact.lose_history(11.0)
     assert not checked.take('only-2', 404, 13.0)
     assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
