--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -102,7 +102,7 @@
     assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
-def test_a_slow_link_is_bound_while_a_fast_one_is_in_touch():
+def test_a_slow_instance_is_exempt_while_no_fast_instance_is_undisturbed():
     checked = CheckedVersions(slow_names=('a',))
     checked.contact.begin(('b',))
     assert not checked.take('only-2', 404, 20.0)
