--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -120,7 +120,7 @@
     assert not checked.take('only-1', 400, 10.2, incarnation=INCARNATION + 1)
 
 
-def test_a_disturbed_instance_does_not_go_back_either(checked):
+def test_a_disturbed_instance_must_not_return_to_an_older_version(checked):
     checked.contact.begin(('a',))
     assert not checked.take('only-2', 400, 10.1)
     assert checked.take('only-2', 404, 10.2) == [NO_OLDER_VERSION]
