--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -88,7 +88,7 @@
     assert 'a configuration is in force in time' in {each.promise for each in result.violations}
 
 
-def test_a_submission_is_refused_only_if_every_try_was():
+def test_a_submission_is_refused_only_if_every_attempt_was():
     assert Submission('a', 'urgent', 1, (503, 429)).is_refused
     assert not Submission('a', 'urgent', 1, (503, 0)).is_refused
     assert not Submission('a', 'urgent', 1, (504, 503)).is_refused
