--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -119,7 +119,7 @@
     assert bool(found) is is_false
 
 
-def test_no_runs_are_no_doubled_runs():
+def test_no_runs_give_no_concurrent_runs():
     assert not list(doubled_runs([]))
 
 
