--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -160,7 +160,7 @@
     running = {'a.0.0.0': 1, 'b.0.0.0': 2}
 
 
-def test_a_task_of_a_cancelled_job_that_runs_is_reported():
+def test_a_running_task_of_a_cancelled_job_is_reported():
     assert [found.detail for found in still_running({'a': 'cancelled', 'b': 'running'}, [WorkerOfTwoJobs()])] == [
         'w: a.0.0.0, 1, cancelled'
     ]
