--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(('newer_fence', 'runs'), [(1, 1), (2, 0)], ids=['same owner', 'newer owner'])
-def test_an_order_that_is_carried_out_late_is_held_against_the_highest_fence(newer_fence, runs):
+def test_a_late_order_is_checked_against_the_highest_fence(newer_fence, runs):
     """A start of an owner, carried out after its successor had surveyed the worker, ran the task twice."""
 
     async def survey(worker):
