--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -71,7 +71,7 @@
     assert count_starts_after(start_again) == 1
 
 
-def test_a_worker_that_starts_again_under_its_id_knows_and_counts_nothing_of_before():
+def test_a_worker_that_restarts_under_its_id_has_no_previous_state():
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
         async with anyio.create_task_group() as tasks:
