--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -79,15 +79,15 @@
             while not worker.address.port:
                 await anyio.sleep(0.01)
             await anyio.sleep(0.1)
-            lists = []
+            hold_replies = []
             for number in (1, 2):
                 await call(worker, '/run-start', {**start(fence=3 - number), 'Run': number, 'Spec': '0'})
                 await anyio.sleep(0.1)
-                lists.append(await call(worker, '/hold', {'Fence': 3 - number, 'AckedUpto': number - 1}))
+                hold_replies.append(await call(worker, '/hold', {'Fence': 3 - number, 'AckedUpto': number - 1}))
                 await worker.start_again(0.01)
             tasks.cancel_scope.cancel()
         worker.server.close()
-        return lists
+        return hold_replies
 
     earlier, later = anyio.run(scenario)
     assert later['born'] > earlier['born']
