--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(('cores', 'has_violation'), [(60, True), (64, False)])
-def test_capacity_is_not_idle_at_high_use(cores, has_violation):
+def test_capacity_is_not_idle_if_half_of_it_is_in_use(cores, has_violation):
     small = STEP._replace(demand=Resources(0, 16_000, 1))
     pool = Pool(job('a', small), job('b', StepSpec(1, Resources(1000 * cores, 0, 0))), workers=1)
     pool.workers[0].running['b.0.0.0'] = 1
