--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -34,7 +34,7 @@
         self.calls = 0
         # Safeguard that control arms disable.
         self.checks_conditions = True
-        # Watches of this key or prefix report no updates.
+        # Watches with this prefix report no updates.
         self.muted_key = ''
         self.revision = 0
         self._item_by_key: dict[str, dict[str, Any]] = {}
