--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -27,7 +27,7 @@
 
 
 class Noted(NamedTuple):
-    """End of a run that was acknowledged and after which the lease of the worker had not expired by then."""
+    """Acknowledged end of a run, if the lease did not expire between the end and its acknowledgement."""
 
     worker: str
     task: str
@@ -115,8 +115,8 @@
     """Worker with all of its successive incarnations.
 
     The payload of a task is its duration in seconds. A payload that starts with ``fail``
-    fails, and one that starts with ``crash`` crashes the worker, which returns after
-    0.4 s as another incarnation.
+    fails, and one that starts with ``crash`` crashes the worker, which restarts after
+    a short downtime as another incarnation.
 
     Parameters
     ----------
@@ -147,7 +147,7 @@
         # starts of runs that were stopped before their start arrived.
         self.checks_fences = True
         self.checks_run_numbers = True
-        # Validates the tickets of starts; None if starts need no ticket.
+        # Policy that validates the tickets of starts; None if the queues need no tickets.
         self.policy: PolicyStandIn | None = None
         # Published address for orders, if it is that of a proxy in front of the worker.
         self.published_address: Address | None = None
@@ -204,7 +204,7 @@
         self._incarnation.run_by_task.clear()
 
     def cut_off(self) -> None:
-        """Disconnect the worker from the store and all instances: its entry is removed, and its runs continue."""
+        """Disconnect the worker from the store and all instances: its entry expires, and its runs continue."""
         self.is_cut_off = True
         self._store.remove(f'servers/{self.worker_id}')
         self.server.close()
