--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -96,7 +96,7 @@
 
 
 def test_nobody_gets_the_address_of_a_worker_that_is_down():
-    """Another process got the port for an outgoing call, so the worker could not restart and the soak ended with EADDRINUSE."""
+    """Another process got the port for its own call: the worker could not restart, the soak ended with EADDRINUSE."""
 
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
