--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -127,5 +127,5 @@
 
 
 def test_each_promise_is_reported_once_per_incarnation(checked):
-    found = itertools.chain.from_iterable(checked.take('only-2', 404, 20.0 + part / 10) for part in range(5))
-    assert list(found) == [IN_FORCE_IN_TIME]
+    promises = itertools.chain.from_iterable(checked.take('only-2', 404, 20.0 + part / 10) for part in range(5))
+    assert list(promises) == [IN_FORCE_IN_TIME]
