--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -27,7 +27,7 @@
         self.versions = [version(1, 0.0), version(2, 10.0, (KEY, OTHER_KEY))]
         self.check = FollowingCheck(self.versions, self.contact, APPLY_S)
 
-    def take(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
+    def violated_promises(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
         before = len(self.check.violations)
         self.check.take(Answer('a', incarnation, Probe(route, key), status, sent_s))
         return [each.promise for each in self.check.violations[before:]]
@@ -39,8 +39,8 @@
 
 
 def test_an_older_version_is_a_violation_only_after_the_bound(checked):
-    assert not checked.take('only-2', 404, 10.0 + APPLY_S - 0.1)
-    assert checked.take('only-2', 404, 10.0 + APPLY_S + 0.1) == [IN_FORCE_IN_TIME]
+    assert not checked.violated_promises('only-2', 404, 10.0 + APPLY_S - 0.1)
+    assert checked.violated_promises('only-2', 404, 10.0 + APPLY_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 @pytest.mark.parametrize(
@@ -49,83 +49,85 @@
     ids=['a route that has gone', 'a route that has come', 'a key that has come'],
 )
 def test_an_older_version_is_recognized_by_its_routes_and_keys(checked, route, key, status):
-    assert checked.take(route, status, 20.0, key) == [IN_FORCE_IN_TIME]
+    assert checked.violated_promises(route, status, 20.0, key) == [IN_FORCE_IN_TIME]
 
 
 def test_a_removed_key_must_be_refused_after_the_bound(checked):
     checked.versions.append(version(3, 20.0))
-    assert not checked.take('urgent', 400, 21.0, OTHER_KEY)
-    assert checked.take('urgent', 400, 23.0, OTHER_KEY) == [IN_FORCE_IN_TIME]
+    assert not checked.violated_promises('urgent', 400, 21.0, OTHER_KEY)
+    assert checked.violated_promises('urgent', 400, 23.0, OTHER_KEY) == [IN_FORCE_IN_TIME]
 
 
 def test_a_version_may_be_in_force_before_the_bound(checked):
-    assert not checked.take('only-2', 400, 10.1)
+    assert not checked.violated_promises('only-2', 400, 10.1)
     checked.versions.append(version(3, 20.0))
-    assert not checked.take('only-2', 404, 20.1)
+    assert not checked.violated_promises('only-2', 404, 20.1)
 
 
 @pytest.mark.parametrize('status', [503, 504, 429])
 def test_an_answer_that_does_not_identify_a_version_is_not_checked(checked, status):
-    assert not checked.take('only-2', status, 20.0)
+    assert not checked.violated_promises('only-2', status, 20.0)
     assert not checked.check.checked
 
 
 def test_a_recently_disturbed_instance_is_exempt_from_the_bound(checked):
     checked.contact.begin(('a',))
-    assert not checked.take('only-2', 404, 20.0)
+    assert not checked.violated_promises('only-2', 404, 20.0)
     checked.contact.end(('a',), 21.0)
-    assert not checked.take('only-2', 404, 21.0 + CONTACT_S - 0.1)
-    assert checked.take('only-2', 404, 21.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
+    assert not checked.violated_promises('only-2', 404, 21.0 + CONTACT_S - 0.1)
+    assert checked.violated_promises('only-2', 404, 21.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 def test_a_disturbance_of_another_instance_gives_no_exemption(checked):
     checked.contact.begin(('b',))
-    assert checked.take('only-2', 404, 20.0) == [IN_FORCE_IN_TIME]
+    assert checked.violated_promises('only-2', 404, 20.0) == [IN_FORCE_IN_TIME]
 
 
 def test_an_instance_is_exempt_until_the_last_of_overlapping_disturbances_ends(checked):
     checked.contact.begin(('a',))
     checked.contact.begin(('a',))
     checked.contact.end(('a',), 12.0)
-    assert not checked.take('only-2', 404, 20.0)
+    assert not checked.violated_promises('only-2', 404, 20.0)
 
 
 def test_a_request_sent_during_or_before_a_past_disturbance_is_not_checked(checked):
     checked.contact.begin(('a',))
     checked.contact.end(('a',), 20.5)
-    assert not checked.take('only-2', 404, 20.0)
+    assert not checked.violated_promises('only-2', 404, 20.0)
 
 
 def test_lost_store_history_extends_the_bound(checked):
     checked.contact.lose_history(11.0)
-    assert not checked.take('only-2', 404, 13.0)
-    assert checked.take('only-2', 404, 11.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
+    assert not checked.violated_promises('only-2', 404, 13.0)
+    assert checked.violated_promises('only-2', 404, 11.0 + CONTACT_S + 0.1) == [IN_FORCE_IN_TIME]
 
 
 def test_a_slow_instance_is_exempt_while_no_fast_instance_is_undisturbed():
     checked = CheckedVersions(slow_names=('a',))
     checked.contact.begin(('b',))
-    assert not checked.take('only-2', 404, 20.0)
+    assert not checked.violated_promises('only-2', 404, 20.0)
     checked.contact.end(('b',), 20.0)
-    assert checked.take('only-2', 404, 20.1 + CONTACT_S) == [IN_FORCE_IN_TIME]
+    assert checked.violated_promises('only-2', 404, 20.1 + CONTACT_S) == [IN_FORCE_IN_TIME]
 
 
 def test_an_incarnation_must_not_return_to_an_older_version(checked):
-    assert not checked.take('only-2', 400, 10.1)
-    assert checked.take('only-1', 400, 10.2) == [NO_OLDER_VERSION]
+    assert not checked.violated_promises('only-2', 400, 10.1)
+    assert checked.violated_promises('only-1', 400, 10.2) == [NO_OLDER_VERSION]
 
 
 def test_another_incarnation_may_have_an_older_version(checked):
-    assert not checked.take('only-2', 400, 10.1)
-    assert not checked.take('only-1', 400, 10.2, incarnation=INCARNATION + 1)
+    assert not checked.violated_promises('only-2', 400, 10.1)
+    assert not checked.violated_promises('only-1', 400, 10.2, incarnation=INCARNATION + 1)
 
 
 def test_a_disturbed_instance_must_not_return_to_an_older_version(checked):
     checked.contact.begin(('a',))
-    assert not checked.take('only-2', 400, 10.1)
-    assert checked.take('only-2', 404, 10.2) == [NO_OLDER_VERSION]
+    assert not checked.violated_promises('only-2', 400, 10.1)
+    assert checked.violated_promises('only-2', 404, 10.2) == [NO_OLDER_VERSION]
 
 
 def test_each_promise_is_reported_once_per_incarnation(checked):
-    promises = itertools.chain.from_iterable(checked.take('only-2', 404, 20.0 + part / 10) for part in range(5))
+    promises = itertools.chain.from_iterable(
+        checked.violated_promises('only-2', 404, 20.0 + part / 10) for part in range(5)
+    )
     assert list(promises) == [IN_FORCE_IN_TIME]
