--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory."""
+"""In-memory stand-in for the platform's store."""
 
 import base64
 import time
@@ -15,35 +15,35 @@
 from .faults import Faults
 
 _MS = 1000.0
-# Most items, and most updates, in one answer.
-_PAGE = 500
+# Maximum number of items, or of updates, in one response.
+_MAX_PAGE_ITEMS = 500
 
 
 class StoreStandIn:
-    """Keys with revisions, leases, watches and transactions.
+    """Key-value store with revisions, leases, watches and transactions.
 
     Parameters
     ----------
     faults : Faults
-        Faults that it has.
+        Faults to inject.
     """
 
     def __init__(self, faults: Faults | None = None) -> None:
-        """Start empty."""
+        """Initialize an empty store."""
         self.faults = faults or Faults()
         self.calls = 0
-        # Protections that control arms switch off.
+        # Safeguard that control arms disable.
         self.checks_conditions = True
-        # Key whose updates watches leave out.
+        # Watches with this prefix report no updates.
         self.muted_key = ''
         self.revision = 0
         self._item_by_key: dict[str, dict[str, Any]] = {}
         self._history: deque[dict[str, Any]] = deque(maxlen=50_000)
-        self._oldest = 0
-        self._changed = anyio.Event()
+        self._oldest_watchable = 0
+        self._change_event = anyio.Event()
         self._lease_ends: dict[int, tuple[float, float]] = {}
-        self._leases = 0
-        self.server = HttpServer(self._answer, max_body_bytes=4 * 1024 * 1024)
+        self._lease_count = 0
+        self.server = HttpServer(self._handle_request, max_body_bytes=4 * 1024 * 1024)
 
     async def listen(self) -> Address:
         """Listen on a free port of the loopback address."""
@@ -51,7 +51,7 @@
         return Address('127.0.0.1', self.server.port)
 
     async def run(self) -> None:
-        """Let leases run out, until cancelled."""
+        """Expire leases until cancelled."""
         while True:
             await anyio.sleep(0.05)
             now_s = time.monotonic()
@@ -60,18 +60,18 @@
                     self._end_lease(lease)
 
     def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key as the operator or a worker does."""
+        """Write a key under a new revision, as the operator or a worker does."""
         self.revision += 1
         return self._put(key, value, lease)
 
     def _put(self, key: str, value: bytes, lease: int) -> int:
-        """Write a key at the present revision."""
-        known = self._item_by_key.get(key)
+        """Write a key under the current revision."""
+        existing = self._item_by_key.get(key)
         item = {
             'Key': key,
             'Value': base64.b64encode(value).decode(),
             'Revision': self.revision,
-            'Created': known['Created'] if known else self.revision,
+            'Created': existing['Created'] if existing else self.revision,
             'Lease': lease,
         }
         self._item_by_key[key] = item
@@ -85,34 +85,34 @@
             self._record({'Key': key, 'Revision': self.revision, 'Removed': True})
 
     def value(self, key: str) -> bytes | None:
-        """Return a value."""
+        """Return the value of a key, or None if the key does not exist."""
         item = self._item_by_key.get(key)
         return None if item is None else base64.b64decode(item['Value'])
 
     def keys(self, prefix: str) -> list[str]:
-        """Return the keys of a prefix."""
+        """Return the keys that start with a prefix, sorted."""
         return sorted(key for key in self._item_by_key if key.startswith(prefix))
 
     def forget_history(self) -> None:
-        """Answer 410 to watches from any earlier revision."""
+        """Discard the history: watches from an earlier revision get status 410."""
         self._history.clear()
-        self._oldest = self.revision
-        self._wake()
+        self._oldest_watchable = self.revision
+        self._notify_watchers()
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle_request(self, request: Request) -> Response:
         self.calls += 1
         refusal = await self.faults.before(request)
         if refusal is not None:
             return refusal
         parts = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
-        step = _step(request, parts.path, query)
+        step = _call_label(request, parts.path, query)
         self.faults.observe(step, is_done=False)
-        response = await self._carry_out(request, parts.path, query)
+        response = await self._dispatch(request, parts.path, query)
         self.faults.observe(step, is_done=True)
         return response
 
-    async def _carry_out(self, request: Request, path: str, query: dict[str, str]) -> Response:
+    async def _dispatch(self, request: Request, path: str, query: dict[str, str]) -> Response:
         match (request.method, path):
             case ('GET', '/kv-key'):
                 return self._get(query['Key'])
@@ -121,25 +121,25 @@
             case ('GET', '/kv-watch'):
                 return await self._watch(query)
             case ('POST', '/kv-txn'):
-                return await self._write(request)
+                return await self._handle_transaction(request)
             case ('POST', '/kv-lease'):
-                return self._grant(request)
+                return self._grant_lease(request)
         name, _, number = path.strip('/').partition('/')
         if name == 'kv-keep':
-            return self._keep(int(number))
+            return self._renew_lease(int(number))
         if name == 'kv-lease-end':
             self._end_lease(int(number))
             return Response(200)
         return Response(404)
 
-    async def _write(self, request: Request) -> Response:
-        """Carry out a transaction; its answer may be lost, or it may be late."""
+    async def _handle_transaction(self, request: Request) -> Response:
+        """Apply a transaction, whose response may be lost and which may be applied late."""
         if self.faults.loses():
             if self.faults.late_s:
                 await anyio.sleep(self.faults.late_s)
-            self._transact(request)
+            self._apply_transaction(request)
             return await self.faults.lose()
-        return self._transact(request)
+        return self._apply_transaction(request)
 
     def _get(self, key: str) -> Response:
         item = self._item_by_key.get(key)
@@ -150,37 +150,39 @@
     def _range(self, query: dict[str, str]) -> Response:
         after = query.get('After', '')
         keys = [key for key in self.keys(query['PathPrefix']) if key > after]
-        items = [self._item_by_key[key] for key in keys[:_PAGE]]
-        return _json({'items': items, 'Truncated': len(keys) > _PAGE, 'StoreRevision': self.revision})
+        items = [self._item_by_key[key] for key in keys[:_MAX_PAGE_ITEMS]]
+        return _json({'items': items, 'Truncated': len(keys) > _MAX_PAGE_ITEMS, 'StoreRevision': self.revision})
 
     async def _watch(self, query: dict[str, str]) -> Response:
         after = int(query['After'])
         with anyio.move_on_after(int(query['WaitMs']) / _MS):
             while True:
-                if after < self._oldest:
+                if after < self._oldest_watchable:
                     return Response(410)
-                changed = self._changed
+                changed = self._change_event
                 prefix = query['PathPrefix']
                 events = [each for each in self._history if each['Revision'] > after and each['Key'].startswith(prefix)]
                 if events and prefix != self.muted_key:
-                    cut = events[:_PAGE]
-                    last = self.revision if len(cut) == len(events) else cut[-1]['Revision']
-                    return _json({'events': cut, 'StoreRevision': last})
+                    page = events[:_MAX_PAGE_ITEMS]
+                    last = self.revision if len(page) == len(events) else page[-1]['Revision']
+                    return _json({'events': page, 'StoreRevision': last})
                 await changed.wait()
         return _json({'events': [], 'StoreRevision': self.revision})
 
-    def _transact(self, request: Request) -> Response:
+    def _apply_transaction(self, request: Request) -> Response:
         body = msgspec.json.decode(request.body)
         conditions = body.get('ExpectedRev', ())
         for row in conditions:
             item = self._item_by_key.get(row['Key'])
             if self.checks_conditions and (item['Revision'] if item else 0) != row['Revision']:
-                present = [self._item_by_key[each['Key']] for each in conditions if each['Key'] in self._item_by_key]
-                return _json({'items': present}, 412)
+                current_items = [
+                    self._item_by_key[each['Key']] for each in conditions if each['Key'] in self._item_by_key
+                ]
+                return _json({'items': current_items}, 412)
         writes = body.get('Writes', ())
         if any(row.get('Lease') and row['Lease'] not in self._lease_ends for row in writes):
             return Response(404)
-        # All of a transaction is one revision.
+        # All writes of a transaction share one revision.
         self.revision += 1
         for row in writes:
             self._put(row['Key'], base64.b64decode(row['Value']), row.get('Lease', 0))
@@ -188,13 +190,13 @@
             self.remove(key)
         return _json({'Revision': self.revision})
 
-    def _grant(self, request: Request) -> Response:
+    def _grant_lease(self, request: Request) -> Response:
         ttl_s = msgspec.json.decode(request.body)['TtlMs'] / _MS
-        self._leases += 1
-        self._lease_ends[self._leases] = (time.monotonic() + ttl_s, ttl_s)
-        return _json({'Lease': self._leases, 'TtlMs': int(ttl_s * _MS)})
+        self._lease_count += 1
+        self._lease_ends[self._lease_count] = (time.monotonic() + ttl_s, ttl_s)
+        return _json({'Lease': self._lease_count, 'TtlMs': int(ttl_s * _MS)})
 
-    def _keep(self, lease: int) -> Response:
+    def _renew_lease(self, lease: int) -> Response:
         if lease not in self._lease_ends:
             return Response(404)
         _, ttl_s = self._lease_ends[lease]
@@ -209,25 +211,25 @@
 
     def _record(self, event: dict[str, Any]) -> None:
         self._history.append(event)
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self) -> None:
-        changed, self._changed = self._changed, anyio.Event()
+    def _notify_watchers(self) -> None:
+        changed, self._change_event = self._change_event, anyio.Event()
         changed.set()
 
 
-def _step(request: Request, path: str, query: dict[str, str]) -> str:
-    """Return a name for a call: what it does, and to which kind of key."""
+def _call_label(request: Request, path: str, query: dict[str, str]) -> str:
+    """Return a label of a call: its operation and the kind of key that it concerns."""
     if path != '/kv-txn':
         key = query.get('Key') or query.get('PathPrefix', '')
-        return f'{path.strip("/").split("/")[0]} {_kind(key)}'.strip()
+        return f'{path.strip("/").split("/")[0]} {_key_kind(key)}'.strip()
     body = msgspec.json.decode(request.body)
     keys = [row['Key'] for row in body.get('Writes', ())] + list(body.get('Remove', ()))
-    return f'kv-txn {_kind(keys[0]) if keys else ""}'.strip()
+    return f'kv-txn {_key_kind(keys[0]) if keys else ""}'.strip()
 
 
-def _kind(key: str) -> str:
-    """Return the part of a key that tells what it is about."""
+def _key_kind(key: str) -> str:
+    """Return the part of a key that identifies the kind of its record."""
     kind = key.removeprefix('dahliaarch/').split('/')[0]
     return 'cancel' if key.endswith('.cancel') else kind
 
--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""The worker's stand-in keeps what a worker has to keep."""
+"""Tests that the stand-in for workers keeps the guarantees of a worker."""
 
 import socket
 import time
@@ -18,8 +18,8 @@
     return {'Task': TASK, 'Run': 1, 'Spec': '5', 'UntilMs': until_ms, 'Fence': fence}
 
 
-def starts_after(meanwhile):
-    """Return how many starts are carried out of one that is left unanswered and late, after what happens meanwhile."""
+def count_starts_after(between):
+    """Return how often a start without a response is carried out if `between` runs before its late execution."""
 
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
@@ -31,7 +31,7 @@
             with pytest.raises(RequestUnansweredError):
                 await call(worker, '/run-start', start(fence=1), incarnation='w0')
             worker.faults.lost_share = 0.0
-            await meanwhile(worker)
+            await between(worker)
             await anyio.sleep(0.5)
             tasks.cancel_scope.cancel()
         worker.server.close()
@@ -41,37 +41,37 @@
 
 
 @pytest.mark.parametrize(('newer_fence', 'runs'), [(1, 1), (2, 0)], ids=['same owner', 'newer owner'])
-def test_an_order_that_is_carried_out_late_is_held_against_the_highest_fence(newer_fence, runs):
-    """An owner's start was carried out after its successor had surveyed the worker: the task ran twice."""
+def test_a_late_order_is_checked_against_the_highest_fence(newer_fence, runs):
+    """A start of an owner, carried out after its successor had surveyed the worker, ran the task twice."""
 
     async def survey(worker):
         await call(worker, '/hold', {'Fence': newer_fence, 'AckedUpto': 0})
 
-    assert starts_after(survey) == runs
+    assert count_starts_after(survey) == runs
 
 
 @pytest.mark.parametrize(('crashes', 'runs'), [(False, 1), (True, 0)], ids=['same incarnation', 'another incarnation'])
 def test_an_order_that_is_carried_out_late_is_not_by_another_incarnation(crashes, runs):
-    """A start meant for a worker that had crashed began on its next incarnation, while its task ran elsewhere."""
+    """A start sent to a crashed worker was carried out by its next incarnation while the task ran elsewhere."""
 
     async def crash(worker):
         if crashes:
             worker.crash('w0-1')
 
-    assert starts_after(crash) == runs
+    assert count_starts_after(crash) == runs
 
 
-def test_an_order_that_is_carried_out_late_is_by_the_next_incarnation_under_the_same_id():
-    """The id does not tell incarnations apart, and the later one remembers no fence."""
+def test_a_late_order_is_carried_out_by_the_next_incarnation_with_the_same_id():
+    """The id does not distinguish the incarnations, and the later one has lost the fence of the earlier one."""
 
     async def start_again(worker):
         await call(worker, '/hold', {'Fence': 2, 'AckedUpto': 0})
         await worker.start_again(0.05)
 
-    assert starts_after(start_again) == 1
+    assert count_starts_after(start_again) == 1
 
 
-def test_a_worker_that_starts_again_under_its_id_knows_and_counts_nothing_of_before():
+def test_a_worker_that_restarts_under_its_id_has_no_previous_state():
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
         async with anyio.create_task_group() as tasks:
@@ -79,15 +79,15 @@
             while not worker.address.port:
                 await anyio.sleep(0.01)
             await anyio.sleep(0.1)
-            lists = []
+            hold_replies = []
             for number in (1, 2):
                 await call(worker, '/run-start', {**start(fence=3 - number), 'Run': number, 'Spec': '0'})
                 await anyio.sleep(0.1)
-                lists.append(await call(worker, '/hold', {'Fence': 3 - number, 'AckedUpto': number - 1}))
+                hold_replies.append(await call(worker, '/hold', {'Fence': 3 - number, 'AckedUpto': number - 1}))
                 await worker.start_again(0.01)
             tasks.cancel_scope.cancel()
         worker.server.close()
-        return lists
+        return hold_replies
 
     earlier, later = anyio.run(scenario)
     assert later['born'] > earlier['born']
@@ -96,7 +96,7 @@
 
 
 def test_nobody_gets_the_address_of_a_worker_that_is_down():
-    """Another process had it as the port of a call: the worker could not come back, and all ended."""
+    """Another process got the port for its own call: the worker could not restart, the soak ended with EADDRINUSE."""
 
     async def scenario():
         worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
--- a/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_ready_work.py
@@ -1,4 +1,4 @@
-"""The check of ready work blames jobs that wait beside idle capacity, and nothing else."""
+"""Tests that the check of ready work reports jobs that wait despite idle capacity, and nothing else."""
 
 import json
 import time
@@ -22,7 +22,7 @@
 
 
 class Worker:
-    """A worker with what it saw."""
+    """Worker with its active runs and its recorded starts and ends."""
 
     def __init__(self, *running):
         self.capacity = Resources(64_000, 262_144, 8)
@@ -35,40 +35,40 @@
 
 
 class Pool:
-    """Two workers, the check, and the time at which it last looked."""
+    """Pool of workers, two by default, with the check and the time of its last look."""
 
     def __init__(self, *submissions, workers=2):
         self.workers = [Worker() for _ in range(workers)]
         self.check = ReadyWorkCheck(submissions, self.workers, CALM_S)
         self.now_s = CALM_S
 
-    def look_for(self, seconds):
+    def advance(self, seconds):
         for _ in range(round(seconds / 0.1)):
             self.now_s += 0.1
             self.check.sample(self.now_s)
 
-    def found(self, *logs):
+    def violations(self, *logs):
         return list(self.check.violations(logs))
 
     @property
-    def is_blamed(self):
-        return [each.promise for each in self.found()] == [PROMISE]
+    def has_violation(self):
+        return [each.promise for each in self.violations()] == [PROMISE]
 
 
-def test_a_ready_job_that_waits_beside_idle_capacity_is_blamed_after_the_bound():
+def test_a_ready_job_that_waits_despite_idle_capacity_is_reported_after_the_bound():
     pool = Pool(job())
-    pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
-    pool.look_for(0.5)
-    assert pool.is_blamed
+    pool.advance(BOUND_S - 0.2)
+    assert not pool.violations()
+    pool.advance(0.5)
+    assert pool.has_violation
 
 
-def test_a_wait_is_blamed_when_it_has_ended():
+def test_a_wait_is_reported_after_its_end():
     pool = Pool(job())
-    pool.look_for(BOUND_S + 0.3)
+    pool.advance(BOUND_S + 0.3)
     pool.workers[0].running['a.0.0.0'] = 1
-    pool.look_for(1.0)
-    assert pool.is_blamed
+    pool.advance(1.0)
+    assert pool.has_violation
 
 
 @pytest.mark.parametrize(
@@ -76,110 +76,110 @@
     [job(statuses=(503, 504)), job(is_cancelled=True), job('b')],
     ids=['not accepted', 'cancelled', 'crashed twice'],
 )
-def test_a_job_that_need_not_run_is_not_blamed(submission):
+def test_a_job_that_need_not_run_is_not_reported(submission):
     pool = Pool(submission)
     pool.workers[0].ended('b.0.0.0', 'b.0.0.0', how='crashed')
-    pool.look_for(2 * BOUND_S)
-    assert not pool.found()
+    pool.advance(2 * BOUND_S)
+    assert not pool.violations()
 
 
-def test_a_job_of_which_a_task_runs_or_that_is_done_is_not_blamed():
+def test_a_job_that_is_running_or_done_is_not_reported():
     pool = Pool(job('a'), job('b'))
     pool.workers[0].running['a.0.0.0'] = 1
     pool.workers[1].ended('b.0.0.0', 'b.0.0.1')
-    pool.look_for(2 * BOUND_S)
-    assert not pool.found()
+    pool.advance(2 * BOUND_S)
+    assert not pool.violations()
 
 
-def test_a_run_between_two_looks_ends_a_wait():
+def test_a_run_between_two_checks_ends_a_wait():
     pool = Pool(job())
-    pool.look_for(BOUND_S - 1.0)
+    pool.advance(BOUND_S - 1.0)
     pool.workers[0].starts.append(Started('w', 'a.0.0.0', 1, 0, pool.now_s + 0.05))
-    pool.look_for(2.0)
-    assert not pool.found()
+    pool.advance(2.0)
+    assert not pool.violations()
 
 
-@pytest.mark.parametrize(('done', 'is_blamed'), [(['a.0.0.0'], False), (['a.0.0.0', 'a.0.0.1'], True)])
-def test_a_step_is_ready_once_all_tasks_before_it_are_done(done, is_blamed):
+@pytest.mark.parametrize(('done', 'has_violation'), [(['a.0.0.0'], False), (['a.0.0.0', 'a.0.0.1'], True)])
+def test_a_step_is_ready_once_all_tasks_before_it_are_done(done, has_violation):
     wide = STEP._replace(demand=Resources(4000, 16_000, 9))
     pool = Pool(job('a', wide, STEP._replace(after=(0,))))
     pool.workers[0].ended(*done)
-    pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    pool.advance(2 * BOUND_S)
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('task_count', 'is_blamed'), [(2, True), (3, False)])
-def test_a_gang_needs_room_for_all_of_it_twice(task_count, is_blamed):
+@pytest.mark.parametrize(('task_count', 'has_violation'), [(2, True), (3, False)])
+def test_a_gang_is_reported_only_if_it_fits_twice(task_count, has_violation):
     pool = Pool(job('a', STEP._replace(task_count=task_count, gang=True)))
-    pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    pool.advance(2 * BOUND_S)
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('accelerators', 'is_blamed'), [(1, True), (4, True), (5, False)])
-def test_room_for_one_more_is_not_enough(accelerators, is_blamed):
+@pytest.mark.parametrize(('accelerators', 'has_violation'), [(1, True), (4, True), (5, False)])
+def test_capacity_for_a_single_task_is_not_idle_capacity(accelerators, has_violation):
     pool = Pool(job('a', STEP._replace(demand=Resources(4000, 16_000, accelerators))), workers=1)
-    pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    pool.advance(2 * BOUND_S)
+    assert pool.has_violation is has_violation
 
 
-@pytest.mark.parametrize(('cores', 'is_blamed'), [(60, True), (64, False)])
-def test_capacity_of_which_half_is_in_use_is_not_idle(cores, is_blamed):
+@pytest.mark.parametrize(('cores', 'has_violation'), [(60, True), (64, False)])
+def test_capacity_is_not_idle_if_half_of_it_is_in_use(cores, has_violation):
     small = STEP._replace(demand=Resources(0, 16_000, 1))
     pool = Pool(job('a', small), job('b', StepSpec(1, Resources(1000 * cores, 0, 0))), workers=1)
     pool.workers[0].running['b.0.0.0'] = 1
-    pool.look_for(2 * BOUND_S)
-    assert pool.is_blamed is is_blamed
+    pool.advance(2 * BOUND_S)
+    assert pool.has_violation is has_violation
 
 
-def exit_of_a_daemon(pool):
+def exit_daemon(pool):
     pool.check.record_disturbance(pool.now_s)
 
 
-def late_look(pool):
+def delay_next_look(pool):
     pool.now_s += 1.0
 
 
-@pytest.mark.parametrize('disturb', [exit_of_a_daemon, late_look])
+@pytest.mark.parametrize('disturb', [exit_daemon, delay_next_look])
 def test_a_disturbance_ends_a_wait(disturb):
     pool = Pool(job())
-    pool.look_for(BOUND_S - 0.5)
+    pool.advance(BOUND_S - 0.5)
     disturb(pool)
-    pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
-    pool.look_for(0.6)
-    assert pool.is_blamed
+    pool.advance(BOUND_S - 0.2)
+    assert not pool.violations()
+    pool.advance(0.6)
+    assert pool.has_violation
 
 
-def test_a_job_under_which_a_worker_crashed_may_wait_anew():
+def test_a_worker_crash_restarts_the_wait_of_the_job():
     pool = Pool(job(), workers=3)
-    pool.look_for(BOUND_S - 0.5)
+    pool.advance(BOUND_S - 0.5)
     pool.workers[0].ended('a.0.0.0', how='crashed', at_s=pool.now_s)
-    pool.look_for(BOUND_S - 0.2)
-    assert not pool.found()
-    pool.look_for(0.6)
-    assert pool.is_blamed
+    pool.advance(BOUND_S - 0.2)
+    assert not pool.violations()
+    pool.advance(0.6)
+    assert pool.has_violation
 
 
-@pytest.mark.parametrize(('workers', 'is_blamed'), [(2, False), (3, True)])
-def test_capacity_of_a_worker_that_crashed_of_late_is_not_idle(workers, is_blamed):
+@pytest.mark.parametrize(('workers', 'has_violation'), [(2, False), (3, True)])
+def test_capacity_of_a_recently_crashed_worker_is_not_idle(workers, has_violation):
     pool = Pool(job(), workers=workers)
-    pool.look_for(QUIET_PERIOD_S - 0.5)
+    pool.advance(QUIET_PERIOD_S - 0.5)
     pool.workers[0].ended('c.0.0.0', how='crashed', at_s=pool.now_s)
-    pool.look_for(MAX_READY_WAIT_S + 1.0)
-    assert pool.is_blamed is is_blamed
+    pool.advance(MAX_READY_WAIT_S + 1.0)
+    assert pool.has_violation is has_violation
 
 
-def test_of_many_jobs_that_waited_the_longest_five_are_told_and_the_rest_counted():
+def test_the_five_longest_waits_are_reported_with_the_total_count():
     pool = Pool(*(job(name) for name in 'abcdefgh'))
-    pool.look_for(BOUND_S + 0.5)
+    pool.advance(BOUND_S + 0.5)
     pool.workers[0].running['a.0.0.0'] = 1
-    pool.look_for(1.0)
-    found = pool.found()
-    assert len(found) == 5
-    assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in found)
+    pool.advance(1.0)
+    violations = pool.violations()
+    assert len(violations) == 5
+    assert all('(one of 8)' in each.detail and not each.detail.startswith('a:') for each in violations)
 
 
-def test_the_last_reason_that_an_owner_logged_of_the_job_is_told(tmp_path):
+def test_the_last_logged_wait_reason_of_the_job_is_reported(tmp_path):
     log = tmp_path / 'i0.log'
     now_s = time.time()
     wall_s = now_s - time.monotonic()
@@ -187,8 +187,8 @@
     written = ({'at': at + wall_s, 'event': 'step_waiting', 'job': name, 'reason': why} for name, why, at in rows)
     log.write_text('a trace\n' + ''.join(json.dumps(row, separators=(',', ':')) + '\n' for row in written))
     pool = Pool(job())
-    pool.look_for(BOUND_S + 1.0)
-    detail = pool.found(log)[0].detail
+    pool.advance(BOUND_S + 1.0)
+    detail = pool.violations(log)[0].detail
     assert detail.startswith('a: nothing ran from ')
     assert '"reason": "reserved"' in detail
-    assert pool.found()[0].detail.endswith('no step_waiting line')
+    assert pool.violations()[0].detail.endswith('no step_waiting line')
--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What a soak keeps when something went wrong."""
+"""Tests of the report and logs that a soak keeps after a violation or an error."""
 
 import json
 
@@ -19,7 +19,7 @@
 DOUBLED = Violation('never two runs of a task at a time', f'{TASK}: 5, then 5')
 
 
-def worker_that_started_again():
+def restarted_worker():
     worker = WorkerStandIn('w0', 'svc', 'r0', StoreStandIn())
     worker.starts = [Started('w0', TASK, 5, 9, 12.0, 1), Started('w0', TASK, 5, 9, 10.0, 0)]
     worker.starts.append(Started('w0', OTHER, 6, 9, 10.5, 0))
@@ -29,9 +29,9 @@
 
 
 @pytest.mark.parametrize('violation', [DOUBLED, Violation('an accepted job is done', f'{JOB}: running')])
-def test_a_report_tells_what_became_of_the_tasks_that_violations_name(tmp_path, violation):
+def test_a_report_has_the_timeline_of_the_tasks_named_by_violations(tmp_path, violation):
     plan = draw_plan(SETTINGS)
-    path = write_report(tmp_path, SETTINGS, plan, [violation], [worker_that_started_again()], Origin(10.0, 1000.0))
+    path = write_report(tmp_path, SETTINGS, plan, [violation], [restarted_worker()], Origin(10.0, 1000.0))
     report = json.loads(path.read_text())
     assert report['settings']['seed'] == 7
     assert [fault['at_s'] for fault in report['faults']] == [fault.at_s for fault in plan]
@@ -50,7 +50,7 @@
     assert sorted(tmp_path.iterdir()) == sorted(folders[5:])
 
 
-def play(monkeypatch, tmp_path, outcome):
+def run_soak_with_outcome(monkeypatch, tmp_path, outcome):
     async def run(settings, folder):
         (folder / 'i0.log').touch()
         await anyio.sleep(0)
@@ -64,19 +64,19 @@
 
 
 def test_logs_and_report_of_a_violation_are_kept_and_named(monkeypatch, tmp_path):
-    result = play(monkeypatch, tmp_path, (DOUBLED,))
+    result = run_soak_with_outcome(monkeypatch, tmp_path, (DOUBLED,))
     (folder,) = tmp_path.iterdir()
     assert result.report == str(folder / 'report.json')
     assert {path.name for path in folder.iterdir()} == {'i0.log', 'report.json'}
 
 
 def test_nothing_is_kept_of_a_soak_without_a_violation(monkeypatch, tmp_path):
-    assert not play(monkeypatch, tmp_path, ()).report
+    assert not run_soak_with_outcome(monkeypatch, tmp_path, ()).report
     assert not list(tmp_path.iterdir())
 
 
-def test_logs_of_a_soak_that_does_not_come_to_its_end_are_kept_and_named(monkeypatch, tmp_path):
+def test_logs_of_an_aborted_soak_are_kept_and_named(monkeypatch, tmp_path):
     with pytest.raises(TimeoutError) as failure:
-        play(monkeypatch, tmp_path, TimeoutError())
+        run_soak_with_outcome(monkeypatch, tmp_path, TimeoutError())
     (folder,) = tmp_path.iterdir()
     assert str(folder) in ''.join(failure.value.__notes__)
