--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -1,4 +1,4 @@
-"""Forwards connections and delays, slows, resets, cuts or silences them."""
+"""Forwards TCP connections and can delay, throttle, reset, refuse or black-hole them."""
 
 import time
 from collections.abc import Callable
@@ -15,18 +15,18 @@
 from .silence import deafen
 
 _ANY_PORT = Address('127.0.0.1', 0)
-# Bytes that are forwarded at a time; connections take turns on a slow link.
+# Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
 _CHUNK_BYTES = 16_384
-# Chunks that are under way at a time, one way, on a link with a latency.
+# Chunks in flight per connection and direction while a latency is set.
 _MOST_CHUNKS = 64
-# How long a connection that is cut one way still carries requests, in seconds.
+# How long requests are still forwarded after the answers have been cut off, in seconds.
 _ONE_WAY_S = 0.3
-# What ends a connection on either side.
+# Exceptions raised once either side has closed the connection.
 _ENDS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class _Pair:
-    """One caller's connection and the one that it is forwarded to."""
+    """A client connection and the connection to the target that it is forwarded to."""
 
     def __init__(self, caller: SocketStream, target: SocketStream, route: Route) -> None:
         self.caller = caller
@@ -36,43 +36,44 @@
         self.drops_answers = False
 
     def silence(self) -> None:
-        """Let nothing pass, nor be acknowledged to the caller."""
+        """Drop all bytes in both directions, and stop acknowledging packets of the caller."""
         self.drops_requests = True
         self.drops_answers = True
-        # One that is being closed has no socket any more.
+        # A connection that is being closed has no socket any more.
         with suppress(OSError):
             deafen(self.caller.extra(SocketAttribute.raw_socket))
 
 
 class _Due(NamedTuple):
-    """A chunk of bytes, and when it arrives, steady clock."""
+    """A chunk of bytes and its arrival time on the monotonic clock."""
 
     at_s: float
     chunk: bytes
 
 
 class FaultProxy:
-    """Stands between callers and one address.
+    """Forwards connections to one address and injects faults into them.
 
     Parameters
     ----------
     target : Address
-        Where connections are forwarded to.
+        Address that connections are forwarded to.
     requests_over, answers_over : SlowLink or None
-        What carries the bytes to the target and back; nothing for a fast link.
+        Links that limit the rate to the target and back; None for no limit.
 
     Attributes
     ----------
     address : Address
-        Where callers connect; set once it listens.
+        Address that callers connect to; its port is set by `listen`.
     delay_s : float
-        How long each chunk of bytes is held, both ways, before the next one is taken.
+        Delay before each chunk of bytes, in both directions; the next chunk is read only afterwards, so
+        that it also limits the throughput.
     latency_s : float
-        How much later bytes arrive, both ways, whatever goes before them.
+        Additional latency in both directions, which does not limit the throughput.
     refuses : bool
-        Whether new connections are closed at once.
+        Whether new connections are closed immediately.
     drops_all : bool
-        Whether nothing passes, on new connections either.
+        Whether all bytes are dropped, on open and on new connections.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         requests_over: SlowLink | None = None,
         answers_over: SlowLink | None = None,
     ) -> None:
-        """Prepare; nothing listens yet."""
+        """Create the proxy; `listen` starts it."""
         self.target = target
         self._default_route = Route(_links(requests_over), _links(answers_over))
         self.address = Address('127.0.0.1', 0)
@@ -93,7 +94,7 @@
         self._pairs: set[_Pair] = set()
 
     async def listen(self, tasks: TaskGroup, at: Address = _ANY_PORT) -> Address:
-        """Listen on an address, until the group is cancelled; port 0 is any free one."""
+        """Listen on an address until the task group is cancelled; port 0 selects any free port."""
         listener = await anyio.create_tcp_listener(local_host=at.host, local_port=at.port)
         self.address = at._replace(port=listener.extra(SocketAttribute.local_port))
         tasks.start_soon(listener.serve, self._serve)
@@ -105,12 +106,12 @@
         return len(self._pairs)
 
     def silence(self) -> None:
-        """Let the open connections fall silent for good; new ones work."""
+        """Black-hole the open connections permanently; new connections work."""
         for pair in self._pairs:
             pair.silence()
 
     async def lose_answers(self) -> None:
-        """Cut the open connections one way: what is sent soon arrives, no answer does."""
+        """Drop the answers on the open connections, and shortly afterwards the requests too."""
         cut = tuple(self._pairs)
         for pair in cut:
             pair.drops_answers = True
@@ -148,7 +149,7 @@
                 await _close(pair)
 
     def _route(self, caller: SocketStream) -> Route:
-        """Return the links that a caller's connection passes."""
+        """Return the links that a caller's connection traverses."""
         return self._default_route
 
     async def _take_requests(self, pair: _Pair, line: MemoryObjectSendStream[_Due]) -> None:
@@ -164,7 +165,7 @@
         drops: Callable[[], bool],
         line: MemoryObjectSendStream[_Due],
     ) -> None:
-        """Take what one side sends, until it ends."""
+        """Read from one side until it closes, and queue the chunks for delivery to the other."""
         with line, suppress(*_ENDS):
             while True:
                 chunk = await source.receive(_CHUNK_BYTES)
@@ -183,7 +184,7 @@
 
 
 async def _deliver(pair: _Pair, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
-    """Hand on what was taken, each chunk when it is due, and close both connections once one side has ended."""
+    """Forward each queued chunk when it is due, and close both connections once one side has closed."""
     with line, suppress(*_ENDS):
         async for due in line:
             await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
