--- a/packages/standins/dahliaarch_standins/proxy/links.py
+++ b/packages/standins/dahliaarch_standins/proxy/links.py
@@ -1,4 +1,4 @@
-"""Links of a bounded rate."""
+"""Simulated network links of limited bandwidth."""
 
 import math
 import time
@@ -6,34 +6,34 @@
 
 import anyio
 
-# How much of a lag of the event loop a link makes up for, in seconds: a timer is
-# late by a millisecond or so, which would cost a fast link much of its rate.
+# Longest delay of the event loop that a link compensates for, in seconds: timers fire
+# about a millisecond late, which would cost a fast link much of its rate.
 _MADE_UP_S = 0.05
 
 
 class SlowLink:
-    """A link of a bounded rate, one way, which several proxies may share.
+    """A one-way link of limited bandwidth, which several proxies may share.
 
     Parameters
     ----------
     bytes_per_s : float
-        Its rate; may be changed while it carries.
+        Bandwidth; may be changed during a transfer.
 
     Attributes
     ----------
     carried_bytes : int
-        Bytes that it has carried.
+        Total number of bytes transferred.
     """
 
     def __init__(self, bytes_per_s: float = math.inf) -> None:
-        """Start idle."""
+        """Create an idle link."""
         self.bytes_per_s = bytes_per_s
         self.carried_bytes = 0
         self._carried_until_s = 0.0
         self._free = anyio.Lock()
 
     async def carry(self, size_bytes: int) -> None:
-        """Take as long as some bytes need, after those that came first."""
+        """Wait for the transfer of some bytes, which begins after the transfers queued before it."""
         async with self._free:
             begin_s = max(self._carried_until_s, time.monotonic() - _MADE_UP_S)
             self._carried_until_s = begin_s + size_bytes / self.bytes_per_s
@@ -42,12 +42,12 @@
 
 
 class Route(NamedTuple):
-    """The links that a connection passes, one after the other.
+    """The links that a connection traverses, in order.
 
     Parameters
     ----------
     requests, answers : tuple of SlowLink
-        Links towards the target and back.
+        Links to the target and back.
     """
 
     requests: tuple[SlowLink, ...] = ()
@@ -55,12 +55,12 @@
 
 
 class HostLinks(NamedTuple):
-    """The links of one host: all that it receives and all that it sends."""
+    """The links that carry all incoming and all outgoing traffic of one host."""
 
     incoming: SlowLink
     outgoing: SlowLink
 
     def set_rate(self, bytes_per_s: float) -> None:
-        """Change the rate of both."""
+        """Set the bandwidth of both links."""
         self.incoming.bytes_per_s = bytes_per_s
         self.outgoing.bytes_per_s = bytes_per_s
