--- a/packages/standins/dahliaarch_standins/proxy/peers.py
+++ b/packages/standins/dahliaarch_standins/proxy/peers.py
@@ -1,4 +1,4 @@
-"""A proxy before an instance, for the messages of its peers."""
+"""A proxy in front of an instance, for the messages of its peers."""
 
 from collections.abc import Mapping
 
@@ -11,18 +11,18 @@
 
 
 class PeerProxy(FaultProxy):
-    """Leads a connection over the links of both ends, known by their hosts.
+    """Routes each connection over the links of both its hosts.
 
     Parameters
     ----------
     target : Address
-        The instance.
+        Address of the instance.
     links_by_host : mapping
-        Links of every instance.
+        Links of each instance, by its host address.
     """
 
     def __init__(self, target: Address, links_by_host: Mapping[str, HostLinks]) -> None:
-        """Prepare; nothing listens yet."""
+        """Create the proxy; `listen` starts it."""
         super().__init__(target)
         self._links_by_host = links_by_host
 
