--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -1,13 +1,15 @@
-"""An owner on a slow link starts all that has waited: one eighth of 176 workers over one eighth of 5 Mbit/s.
+"""Starts all waiting tasks at once from an owner on a slow link.
 
-What happens: after a takeover of an idle pool no worker is contacted, all that was started lapses, and so it
-stays for as long as it is watched.
+The scale is one eighth of a deployment with 176 workers and a link of 5 Mbit/s.
 
-The sequence: the first pass orders 1,400 starts at once, which a link of 5 Mbit/s carries in 1.4 s. The first
-try of each waits 0.3 s for its answer, the second and third 0.6 s; they filled the link with what was sent already.
-Each start was then taken back by a stop, and these filled the link for good.
+Failure: after the takeover of an idle pool no worker is reached, every started run lapses, and the pool does not
+recover.
 
-The cause: a wait that knows nothing of what is sent before, and repeats that fill the link.
+How it comes about: the first pass orders 1,400 starts at once, which a link of 5 Mbit/s transmits in 1.4 s. The first
+attempt of each times out after 0.3 s, the second and third after 0.6 s, and these retries saturate the link with
+requests that were already sent. Each start is then revoked by a stop, and the stops keep the link saturated.
+
+Cause: a timeout that ignores the data queued before the request, and retries that saturate the link.
 """
 
 import time
@@ -33,14 +35,14 @@
 WORKERS = 22
 JOBS = 7
 TASKS_OF_A_JOB = 24
-# Bytes of what a task is told; it runs for longer than is played.
+# Payload of a task, about 300 bytes; the task runs for longer than the test.
 PAYLOAD = '30' + ' ' * 300
 QUEUE = Queue('q', 'h.example', '/q/', 'svc')
 STEP = StepSpec(TASKS_OF_A_JOB, Resources(1_000, 1_000, 1), 30.0)
 
 
 async def start_pool(tasks, store):
-    """Start the workers, reached over a slow link; return their stand-ins and the store's address."""
+    """Start the workers behind a slow link; return their stand-ins and the address of the store behind it."""
     requests_over, answers_over = SlowLink(SLOW_BYTES_PER_S), SlowLink(SLOW_BYTES_PER_S)
     workers = [WorkerStandIn(f'w{number:014d}', 'svc', f'r{number // 12}', store) for number in range(WORKERS)]
     for worker in workers:
