--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -1,16 +1,18 @@
-"""An owner takes over a pool with thousands of jobs, over a slow link and from a store that refuses calls.
+"""Takes over a pool with thousands of jobs, over a slow link and from a store that refuses calls.
 
-What happens: a takeover that never ends, jobs that no owner ever learns of, and work that is lost although its
-workers were well.
+Failures: a takeover never completes, the owner never learns of some jobs, and the work of healthy workers is lost.
 
-The sequence: the new owner lists the records, page by page. When the store refused one page, or lost its answer, all
-pages were read again: with a third of the calls refused, twenty pages in a row come once in 5,000 tries. Once all were
-there they went through a queue of 10,000 messages that nobody read meanwhile, and what was over was dropped; no watch
-brings a job again that was listed. And while the pages came (3.4 MB take 5.7 s on a link of 5 Mbit/s) nobody renewed
-the leases of the workers, which had 3 s left, and all that ran there lapsed.
+How they come about:
 
-The cause: a retry that begins anew, and waits (a queue's length, a lease) that know nothing of the size of what is
-read.
+- The new owner lists the records page by page. When the store refused one page, or its answer was lost, all pages were
+  read again. With a third of the calls refused, twenty pages in a row succeed once in 5,000 attempts.
+- The records then passed through a queue of 10,000 messages that was not read meanwhile, and the excess was dropped. A
+  watch does not deliver a listed job again.
+- While the pages were transferred (3.4 MB take 5.7 s on a link of 5 Mbit/s), the leases of the workers, which had 3 s
+  left, were not renewed, and all their runs lapsed.
+
+Cause: a retry that starts from the beginning, and limits (the length of a queue, a lease) that ignore the size of the
+data being read.
 """
 
 from contextlib import asynccontextmanager
@@ -36,7 +38,7 @@
 
 # A link of 5 Mbit/s.
 SLOW_BYTES_PER_S = 600_000
-# Ten thousand jobs are twenty pages.
+# Ten thousand jobs fill twenty pages.
 MANY_JOBS = 10_000
 QUEUE = Queue('q', 'h.example', '/q/', 'svc')
 STEP = StepSpec(1, Resources(1_000, 1_000, 1), 1.0)
@@ -51,7 +53,7 @@
 
 @asynccontextmanager
 async def taking_over(store, *, hold_s=6.0, answers_over=None):
-    """Run an owner that takes over what is in a store."""
+    """Run an owner that takes over the records of a store."""
     address = await store.listen()
     async with anyio.create_task_group() as tasks:
         proxy = FaultProxy(address, answers_over=answers_over)
@@ -87,7 +89,7 @@
     async def scenario():
         store = StoreStandIn()
         put_jobs(store, MANY_JOBS + 50)
-        # Cancellations come last.
+        # Cancellations are listed last.
         store.put(cancel_key(f'{7:016x}'), b'')
         async with taking_over(store) as owner:
             await until_ready(owner, within_s=20)
@@ -108,7 +110,7 @@
             while not worker.address.port:
                 await anyio.sleep(0.01)
             async with taking_over(store, hold_s=3.0, answers_over=SlowLink(SLOW_BYTES_PER_S)) as owner:
-                # What the previous owner had started, and when it last renewed the lease.
+                # A run started by the previous owner, and the end of the lease as that owner last renewed it.
                 lease_until_s = anyio.current_time() + 3.0
                 order = StartOrder(key, 1, '30', lease_until_s)
                 await (
