--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
@@ -1,12 +1,13 @@
-"""Instances ask each other over a link that holds bytes up for a tenth of a second.
+"""Sends requests between instances over a link with a latency of a tenth of a second.
 
-What happens: the owner is silent for callers' instances though it is well, for as long as they ask.
+Failure: the owner does not answer the instances of callers, although it is healthy, for as long as they send requests.
 
-The sequence: a connection between instances is there after four round trips, and the answer comes one later: 0.8 to 1 s
-over a link with a tenth of a second each way, as one has that is filled. A question waits 0.4 s. The first one that
-went unanswered gave the connection up and began another, which the next question gave up before it was there.
+How it comes about: a connection between instances is established after four round trips and the answer arrives one
+round trip later: 0.8 to 1 s over a saturated link with a latency of a tenth of a second each way. A request times out
+after 0.4 s. The first request to time out closed the connection and opened another, which the next request closed
+before it was established.
 
-The cause: a retry that begins anew, after a wait that knows nothing of what it has to wait for.
+Cause: a retry that starts from the beginning, after a timeout that ignores how long the awaited operation takes.
 """
 
 import anyio
@@ -17,7 +18,7 @@
 from dahliaarch_standins.proxy import FaultProxy
 
 DELAY_S = 0.1
-# As long as an instance waits for the owner's answer, and between callers' questions.
+# Timeout of a request to the owner, and the interval between requests of callers.
 WAIT_S = 0.4
 PAUSE_S = 0.05
 
@@ -51,5 +52,5 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    # All but those of the first second.
+    # All requests except those of the first second.
     assert len(answered) >= 30
