--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -3,7 +3,7 @@
 The scale is one eighth of a deployment with 176 workers and a link of 5 Mbit/s.
 
 Failure: after the takeover of an idle pool no worker is reached, every started run lapses, and the pool does not
-recover.
+recover for as long as it is observed.
 
 How it comes about: the first pass orders 1,400 starts at once, which a link of 5 Mbit/s transmits in 1.4 s. The first
 attempt of each times out after 0.3 s, the second and third after 0.6 s, and these retries saturate the link with
