--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -12,7 +12,7 @@
 from dahliaarch_platform.settings import Address
 
 from .links import Route, SlowLink
-from .silence import deafen
+from .silence import drop_incoming_packets
 
 _ANY_PORT = Address('127.0.0.1', 0)
 # Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
@@ -41,7 +41,7 @@
         self.drops_answers = True
         # A connection that is being closed has no socket any more.
         with suppress(OSError):
-            deafen(self.caller.extra(SocketAttribute.raw_socket))
+            drop_incoming_packets(self.caller.extra(SocketAttribute.raw_socket))
 
 
 class _Due(NamedTuple):
--- a/packages/standins/dahliaarch_standins/proxy/silence.py
+++ b/packages/standins/dahliaarch_standins/proxy/silence.py
@@ -18,6 +18,6 @@
 _PROGRAM = struct.pack('HP', 1, ctypes.addressof(_DROP_ALL))
 
 
-def deafen(raw: socket.socket | Any) -> None:
+def drop_incoming_packets(raw: socket.socket | Any) -> None:
     """Drop all packets that a socket receives: data, acknowledgements and keep-alive probes."""
     raw.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, _PROGRAM)
