--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -22,7 +22,7 @@
 # How long requests are still forwarded after the answers have been cut off, in seconds.
 _ONE_WAY_S = 0.3
 # Exceptions raised once either side has closed the connection.
-_ENDS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+_CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class _Pair:
@@ -166,7 +166,7 @@
         line: MemoryObjectSendStream[_Due],
     ) -> None:
         """Read from one side until it closes, and queue the chunks for delivery to the other."""
-        with line, suppress(*_ENDS):
+        with line, suppress(*_CLOSED_ERRORS):
             while True:
                 chunk = await source.receive(_CHUNK_BYTES)
                 await self._pass(chunk, links)
@@ -185,7 +185,7 @@
 
 async def _deliver(pair: _Pair, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
-    with line, suppress(*_ENDS):
+    with line, suppress(*_CLOSED_ERRORS):
         async for due in line:
             await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
             await target.send(due.chunk)
