--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -18,7 +18,7 @@
 # Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
 _CHUNK_BYTES = 16_384
 # Chunks in flight per connection and direction while a latency is set.
-_MOST_CHUNKS = 64
+_MAX_CHUNKS_IN_FLIGHT = 64
 # How long requests are still forwarded after the answers have been cut off, in seconds.
 _ONE_WAY_S = 0.3
 # Exceptions raised once either side has closed the connection.
@@ -137,8 +137,8 @@
         self._pairs.add(pair)
         try:
             async with anyio.create_task_group() as tasks:
-                requests, due_requests = anyio.create_memory_object_stream[_Due](_MOST_CHUNKS)
-                answers, due_answers = anyio.create_memory_object_stream[_Due](_MOST_CHUNKS)
+                requests, due_requests = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
+                answers, due_answers = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
                 tasks.start_soon(self._take_requests, pair, requests)
                 tasks.start_soon(self._take_answers, pair, answers)
                 tasks.start_soon(_deliver, pair, due_requests, pair.target)
