--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -20,7 +20,7 @@
 # Chunks in flight per connection and direction while a latency is set.
 _MAX_CHUNKS_IN_FLIGHT = 64
 # How long requests are still forwarded after the answers have been cut off, in seconds.
-_ONE_WAY_S = 0.3
+_REQUESTS_ONLY_S = 0.3
 # Exceptions raised once either side has closed the connection.
 _CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
@@ -115,7 +115,7 @@
         cut = tuple(self._pairs)
         for pair in cut:
             pair.drops_answers = True
-        await anyio.sleep(_ONE_WAY_S)
+        await anyio.sleep(_REQUESTS_ONLY_S)
         for pair in self._pairs.intersection(cut):
             pair.silence()
 
