--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -14,7 +14,7 @@
 from .links import Route, SlowLink
 from .silence import drop_incoming_packets
 
-_ANY_PORT = Address('127.0.0.1', 0)
+_ANY_FREE_PORT = Address('127.0.0.1', 0)
 # Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
 _CHUNK_BYTES = 16_384
 # Chunks in flight per connection and direction while a latency is set.
@@ -93,7 +93,7 @@
         self.drops_all = False
         self._pairs: set[_Pair] = set()
 
-    async def listen(self, tasks: TaskGroup, at: Address = _ANY_PORT) -> Address:
+    async def listen(self, tasks: TaskGroup, at: Address = _ANY_FREE_PORT) -> Address:
         """Listen on an address until the task group is cancelled; port 0 selects any free port."""
         listener = await anyio.create_tcp_listener(local_host=at.host, local_port=at.port)
         self.address = at._replace(port=listener.extra(SocketAttribute.local_port))
