--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -25,7 +25,7 @@
 _CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-class _Pair:
+class _ProxiedConnection:
     """A client connection and the connection to the target that it is forwarded to."""
 
     def __init__(self, caller: SocketStream, target: SocketStream, route: Route) -> None:
@@ -91,7 +91,7 @@
         self.latency_s = 0.0
         self.refuses = False
         self.drops_all = False
-        self._pairs: set[_Pair] = set()
+        self._pairs: set[_ProxiedConnection] = set()
 
     async def listen(self, tasks: TaskGroup, at: Address = _ANY_FREE_PORT) -> Address:
         """Listen on an address until the task group is cancelled; port 0 selects any free port."""
@@ -133,7 +133,7 @@
         except OSError:
             await anyio.aclose_forcefully(caller)
             return
-        pair = _Pair(caller, target, self._route(caller))
+        pair = _ProxiedConnection(caller, target, self._route(caller))
         self._pairs.add(pair)
         try:
             async with anyio.create_task_group() as tasks:
@@ -152,10 +152,10 @@
         """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(self, pair: _Pair, line: MemoryObjectSendStream[_Due]) -> None:
+    async def _take_requests(self, pair: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
         await self._take(pair.caller, pair.route.requests, lambda: pair.drops_requests, line)
 
-    async def _take_answers(self, pair: _Pair, line: MemoryObjectSendStream[_Due]) -> None:
+    async def _take_answers(self, pair: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
         await self._take(pair.target, pair.route.answers, lambda: pair.drops_answers, line)
 
     async def _take(
@@ -183,7 +183,7 @@
     return () if link is None else (link,)
 
 
-async def _deliver(pair: _Pair, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
+async def _deliver(pair: _ProxiedConnection, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
     with line, suppress(*_CLOSED_ERRORS):
         async for due in line:
@@ -192,6 +192,6 @@
     await _close(pair)
 
 
-async def _close(pair: _Pair) -> None:
+async def _close(pair: _ProxiedConnection) -> None:
     await anyio.aclose_forcefully(pair.caller)
     await anyio.aclose_forcefully(pair.target)
