--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -91,7 +91,7 @@
         self.latency_s = 0.0
         self.refuses = False
         self.drops_all = False
-        self._pairs: set[_ProxiedConnection] = set()
+        self._connections: set[_ProxiedConnection] = set()
 
     async def listen(self, tasks: TaskGroup, at: Address = _ANY_FREE_PORT) -> Address:
         """Listen on an address until the task group is cancelled; port 0 selects any free port."""
@@ -103,25 +103,25 @@
     @property
     def connections(self) -> int:
         """Number of open connections."""
-        return len(self._pairs)
+        return len(self._connections)
 
     def silence(self) -> None:
         """Black-hole the open connections permanently; new connections work."""
-        for pair in self._pairs:
+        for pair in self._connections:
             pair.silence()
 
     async def lose_answers(self) -> None:
         """Drop the answers on the open connections, and shortly afterwards the requests too."""
-        cut = tuple(self._pairs)
+        cut = tuple(self._connections)
         for pair in cut:
             pair.drops_answers = True
         await anyio.sleep(_REQUESTS_ONLY_S)
-        for pair in self._pairs.intersection(cut):
+        for pair in self._connections.intersection(cut):
             pair.silence()
 
     async def reset(self) -> None:
         """Close the open connections."""
-        for pair in tuple(self._pairs):
+        for pair in tuple(self._connections):
             await _close(pair)
 
     async def _serve(self, caller: SocketStream) -> None:
@@ -134,7 +134,7 @@
             await anyio.aclose_forcefully(caller)
             return
         pair = _ProxiedConnection(caller, target, self._route(caller))
-        self._pairs.add(pair)
+        self._connections.add(pair)
         try:
             async with anyio.create_task_group() as tasks:
                 requests, due_requests = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
@@ -144,7 +144,7 @@
                 tasks.start_soon(_deliver, pair, due_requests, pair.target)
                 tasks.start_soon(_deliver, pair, due_answers, pair.caller)
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(pair)
             with anyio.CancelScope(shield=True):
                 await _close(pair)
 
