--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -107,22 +107,22 @@
 
     def silence(self) -> None:
         """Black-hole the open connections permanently; new connections work."""
-        for pair in self._connections:
-            pair.silence()
+        for connection in self._connections:
+            connection.silence()
 
     async def lose_answers(self) -> None:
         """Drop the answers on the open connections, and shortly afterwards the requests too."""
         cut = tuple(self._connections)
-        for pair in cut:
-            pair.drops_answers = True
+        for connection in cut:
+            connection.drops_answers = True
         await anyio.sleep(_REQUESTS_ONLY_S)
-        for pair in self._connections.intersection(cut):
-            pair.silence()
+        for connection in self._connections.intersection(cut):
+            connection.silence()
 
     async def reset(self) -> None:
         """Close the open connections."""
-        for pair in tuple(self._connections):
-            await _close(pair)
+        for connection in tuple(self._connections):
+            await _close(connection)
 
     async def _serve(self, caller: SocketStream) -> None:
         if self.refuses:
@@ -133,30 +133,30 @@
         except OSError:
             await anyio.aclose_forcefully(caller)
             return
-        pair = _ProxiedConnection(caller, target, self._route(caller))
-        self._connections.add(pair)
+        connection = _ProxiedConnection(caller, target, self._route(caller))
+        self._connections.add(connection)
         try:
             async with anyio.create_task_group() as tasks:
                 requests, due_requests = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
                 answers, due_answers = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
-                tasks.start_soon(self._take_requests, pair, requests)
-                tasks.start_soon(self._take_answers, pair, answers)
-                tasks.start_soon(_deliver, pair, due_requests, pair.target)
-                tasks.start_soon(_deliver, pair, due_answers, pair.caller)
+                tasks.start_soon(self._take_requests, connection, requests)
+                tasks.start_soon(self._take_answers, connection, answers)
+                tasks.start_soon(_deliver, connection, due_requests, connection.target)
+                tasks.start_soon(_deliver, connection, due_answers, connection.caller)
         finally:
-            self._connections.discard(pair)
+            self._connections.discard(connection)
             with anyio.CancelScope(shield=True):
-                await _close(pair)
+                await _close(connection)
 
     def _route(self, caller: SocketStream) -> Route:
         """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(self, pair: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
-        await self._take(pair.caller, pair.route.requests, lambda: pair.drops_requests, line)
+    async def _take_requests(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
+        await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, line)
 
-    async def _take_answers(self, pair: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
-        await self._take(pair.target, pair.route.answers, lambda: pair.drops_answers, line)
+    async def _take_answers(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
+        await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, line)
 
     async def _take(
         self,
@@ -183,15 +183,15 @@
     return () if link is None else (link,)
 
 
-async def _deliver(pair: _ProxiedConnection, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
+async def _deliver(connection: _ProxiedConnection, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
     with line, suppress(*_CLOSED_ERRORS):
         async for due in line:
             await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
             await target.send(due.chunk)
-    await _close(pair)
+    await _close(connection)
 
 
-async def _close(pair: _ProxiedConnection) -> None:
-    await anyio.aclose_forcefully(pair.caller)
-    await anyio.aclose_forcefully(pair.target)
+async def _close(connection: _ProxiedConnection) -> None:
+    await anyio.aclose_forcefully(connection.caller)
+    await anyio.aclose_forcefully(connection.target)
