--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -44,7 +44,7 @@
             drop_incoming_packets(self.caller.extra(SocketAttribute.raw_socket))
 
 
-class _Due(NamedTuple):
+class _DelayedChunk(NamedTuple):
     """A chunk of bytes and its arrival time on the monotonic clock."""
 
     at_s: float
@@ -137,8 +137,8 @@
         self._connections.add(connection)
         try:
             async with anyio.create_task_group() as tasks:
-                requests, due_requests = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
-                answers, due_answers = anyio.create_memory_object_stream[_Due](_MAX_CHUNKS_IN_FLIGHT)
+                requests, due_requests = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
+                answers, due_answers = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
                 tasks.start_soon(self._take_requests, connection, requests)
                 tasks.start_soon(self._take_answers, connection, answers)
                 tasks.start_soon(_deliver, connection, due_requests, connection.target)
@@ -152,10 +152,10 @@
         """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
+    async def _take_requests(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_DelayedChunk]) -> None:
         await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, line)
 
-    async def _take_answers(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_Due]) -> None:
+    async def _take_answers(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_DelayedChunk]) -> None:
         await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, line)
 
     async def _take(
@@ -163,7 +163,7 @@
         source: SocketStream,
         links: tuple[SlowLink, ...],
         drops: Callable[[], bool],
-        line: MemoryObjectSendStream[_Due],
+        line: MemoryObjectSendStream[_DelayedChunk],
     ) -> None:
         """Read from one side until it closes, and queue the chunks for delivery to the other."""
         with line, suppress(*_CLOSED_ERRORS):
@@ -171,7 +171,7 @@
                 chunk = await source.receive(_CHUNK_BYTES)
                 await self._pass(chunk, links)
                 if not (drops() or self.drops_all):
-                    await line.send(_Due(time.monotonic() + self.latency_s, chunk))
+                    await line.send(_DelayedChunk(time.monotonic() + self.latency_s, chunk))
 
     async def _pass(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
@@ -183,7 +183,9 @@
     return () if link is None else (link,)
 
 
-async def _deliver(connection: _ProxiedConnection, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
+async def _deliver(
+    connection: _ProxiedConnection, line: MemoryObjectReceiveStream[_DelayedChunk], target: SocketStream
+) -> None:
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
     with line, suppress(*_CLOSED_ERRORS):
         async for due in line:
