--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -152,26 +152,28 @@
         """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_DelayedChunk]) -> None:
-        await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, line)
+    async def _take_requests(
+        self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]
+    ) -> None:
+        await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
 
-    async def _take_answers(self, connection: _ProxiedConnection, line: MemoryObjectSendStream[_DelayedChunk]) -> None:
-        await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, line)
+    async def _take_answers(self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]) -> None:
+        await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, queue)
 
     async def _take(
         self,
         source: SocketStream,
         links: tuple[SlowLink, ...],
         drops: Callable[[], bool],
-        line: MemoryObjectSendStream[_DelayedChunk],
+        queue: MemoryObjectSendStream[_DelayedChunk],
     ) -> None:
         """Read from one side until it closes, and queue the chunks for delivery to the other."""
-        with line, suppress(*_CLOSED_ERRORS):
+        with queue, suppress(*_CLOSED_ERRORS):
             while True:
                 chunk = await source.receive(_CHUNK_BYTES)
                 await self._pass(chunk, links)
                 if not (drops() or self.drops_all):
-                    await line.send(_DelayedChunk(time.monotonic() + self.latency_s, chunk))
+                    await queue.send(_DelayedChunk(time.monotonic() + self.latency_s, chunk))
 
     async def _pass(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
@@ -184,11 +186,11 @@
 
 
 async def _deliver(
-    connection: _ProxiedConnection, line: MemoryObjectReceiveStream[_DelayedChunk], target: SocketStream
+    connection: _ProxiedConnection, queue: MemoryObjectReceiveStream[_DelayedChunk], target: SocketStream
 ) -> None:
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
-    with line, suppress(*_CLOSED_ERRORS):
-        async for due in line:
+    with queue, suppress(*_CLOSED_ERRORS):
+        async for due in queue:
             await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
             await target.send(due.chunk)
     await _close(connection)
