--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -139,7 +139,7 @@
             async with anyio.create_task_group() as tasks:
                 requests, due_requests = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
                 answers, due_answers = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
-                tasks.start_soon(self._take_requests, connection, requests)
+                tasks.start_soon(self._read_requests, connection, requests)
                 tasks.start_soon(self._take_answers, connection, answers)
                 tasks.start_soon(_deliver, connection, due_requests, connection.target)
                 tasks.start_soon(_deliver, connection, due_answers, connection.caller)
@@ -152,7 +152,7 @@
         """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(
+    async def _read_requests(
         self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]
     ) -> None:
         await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
