--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -140,7 +140,7 @@
                 requests, due_requests = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
                 answers, due_answers = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
                 tasks.start_soon(self._read_requests, connection, requests)
-                tasks.start_soon(self._take_answers, connection, answers)
+                tasks.start_soon(self._read_answers, connection, answers)
                 tasks.start_soon(_deliver, connection, due_requests, connection.target)
                 tasks.start_soon(_deliver, connection, due_answers, connection.caller)
         finally:
@@ -157,7 +157,7 @@
     ) -> None:
         await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
 
-    async def _take_answers(self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]) -> None:
+    async def _read_answers(self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]) -> None:
         await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, queue)
 
     async def _take(
