--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -155,12 +155,12 @@
     async def _read_requests(
         self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]
     ) -> None:
-        await self._take(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
+        await self._read(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
 
     async def _read_answers(self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]) -> None:
-        await self._take(connection.target, connection.route.answers, lambda: connection.drops_answers, queue)
+        await self._read(connection.target, connection.route.answers, lambda: connection.drops_answers, queue)
 
-    async def _take(
+    async def _read(
         self,
         source: SocketStream,
         links: tuple[SlowLink, ...],
