--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -171,11 +171,11 @@
         with queue, suppress(*_CLOSED_ERRORS):
             while True:
                 chunk = await source.receive(_CHUNK_BYTES)
-                await self._pass(chunk, links)
+                await self._throttle(chunk, links)
                 if not (drops() or self.drops_all):
                     await queue.send(_DelayedChunk(time.monotonic() + self.latency_s, chunk))
 
-    async def _pass(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
+    async def _throttle(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
         for link in links:
             await link.carry(len(chunk))
