--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -112,11 +112,11 @@
 
     async def lose_answers(self) -> None:
         """Drop the answers on the open connections, and shortly afterwards the requests too."""
-        cut = tuple(self._connections)
-        for connection in cut:
+        affected = tuple(self._connections)
+        for connection in affected:
             connection.drops_answers = True
         await anyio.sleep(_REQUESTS_ONLY_S)
-        for connection in self._connections.intersection(cut):
+        for connection in self._connections.intersection(affected):
             connection.silence()
 
     async def reset(self) -> None:
