--- a/packages/standins/dahliaarch_standins/proxy/links.py
+++ b/packages/standins/dahliaarch_standins/proxy/links.py
@@ -8,7 +8,7 @@
 
 # Longest delay of the event loop that a link compensates for, in seconds: timers fire
 # about a millisecond late, which would cost a fast link much of its rate.
-_MADE_UP_S = 0.05
+_MAX_COMPENSATED_DELAY_S = 0.05
 
 
 class SlowLink:
@@ -35,7 +35,7 @@
     async def carry(self, size_bytes: int) -> None:
         """Wait for the transfer of some bytes, which begins after the transfers queued before it."""
         async with self._free:
-            begin_s = max(self._carried_until_s, time.monotonic() - _MADE_UP_S)
+            begin_s = max(self._carried_until_s, time.monotonic() - _MAX_COMPENSATED_DELAY_S)
             self._carried_until_s = begin_s + size_bytes / self.bytes_per_s
             await anyio.sleep(max(0.0, self._carried_until_s - time.monotonic()))
             self.carried_bytes += size_bytes
