--- a/packages/standins/dahliaarch_standins/proxy/links.py
+++ b/packages/standins/dahliaarch_standins/proxy/links.py
@@ -30,11 +30,11 @@
         self.bytes_per_s = bytes_per_s
         self.carried_bytes = 0
         self._busy_until_s = 0.0
-        self._free = anyio.Lock()
+        self._lock = anyio.Lock()
 
     async def carry(self, size_bytes: int) -> None:
         """Wait for the transfer of some bytes, which begins after the transfers queued before it."""
-        async with self._free:
+        async with self._lock:
             begin_s = max(self._busy_until_s, time.monotonic() - _MAX_COMPENSATED_DELAY_S)
             self._busy_until_s = begin_s + size_bytes / self.bytes_per_s
             await anyio.sleep(max(0.0, self._busy_until_s - time.monotonic()))
