--- a/packages/standins/dahliaarch_standins/proxy/peers.py
+++ b/packages/standins/dahliaarch_standins/proxy/peers.py
@@ -28,6 +28,6 @@
 
     def _route(self, caller: SocketStream) -> Route:
         host = caller.extra(SocketAttribute.remote_address)[0]
-        there = self._links_by_host[str(host)]
+        caller_links = self._links_by_host[str(host)]
         here = self._links_by_host[self.target.host]
-        return Route((there.outgoing, here.incoming), (here.outgoing, there.incoming))
+        return Route((caller_links.outgoing, here.incoming), (here.outgoing, caller_links.incoming))
