--- a/packages/standins/dahliaarch_standins/proxy/peers.py
+++ b/packages/standins/dahliaarch_standins/proxy/peers.py
@@ -29,5 +29,5 @@
     def _route(self, caller: SocketStream) -> Route:
         host = caller.extra(SocketAttribute.remote_address)[0]
         caller_links = self._links_by_host[str(host)]
-        here = self._links_by_host[self.target.host]
-        return Route((caller_links.outgoing, here.incoming), (here.outgoing, caller_links.incoming))
+        target_links = self._links_by_host[self.target.host]
+        return Route((caller_links.outgoing, target_links.incoming), (target_links.outgoing, caller_links.incoming))
