--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -34,11 +34,11 @@
 SLOW_BYTES_PER_S = 75_000
 WORKERS = 22
 JOBS = 7
-TASKS_OF_A_JOB = 24
+TASKS_PER_JOB = 24
 # Payload of a task, about 300 bytes; the task runs for longer than the test.
 PAYLOAD = '30' + ' ' * 300
 QUEUE = Queue('q', 'h.example', '/q/', 'svc')
-STEP = StepSpec(TASKS_OF_A_JOB, Resources(1_000, 1_000, 1), 30.0)
+STEP = StepSpec(TASKS_PER_JOB, Resources(1_000, 1_000, 1), 30.0)
 
 
 async def start_pool(tasks, store):
@@ -71,8 +71,8 @@
             owner = PoolOwner(settings, client, WorkerClient(HttpClient()), list, Metrics())
             tasks.start_soon(owner.run)
             await anyio.sleep(10)
-            assert sum(len(worker.running) for worker in workers) == JOBS * TASKS_OF_A_JOB
-            assert sum(len(worker.starts) for worker in workers) < 1.1 * JOBS * TASKS_OF_A_JOB
+            assert sum(len(worker.running) for worker in workers) == JOBS * TASKS_PER_JOB
+            assert sum(len(worker.starts) for worker in workers) < 1.1 * JOBS * TASKS_PER_JOB
             tasks.cancel_scope.cancel()
         for worker in workers:
             worker.server.close()
