--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -52,8 +52,8 @@
         proxy = FaultProxy(worker.address, requests_over=requests_over, answers_over=answers_over)
         worker.published_address = await proxy.listen(tasks)
         worker.publish()
-    near_store = FaultProxy(await store.listen(), requests_over=requests_over, answers_over=answers_over)
-    return workers, await near_store.listen(tasks)
+    store_proxy = FaultProxy(await store.listen(), requests_over=requests_over, answers_over=answers_over)
+    return workers, await store_proxy.listen(tasks)
 
 
 def test_all_that_has_waited_is_started_once_over_a_slow_link():
