--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -56,7 +56,7 @@
     return workers, await store_proxy.listen(tasks)
 
 
-def test_all_that_has_waited_is_started_once_over_a_slow_link():
+def test_all_waiting_tasks_are_started_once_over_a_slow_link():
     async def scenario():
         store = StoreStandIn()
         for number in range(JOBS):
