--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -52,7 +52,7 @@
 
 
 @asynccontextmanager
-async def taking_over(store, *, hold_s=6.0, answers_over=None):
+async def owner_taking_over(store, *, hold_s=6.0, answers_over=None):
     """Run an owner that takes over the records of a store."""
     address = await store.listen()
     async with anyio.create_task_group() as tasks:
@@ -78,7 +78,7 @@
         store = StoreStandIn()
         put_jobs(store, MANY_JOBS)
         store.faults.refused_share = 0.35
-        async with taking_over(store) as owner:
+        async with owner_taking_over(store) as owner:
             await until_ready(owner, within_s=20)
             assert len(owner.scheduler.job_by_id) == MANY_JOBS
 
@@ -91,7 +91,7 @@
         put_jobs(store, MANY_JOBS + 50)
         # Cancellations are listed last.
         store.put(cancel_key(f'{7:016x}'), b'')
-        async with taking_over(store) as owner:
+        async with owner_taking_over(store) as owner:
             await until_ready(owner, within_s=20)
             assert len(owner.scheduler.job_by_id) == MANY_JOBS + 50
             assert owner.scheduler.job_by_id[f'{7:016x}'].has_ended
@@ -109,7 +109,7 @@
             tasks.start_soon(worker.run)
             while not worker.address.port:
                 await anyio.sleep(0.01)
-            async with taking_over(store, hold_s=3.0, answers_over=SlowLink(SLOW_BYTES_PER_S)) as owner:
+            async with owner_taking_over(store, hold_s=3.0, answers_over=SlowLink(SLOW_BYTES_PER_S)) as owner:
                 # A run started by the previous owner, and the end of the lease as that owner last renewed it.
                 lease_until_s = anyio.current_time() + 3.0
                 order = StartOrder(key, 1, '30', lease_until_s)
