--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -67,7 +67,7 @@
     store.server.close()
 
 
-async def until_ready(owner, within_s):
+async def wait_until_ready(owner, within_s):
     with anyio.fail_after(within_s):
         while not owner.is_ready:
             await anyio.sleep(0.02)
@@ -79,7 +79,7 @@
         put_jobs(store, MANY_JOBS)
         store.faults.refused_share = 0.35
         async with owner_taking_over(store) as owner:
-            await until_ready(owner, within_s=20)
+            await wait_until_ready(owner, within_s=20)
             assert len(owner.scheduler.job_by_id) == MANY_JOBS
 
     anyio.run(scenario)
@@ -92,7 +92,7 @@
         # Cancellations are listed last.
         store.put(cancel_key(f'{7:016x}'), b'')
         async with owner_taking_over(store) as owner:
-            await until_ready(owner, within_s=20)
+            await wait_until_ready(owner, within_s=20)
             assert len(owner.scheduler.job_by_id) == MANY_JOBS + 50
             assert owner.scheduler.job_by_id[f'{7:016x}'].has_ended
 
@@ -118,7 +118,7 @@
                     .session(worker.address, WorkerIncarnation('w0'), 0)
                     .start(order, timeout_s=1.0)
                 )
-                await until_ready(owner, within_s=20)
+                await wait_until_ready(owner, within_s=20)
                 assert not worker.ends
                 assert set(worker.running.values()) == {1}
             tasks.cancel_scope.cancel()
