--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -73,7 +73,7 @@
             await anyio.sleep(0.02)
 
 
-def test_a_takeover_ends_though_the_store_refuses_a_third_of_the_calls():
+def test_a_takeover_completes_although_the_store_refuses_a_third_of_the_calls():
     async def scenario():
         store = StoreStandIn()
         put_jobs(store, MANY_JOBS)
