--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -85,7 +85,7 @@
     anyio.run(scenario)
 
 
-def test_every_job_is_known_after_a_takeover_however_many_there_are():
+def test_every_job_is_known_after_a_takeover_of_many_jobs():
     async def scenario():
         store = StoreStandIn()
         put_jobs(store, MANY_JOBS + 50)
