--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -99,7 +99,7 @@
     anyio.run(scenario)
 
 
-def test_work_outlasts_a_takeover_that_reads_for_longer_than_the_leases():
+def test_runs_survive_a_takeover_that_reads_for_longer_than_the_leases():
     async def scenario():
         store = StoreStandIn()
         put_jobs(store, 2_000, payload='30' + ' ' * 1_000)
