--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
@@ -17,7 +17,7 @@
 from dahliaarch_standins.deployment.core import free_ports
 from dahliaarch_standins.proxy import FaultProxy
 
-DELAY_S = 0.1
+LATENCY_S = 0.1
 # Timeout of a request to the owner, and the interval between requests of callers.
 WAIT_S = 0.4
 PAUSE_S = 0.05
@@ -44,7 +44,7 @@
             tasks.start_soon(own.run, '127.0.0.1', free_ports(1)[0])
             proxy = FaultProxy(Address('127.0.0.1', port))
             address = await proxy.listen(tasks)
-            proxy.latency_s = DELAY_S
+            proxy.latency_s = LATENCY_S
             await anyio.sleep(0.1)
             for _ in range(60):
                 tasks.start_soon(ask, own, address)
