--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
@@ -19,7 +19,7 @@
 
 LATENCY_S = 0.1
 # Timeout of a request to the owner, and the interval between requests of callers.
-WAIT_S = 0.4
+TIMEOUT_S = 0.4
 PAUSE_S = 0.05
 
 
@@ -32,7 +32,7 @@
 
     async def ask(mesh, address):
         try:
-            answered.append(await mesh.ask(address, AskPending('q'), timeout_s=WAIT_S))
+            answered.append(await mesh.ask(address, AskPending('q'), timeout_s=TIMEOUT_S))
         except PeerSilentError:
             return
 
