--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
@@ -20,7 +20,7 @@
 LATENCY_S = 0.1
 # Timeout of a request to the owner, and the interval between requests of callers.
 TIMEOUT_S = 0.4
-PAUSE_S = 0.05
+INTERVAL_S = 0.05
 
 
 async def answer(message):
@@ -48,7 +48,7 @@
             await anyio.sleep(0.1)
             for _ in range(60):
                 tasks.start_soon(ask, own, address)
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(INTERVAL_S)
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
