--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_handshakes.py
@@ -27,7 +27,7 @@
     return PendingReply(True, 7)
 
 
-def test_questions_over_a_link_that_holds_bytes_up_are_answered():
+def test_requests_over_a_link_with_high_latency_are_answered():
     answered = []
 
     async def ask(mesh, address):
