--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -47,7 +47,7 @@
 class _DelayedChunk(NamedTuple):
     """A chunk of bytes and its arrival time on the monotonic clock."""
 
-    at_s: float
+    due_s: float
     chunk: bytes
 
 
@@ -191,7 +191,7 @@
     """Forward each queued chunk when it is due, and close both connections once one side has closed."""
     with queue, suppress(*_CLOSED_ERRORS):
         async for due in queue:
-            await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
+            await anyio.sleep(max(0.0, due.due_s - time.monotonic()))
             await target.send(due.chunk)
     await _close(connection)
 
