--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -17,7 +17,7 @@
 _ANY_FREE_PORT = Address('127.0.0.1', 0)
 # Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
 _CHUNK_BYTES = 16_384
-# Chunks in flight per connection and direction while a latency is set.
+# Maximum number of chunks in flight per connection and direction, for links with a latency.
 _MAX_CHUNKS_IN_FLIGHT = 64
 # How long requests are still forwarded after the answers have been cut off, in seconds.
 _REQUESTS_ONLY_S = 0.3
