--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -1,4 +1,4 @@
-"""Forwards connections and delays, slows, resets, cuts or silences them."""
+"""Forwards TCP connections and can delay, throttle, reset, refuse or black-hole them."""
 
 import time
 from collections.abc import Callable
@@ -12,21 +12,21 @@
 from dahliaarch_platform.settings import Address
 
 from .links import Route, SlowLink
-from .silence import deafen
+from .silence import drop_incoming_packets
 
-_ANY_PORT = Address('127.0.0.1', 0)
-# Bytes that are forwarded at a time; connections take turns on a slow link.
+_ANY_FREE_PORT = Address('127.0.0.1', 0)
+# Bytes forwarded at a time; the connections that share a slow link alternate chunk by chunk.
 _CHUNK_BYTES = 16_384
-# Chunks that are under way at a time, one way, on a link with a latency.
-_MOST_CHUNKS = 64
-# How long a connection that is cut one way still carries requests, in seconds.
-_ONE_WAY_S = 0.3
-# What ends a connection on either side.
-_ENDS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+# Maximum number of chunks in flight per connection and direction, for links with a latency.
+_MAX_CHUNKS_IN_FLIGHT = 64
+# How long requests are still forwarded after the answers have been cut off, in seconds.
+_REQUESTS_ONLY_S = 0.3
+# Exceptions raised once either side has closed the connection.
+_CLOSED_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-class _Pair:
-    """One caller's connection and the one that it is forwarded to."""
+class _ProxiedConnection:
+    """A client connection and the connection to the target that it is forwarded to."""
 
     def __init__(self, caller: SocketStream, target: SocketStream, route: Route) -> None:
         self.caller = caller
@@ -36,43 +36,44 @@
         self.drops_answers = False
 
     def silence(self) -> None:
-        """Let nothing pass, nor be acknowledged to the caller."""
+        """Drop all bytes in both directions, and stop acknowledging packets of the caller."""
         self.drops_requests = True
         self.drops_answers = True
-        # One that is being closed has no socket any more.
+        # A connection that is being closed has no socket any more.
         with suppress(OSError):
-            deafen(self.caller.extra(SocketAttribute.raw_socket))
+            drop_incoming_packets(self.caller.extra(SocketAttribute.raw_socket))
 
 
-class _Due(NamedTuple):
-    """A chunk of bytes, and when it arrives, steady clock."""
+class _DelayedChunk(NamedTuple):
+    """A chunk of bytes and its arrival time on the monotonic clock."""
 
-    at_s: float
+    due_s: float
     chunk: bytes
 
 
 class FaultProxy:
-    """Stands between callers and one address.
+    """Forwards connections to one address and injects faults into them.
 
     Parameters
     ----------
     target : Address
-        Where connections are forwarded to.
+        Address that connections are forwarded to.
     requests_over, answers_over : SlowLink or None
-        What carries the bytes to the target and back; nothing for a fast link.
+        Links that limit the rate to the target and back; None for no limit.
 
     Attributes
     ----------
     address : Address
-        Where callers connect; set once it listens.
+        Address that callers connect to; its port is set by `listen`.
     delay_s : float
-        How long each chunk of bytes is held, both ways, before the next one is taken.
+        Delay before each chunk of bytes, in both directions; the next chunk is read only afterwards, so
+        that it also limits the throughput.
     latency_s : float
-        How much later bytes arrive, both ways, whatever goes before them.
+        Additional latency in both directions, which does not limit the throughput.
     refuses : bool
-        Whether new connections are closed at once.
+        Whether new connections are closed immediately.
     drops_all : bool
-        Whether nothing passes, on new connections either.
+        Whether all bytes are dropped, on open and on new connections.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         requests_over: SlowLink | None = None,
         answers_over: SlowLink | None = None,
     ) -> None:
-        """Prepare; nothing listens yet."""
+        """Create the proxy; `listen` starts it."""
         self.target = target
         self._default_route = Route(_links(requests_over), _links(answers_over))
         self.address = Address('127.0.0.1', 0)
@@ -90,10 +91,10 @@
         self.latency_s = 0.0
         self.refuses = False
         self.drops_all = False
-        self._pairs: set[_Pair] = set()
+        self._connections: set[_ProxiedConnection] = set()
 
-    async def listen(self, tasks: TaskGroup, at: Address = _ANY_PORT) -> Address:
-        """Listen on an address, until the group is cancelled; port 0 is any free one."""
+    async def listen(self, tasks: TaskGroup, at: Address = _ANY_FREE_PORT) -> Address:
+        """Listen on an address until the task group is cancelled; port 0 selects any free port."""
         listener = await anyio.create_tcp_listener(local_host=at.host, local_port=at.port)
         self.address = at._replace(port=listener.extra(SocketAttribute.local_port))
         tasks.start_soon(listener.serve, self._serve)
@@ -102,26 +103,26 @@
     @property
     def connections(self) -> int:
         """Number of open connections."""
-        return len(self._pairs)
+        return len(self._connections)
 
     def silence(self) -> None:
-        """Let the open connections fall silent for good; new ones work."""
-        for pair in self._pairs:
-            pair.silence()
+        """Black-hole the open connections permanently; new connections work."""
+        for connection in self._connections:
+            connection.silence()
 
     async def lose_answers(self) -> None:
-        """Cut the open connections one way: what is sent soon arrives, no answer does."""
-        cut = tuple(self._pairs)
-        for pair in cut:
-            pair.drops_answers = True
-        await anyio.sleep(_ONE_WAY_S)
-        for pair in self._pairs.intersection(cut):
-            pair.silence()
+        """Drop the answers on the open connections, and shortly afterwards the requests too."""
+        affected = tuple(self._connections)
+        for connection in affected:
+            connection.drops_answers = True
+        await anyio.sleep(_REQUESTS_ONLY_S)
+        for connection in self._connections.intersection(affected):
+            connection.silence()
 
     async def reset(self) -> None:
         """Close the open connections."""
-        for pair in tuple(self._pairs):
-            await _close(pair)
+        for connection in tuple(self._connections):
+            await _close(connection)
 
     async def _serve(self, caller: SocketStream) -> None:
         if self.refuses:
@@ -132,47 +133,49 @@
         except OSError:
             await anyio.aclose_forcefully(caller)
             return
-        pair = _Pair(caller, target, self._route(caller))
-        self._pairs.add(pair)
+        connection = _ProxiedConnection(caller, target, self._route(caller))
+        self._connections.add(connection)
         try:
             async with anyio.create_task_group() as tasks:
-                requests, due_requests = anyio.create_memory_object_stream[_Due](_MOST_CHUNKS)
-                answers, due_answers = anyio.create_memory_object_stream[_Due](_MOST_CHUNKS)
-                tasks.start_soon(self._take_requests, pair, requests)
-                tasks.start_soon(self._take_answers, pair, answers)
-                tasks.start_soon(_deliver, pair, due_requests, pair.target)
-                tasks.start_soon(_deliver, pair, due_answers, pair.caller)
+                requests, due_requests = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
+                answers, due_answers = anyio.create_memory_object_stream[_DelayedChunk](_MAX_CHUNKS_IN_FLIGHT)
+                tasks.start_soon(self._read_requests, connection, requests)
+                tasks.start_soon(self._read_answers, connection, answers)
+                tasks.start_soon(_deliver, connection, due_requests, connection.target)
+                tasks.start_soon(_deliver, connection, due_answers, connection.caller)
         finally:
-            self._pairs.discard(pair)
+            self._connections.discard(connection)
             with anyio.CancelScope(shield=True):
-                await _close(pair)
+                await _close(connection)
 
     def _route(self, caller: SocketStream) -> Route:
-        """Return the links that a caller's connection passes."""
+        """Return the links that a caller's connection traverses."""
         return self._default_route
 
-    async def _take_requests(self, pair: _Pair, line: MemoryObjectSendStream[_Due]) -> None:
-        await self._take(pair.caller, pair.route.requests, lambda: pair.drops_requests, line)
+    async def _read_requests(
+        self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]
+    ) -> None:
+        await self._read(connection.caller, connection.route.requests, lambda: connection.drops_requests, queue)
 
-    async def _take_answers(self, pair: _Pair, line: MemoryObjectSendStream[_Due]) -> None:
-        await self._take(pair.target, pair.route.answers, lambda: pair.drops_answers, line)
+    async def _read_answers(self, connection: _ProxiedConnection, queue: MemoryObjectSendStream[_DelayedChunk]) -> None:
+        await self._read(connection.target, connection.route.answers, lambda: connection.drops_answers, queue)
 
-    async def _take(
+    async def _read(
         self,
         source: SocketStream,
         links: tuple[SlowLink, ...],
         drops: Callable[[], bool],
-        line: MemoryObjectSendStream[_Due],
+        queue: MemoryObjectSendStream[_DelayedChunk],
     ) -> None:
-        """Take what one side sends, until it ends."""
-        with line, suppress(*_ENDS):
+        """Read from one side until it closes, and queue the chunks for delivery to the other."""
+        with queue, suppress(*_CLOSED_ERRORS):
             while True:
                 chunk = await source.receive(_CHUNK_BYTES)
-                await self._pass(chunk, links)
+                await self._throttle(chunk, links)
                 if not (drops() or self.drops_all):
-                    await line.send(_Due(time.monotonic() + self.latency_s, chunk))
+                    await queue.send(_DelayedChunk(time.monotonic() + self.latency_s, chunk))
 
-    async def _pass(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
+    async def _throttle(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
         for link in links:
             await link.carry(len(chunk))
@@ -182,15 +185,17 @@
     return () if link is None else (link,)
 
 
-async def _deliver(pair: _Pair, line: MemoryObjectReceiveStream[_Due], target: SocketStream) -> None:
-    """Hand on what was taken, each chunk when it is due, and close both connections once one side has ended."""
-    with line, suppress(*_ENDS):
-        async for due in line:
-            await anyio.sleep(max(0.0, due.at_s - time.monotonic()))
+async def _deliver(
+    connection: _ProxiedConnection, queue: MemoryObjectReceiveStream[_DelayedChunk], target: SocketStream
+) -> None:
+    """Forward each queued chunk when it is due, and close both connections once one side has closed."""
+    with queue, suppress(*_CLOSED_ERRORS):
+        async for due in queue:
+            await anyio.sleep(max(0.0, due.due_s - time.monotonic()))
             await target.send(due.chunk)
-    await _close(pair)
+    await _close(connection)
 
 
-async def _close(pair: _Pair) -> None:
-    await anyio.aclose_forcefully(pair.caller)
-    await anyio.aclose_forcefully(pair.target)
+async def _close(connection: _ProxiedConnection) -> None:
+    await anyio.aclose_forcefully(connection.caller)
+    await anyio.aclose_forcefully(connection.target)
