--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -1,4 +1,4 @@
-"""Starts daemons as processes of their own against stand-ins in this process."""
+"""Runs daemons as separate processes against stand-ins in the current process."""
 
 import os
 import secrets
@@ -31,16 +31,16 @@
 
 
 class Caller:
-    """A client of the system: asks any instance, in turn.
+    """A client that sends its requests to the instances in round-robin order.
 
     Parameters
     ----------
     addresses : list of Address
-        Where the instances take requests.
+        Addresses at which the instances accept requests.
     """
 
     def __init__(self, addresses: list[Address]) -> None:
-        """Start with the first instance."""
+        """Create a client; no connection is opened yet."""
         self._addresses = addresses
         self._http = HttpClient()
         self._next = 0
@@ -55,7 +55,7 @@
         host: str = HOST,
         timeout_s: float = 3.0,
     ) -> Reply | None:
-        """Make one call; nothing when there was no answer."""
+        """Send one request; return None if it could not be sent or was not answered."""
         self._next += 1
         address = self._addresses[self._next % len(self._addresses)]
         headers = {'Host': host, 'Authorization': f'Token {key}'}
@@ -72,7 +72,7 @@
             return None
 
     async def submit(self, queue: str, steps: list[dict[str, Any]], payload: str, job_id: str = '') -> str:
-        """Hand a job in, again and again until it is accepted."""
+        """Submit a job, retrying with the same id until it is accepted; return the id."""
         job_id = job_id or secrets.token_hex(8)
         while True:
             reply = await self.call('POST', PREFIX_BY_QUEUE[queue] + job_id, {'Spec': payload, 'Steps': steps})
@@ -81,7 +81,7 @@
             await anyio.sleep(0.2)
 
     async def state(self, queue: str, job_id: str) -> str:
-        """Return a job's state, its status when there is none, or nothing."""
+        """Return a job's state, the HTTP status if it is not 200, or an empty string if there is no answer."""
         reply = await self.call('GET', PREFIX_BY_QUEUE[queue] + job_id)
         if reply is None:
             return ''
@@ -90,12 +90,12 @@
         return str(msgspec.json.decode(reply.body)['State'])
 
     async def wait_for(self, queue: str, job_id: str, state: str, timeout_s: float = 20.0) -> None:
-        """Wait until a job is in a state.
+        """Wait until a job reaches a state.
 
         Raises
         ------
         TimeoutError
-            When it is not in time.
+            If the job does not reach the state within the timeout.
         """
         with anyio.fail_after(timeout_s):
             while await self.state(queue, job_id) != state:
@@ -103,18 +103,18 @@
 
 
 class Deployment:
-    """A store, workers and daemons.
+    """A store and workers as stand-ins, and daemons as real processes.
 
     Parameters
     ----------
     folder : Path
-        Where settings files and logs go.
+        Directory for settings files and logs.
     instances, workers : int
-        How many of each.
+        Number of instances and of workers.
     """
 
     def __init__(self, folder: Path, instances: int = 3, workers: int = 4) -> None:
-        """Prepare; nothing runs yet."""
+        """Create the stand-ins and reserve ports; nothing is started yet."""
         self.store = StoreStandIn()
         self.workers = [WorkerStandIn(f'w{number}', 'svc', f'r{number // 8}', self.store) for number in range(workers)]
         self.version = 0
@@ -122,16 +122,16 @@
         self._process_by_name: dict[str, subprocess.Popen[bytes]] = {}
         self._ports_by_name = {f'i{number}': free_ports(3) for number in range(instances)}
         self._store_address = Address('127.0.0.1', 0)
-        # Decides on the workers of one queue, where a test asks for it.
+        # Placement policy service for `ADVISED_QUEUE`; None if no queue uses one.
         self.policy: PolicyStandIn | None = None
         self._policy_address: Address | None = None
-        # Longest lease that workers grant.
+        # Longest lease that workers grant, in seconds.
         self.max_hold_s = 3.0
-        # Where an instance finds the store: a proxy, where one stands before it.
+        # Store address per instance where it differs from the default, such as that of a proxy.
         self.store_address_by_name: dict[str, Address] = {}
-        # Hosts at which instances take their peers' messages; the loopback address by default.
+        # Hosts on which instances listen for messages of their peers; `HOST` by default.
         self.host_by_name: dict[str, str] = {}
-        # What runs as a daemon.
+        # Module that is run as the daemon.
         self.program = 'dahliaarch_node.main'
 
     @property
@@ -141,28 +141,28 @@
 
     @property
     def log_paths(self) -> list[Path]:
-        """Logs of the instances, over all incarnations of their daemons."""
+        """Paths of the instances' logs; each log covers all incarnations of its daemon."""
         return [self._log_path(name) for name in self.names]
 
     def _log_path(self, name: str) -> Path:
         return self._folder / f'{name}.log'
 
     def peer_address(self, name: str) -> Address:
-        """Return where an instance takes its peers' messages."""
+        """Return the address on which an instance listens for messages of its peers."""
         return Address(self.host_by_name.get(name, HOST), self._ports_by_name[name][2])
 
     def caller(self, *names: str) -> Caller:
-        """Return a client of some instances, or of all."""
+        """Return a client of the named instances, or of all if none is named."""
         chosen = names or tuple(self.names)
         return Caller([Address('127.0.0.1', self._ports_by_name[name][0]) for name in chosen])
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start everything and wait until every instance is ready."""
+        """Start the stand-ins and the daemons; wait until every instance is ready."""
         await self.start_platform(tasks)
         await self.start_instances()
 
     async def start_platform(self, tasks: TaskGroup) -> Address:
-        """Start the store and the workers; return the store's address."""
+        """Start the stand-ins and write the configuration; return the store's address."""
         self._store_address = await self.store.listen()
         if self.policy is not None:
             self._policy_address = await self.policy.listen()
@@ -174,7 +174,7 @@
         return self._store_address
 
     async def start_instances(self) -> None:
-        """Start the daemons and wait until every one is ready."""
+        """Start the daemons; wait until all are ready and one owns the pool."""
         for name in self.names:
             self.launch(name)
         with anyio.fail_after(_START_S):
@@ -188,7 +188,7 @@
         guaranteed: int = 16,
         more_queues: Iterable[dict[str, Any]] = (),
     ) -> None:
-        """Write a new version of the configuration."""
+        """Write the next version of the configuration to the store."""
         self.version += 1
         queues = [queue_row(name, prefix, priority) for priority, (name, prefix) in enumerate(PREFIX_BY_QUEUE.items())]
         if self.policy is not None:
@@ -203,7 +203,7 @@
         self.store.put('op/config', msgspec.json.encode(configuration))
 
     def launch(self, name: str) -> None:
-        """Start a daemon."""
+        """Write an instance's settings file and start its daemon."""
         path = self._folder / f'{name}.conf'
         path.write_text(self._settings(name), encoding='utf-8')
         log = self._log_path(name).open('ab')
@@ -216,16 +216,16 @@
 
     @property
     def running_names(self) -> list[str]:
-        """Names of the instances whose daemons were launched and not killed."""
+        """Names of the instances whose daemons were launched and not yet killed or reaped."""
         return sorted(self._process_by_name)
 
     def incarnation(self, name: str) -> int:
-        """Return a number of the present incarnation of an instance's daemon; 0 when it has none."""
+        """Return the process id of an instance's daemon, which identifies its incarnation; 0 if it has none."""
         process = self._process_by_name.get(name)
         return 0 if process is None else process.pid
 
     def ended_by_themselves(self, but: Collection[str] = ()) -> list[str]:
-        """Return the instances whose daemons have ended, those left out that are being stopped."""
+        """Remove and return the instances whose daemons have exited, except those in `but`."""
         ended = [name for name, process in self._process_by_name.items() if process.poll() is not None]
         ended = [name for name in ended if name not in but]
         for name in ended:
@@ -233,7 +233,7 @@
         return ended
 
     def kill(self, name: str) -> None:
-        """Kill a daemon."""
+        """Kill a daemon with SIGKILL, also if it is suspended."""
         process = self._process_by_name.pop(name)
         process.send_signal(signal.SIGCONT)
         process.kill()
@@ -244,19 +244,19 @@
         self._process_by_name[name].send_signal(number)
 
     def terminate(self, name: str) -> None:
-        """Ask a daemon to stop."""
+        """Send SIGTERM to a daemon."""
         self.signal(name, signal.SIGTERM)
 
     def pause(self, name: str) -> None:
-        """Suspend a daemon."""
+        """Suspend a daemon with SIGSTOP."""
         self.signal(name, signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let it go on."""
+        """Resume a suspended daemon with SIGCONT."""
         self.signal(name, signal.SIGCONT)
 
     async def wait_stopped(self, name: str) -> int:
-        """Wait for a daemon's end; return its status."""
+        """Wait until a daemon exits; return its exit status."""
         process = self._process_by_name.pop(name)
         with anyio.fail_after(_STOP_S):
             while process.poll() is None:
@@ -264,7 +264,7 @@
         return int(process.returncode)
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a daemon says that it is ready."""
+        """Poll a daemon's readiness endpoint until it answers with status 200."""
         caller = Caller([Address('127.0.0.1', self._ports_by_name[name][1])])
         while True:
             reply = await caller.call('GET', '/ready')
@@ -273,7 +273,7 @@
             await anyio.sleep(0.05)
 
     async def owner(self) -> str:
-        """Return the name of the instance that owns the pool, once there is one."""
+        """Wait until an instance owns the pool; return its name."""
         while True:
             name = self.owner_now()
             if name is not None:
@@ -281,12 +281,12 @@
             await anyio.sleep(0.05)
 
     def owner_now(self) -> str | None:
-        """Return the name of the instance that owns the pool now."""
+        """Return the name of the instance that owns the pool, or None."""
         value = self.store.value(OWNER_KEY)
         return None if value is None else decode(value, Member, 'member').instance
 
     def close(self) -> None:
-        """End every daemon."""
+        """Kill all daemons."""
         for process in self._process_by_name.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -318,7 +318,7 @@
 
 
 def queue_row(name: str, prefix: str, priority: int, host: str = HOST) -> dict[str, Any]:
-    """Return a queue as a document of the configuration has it."""
+    """Return a queue as an entry of `Routes` in the configuration document."""
     return {
         'Name': name,
         'Host': host,
@@ -332,11 +332,11 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return free ports below those that the system gives to other sockets, and keep them.
+    """Return free ports below the ephemeral range and reserve them for this process.
 
-    A port that the system gives out may be taken by a stand-in or a client's
-    connection before the daemon that it is meant for binds it; one that is not
-    kept, by another deployment while the daemon is down.
+    An ephemeral port could be assigned to a stand-in or to a client's connection
+    before the daemon binds it. A port that is not reserved could be taken by
+    another deployment while the daemon is down.
     """
     found: list[int] = []
     while len(found) < count:
@@ -347,20 +347,20 @@
 
 
 def _keep_port(port: int) -> bool:
-    """Bind a port for as long as this process runs, unless somebody has; daemons may still bind it."""
+    """Reserve a port until this process exits; return False if it is in use. Daemons can still bind it."""
     keeper = socket.socket()
     try:
         keeper.bind((HOST, port))
     except OSError:
         keeper.close()
         return False
-    # Set only now: with it, the port of another keeper could be bound.
+    # Set after binding: set before, it would allow binding a port that another process has reserved.
     keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     _KEEPERS.append(keeper)
     return True
 
 
 _KEEPERS: list[socket.socket] = []
-# Below the ports that Linux gives to sockets by itself (32768 and above).
+# Below the default ephemeral range of Linux, which starts at 32768.
 _FIRST_PORT = 12_000
 _PORTS = 20_000
