--- a/packages/standins/dahliaarch_standins/daemon.py
+++ b/packages/standins/dahliaarch_standins/daemon.py
@@ -1,12 +1,12 @@
-"""The daemon, with its messages to peers led through proxies before them.
+"""The daemon, with its connections to peers routed through proxies.
 
-An instance advertises the address that it binds, so that no proxy can stand
-there. Here every instance has a host of its own on the loopback network; what it
-sends to a peer goes to the proxy's host beside the peer's, and comes from its own
-host, by which the proxy knows it.
+An instance advertises the address that it binds, so a proxy cannot listen there.
+Each instance therefore has its own host address on the loopback network. It
+connects to the address of the proxy that belongs to the peer, with its own host
+as the source address, by which the proxy identifies the sender.
 """
 
-# First, since it ignores a signal that may come before its settings are read.
+# Imported first: it ignores a signal that may arrive before the settings are read.
 from dahliaarch_node.main import main
 
 # isort: split
@@ -20,21 +20,21 @@
 
 
 class _LedSocket(Socket):
-    """A socket whose connections go through proxies."""
+    """A socket that connects to the proxies of its peers."""
 
     own_host = ''
 
     def bind(self, addr: str) -> Any:
-        """Bind, and remember the host."""
+        """Bind, and record the host as the source address of connections."""
         _LedSocket.own_host = _host(addr)
         return super().bind(addr)
 
     def connect(self, addr: str) -> Any:
-        """Connect to the proxy before a peer."""
+        """Connect to the proxy of a peer."""
         return super().connect(_led(addr))
 
     def disconnect(self, addr: str | bytes) -> Any:
-        """Disconnect from it."""
+        """Disconnect from the proxy of a peer."""
         return super().disconnect(_led(addr if isinstance(addr, str) else addr.decode()))
 
 
@@ -47,7 +47,7 @@
 
 
 def _led(endpoint: str) -> str:
-    """Return an endpoint with the own host as its source and the proxy's as its target."""
+    """Return the ZeroMQ endpoint of the peer's proxy, with the own host as source address."""
     host = _host(endpoint)
     return f'tcp://{_LedSocket.own_host}:0;{endpoint.removeprefix("tcp://").replace(host, proxy_host(host))}'
 
