--- a/packages/standins/dahliaarch_standins/deployment/jobs.py
+++ b/packages/standins/dahliaarch_standins/deployment/jobs.py
@@ -1,4 +1,4 @@
-"""Steps of small random jobs, in the form in which callers submit them."""
+"""Random steps of small jobs, as JSON objects of a submission."""
 
 import random
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 def draw_steps(choice: random.Random, *, estimate_ms: int, gang_share: float = 0.0) -> list[dict[str, Any]]:
-    """Return one step, or two that follow each other."""
+    """Return one step, or two of which the second depends on the first."""
     first = {
         'Count': choice.randint(1, _MOST_TASKS),
         'Cpu': 4000,
@@ -26,7 +26,7 @@
 
 
 def step_specs(steps: Iterable[dict[str, Any]]) -> tuple[StepSpec, ...]:
-    """Return what such steps ask for."""
+    """Return the step specifications for submitted steps."""
     return tuple(
         StepSpec(
             step['Count'],
