--- a/packages/standins/dahliaarch_standins/deployment/__init__.py
+++ b/packages/standins/dahliaarch_standins/deployment/__init__.py
@@ -1,4 +1,4 @@
-"""A whole deployment on the loopback address: stand-ins and real daemons."""
+"""A complete deployment on the loopback interface: platform stand-ins and real daemons."""
 
 from .core import Caller, Deployment
 
