--- a/packages/standins/dahliaarch_standins/__init__.py
+++ b/packages/standins/dahliaarch_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform: its store and its workers, over its protocol."""
+"""Stand-ins for the platform's store and workers that implement its protocol."""
