--- a/packages/standins/dahliaarch_standins/demo/__init__.py
+++ b/packages/standins/dahliaarch_standins/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A demonstration: real daemons, jobs under failures, and the counts."""
+"""A demonstration that runs jobs on real daemons with injected faults and counts the outcomes."""
 
 from .core import DemoCounts, run_demo
 
