--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -1,4 +1,4 @@
-"""Runs jobs on a deployment while its owner is killed and the store is away."""
+"""Runs jobs on a deployment while its owner is killed and the store does not answer."""
 
 import random
 import secrets
@@ -14,34 +14,34 @@
 from ..deployment.jobs import draw_steps
 
 _QUEUES = ('urgent', 'ordinary')
-# Longest time for all jobs to end, in seconds.
+# Timeout for all jobs to succeed, in seconds.
 _ALL_ENDED_S = 60.0
-# When the owner is killed and the store falls silent, seconds from the start.
+# When the owner is killed and when the store stops answering, in seconds from the start.
 _KILL_AT_S = 2.0
 _SILENCE_AT_S = 5.0
 _SILENCE_S = 1.5
 # Share of jobs that are gangs.
 _GANG_SHARE = 0.5
 _ESTIMATE_MS = 400
-# Mean time between two jobs, in seconds.
+# Mean interarrival time of jobs, in seconds.
 _GAP_S = 0.15
 
 
 class DemoCounts(NamedTuple):
-    """What became of the jobs.
+    """Outcomes of the jobs.
 
     Parameters
     ----------
     accepted, succeeded : int
-        Jobs accepted, and shown as succeeded.
+        Jobs that were accepted, and those reported as succeeded.
     lost : int
         Accepted jobs that did not succeed.
     doubled : int
         Tasks that succeeded more than once.
     starts : int
-        Starts that workers carried out.
+        Runs that workers started.
     owners : int
-        Instances that owned the pool, one after another.
+        Ownership epochs in which workers started runs.
     """
 
     accepted: int
@@ -53,12 +53,12 @@
 
     @property
     def is_right(self) -> bool:
-        """Whether nothing was lost or doubled."""
+        """Whether no job was lost and no task succeeded more than once."""
         return not self.lost and not self.doubled
 
 
 def run_demo(jobs: int, seed: int) -> DemoCounts:
-    """Run the demonstration."""
+    """Run the demonstration and return its counts."""
     return anyio.run(_run, jobs, seed)
 
 
