--- a/packages/standins/dahliaarch_standins/bench/__init__.py
+++ b/packages/standins/dahliaarch_standins/bench/__init__.py
@@ -1,4 +1,4 @@
-"""A benchmark of one pass of decisions over a large pool."""
+"""A benchmark of the scheduler's decision pass over a large pool."""
 
 from .core import BenchResult, run_bench
 
