--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -1,4 +1,4 @@
-"""Times passes of the scheduler while tasks end and jobs come."""
+"""Measures scheduling passes while jobs arrive and tasks complete."""
 
 import random
 import statistics
@@ -17,22 +17,22 @@
     for priority in range(3)
 )
 _WALL_S = 1_700_000_000.0
-# Time between two passes in the benchmark's own clock, in seconds.
+# Simulated time between two passes, in seconds.
 _STEP_S = 0.05
-# Ends that come between two passes.
+# Tasks that complete between two passes.
 _ENDS_A_PASS = 4
 _PERCENTILES = 100
 
 
 class BenchResult(NamedTuple):
-    """Times of passes in milliseconds.
+    """Durations of scheduling passes.
 
     Parameters
     ----------
     workers, waiting_tasks, passes : int
-        Size of the benchmark.
+        Workers in the pool, waiting tasks at each pass, and measured passes.
     p50_ms, p99_ms : float
-        Median and 99th percentile.
+        Median and 99th percentile of the durations, in milliseconds.
     """
 
     workers: int
@@ -43,18 +43,18 @@
 
 
 def run_bench(workers: int, waiting_tasks: int, passes: int, seed: int) -> BenchResult:
-    """Run the benchmark.
+    """Run the benchmark and return the durations of its passes.
 
     Parameters
     ----------
     workers : int
-        Workers of the pool.
+        Workers in the pool.
     waiting_tasks : int
-        Tasks that wait, kept up during the run.
+        Minimum number of waiting tasks; jobs are added before each pass to maintain it.
     passes : int
-        Passes that are timed.
+        Passes to measure.
     seed : int
-        Seed of jobs and ends.
+        Seed for the random jobs and task completions.
     """
     load = _Load(workers, random.Random(seed))
     took_ms = []
@@ -66,7 +66,7 @@
 
 
 class _Load:
-    """A scheduler under jobs that come and tasks that end."""
+    """A scheduler under a simulated load of arriving jobs and completing tasks."""
 
     def __init__(self, workers: int, choice: random.Random) -> None:
         self._choice = choice
@@ -84,7 +84,7 @@
         return Moment(self._now_s, _WALL_S + self._now_s)
 
     def fill(self, waiting_tasks: int) -> None:
-        """Hand jobs in until so many tasks wait."""
+        """Add jobs until at least this many tasks wait."""
         jobs = self._scheduler.job_by_id.values()
         waiting = sum(len(step.pending) for job in jobs for step in job.step_by_key.values())
         while waiting < waiting_tasks:
@@ -96,7 +96,7 @@
             waiting += step.task_count
 
     def step(self) -> float:
-        """Let some tasks end and decide; return the time of the decision in milliseconds."""
+        """Complete some tasks and run one pass; return its duration in milliseconds."""
         self._now_s += _STEP_S
         for _ in range(min(_ENDS_A_PASS, len(self._running))):
             ended = self._running.pop(self._choice.randrange(len(self._running)))
