--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -18,7 +18,7 @@
 )
 _WALL_S = 1_700_000_000.0
 # Simulated time between two passes, in seconds.
-_STEP_S = 0.05
+_PASS_INTERVAL_S = 0.05
 # Tasks that complete between two passes.
 _COMPLETIONS_PER_PASS = 4
 _PERCENTILES = 100
@@ -97,7 +97,7 @@
 
     def step(self) -> float:
         """Complete some tasks and run one pass; return its duration in milliseconds."""
-        self._now_s += _STEP_S
+        self._now_s += _PASS_INTERVAL_S
         for _ in range(min(_COMPLETIONS_PER_PASS, len(self._running))):
             ended = self._running.pop(self._choice.randrange(len(self._running)))
             self._end(ended)
