--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -16,7 +16,7 @@
     Queue(f'q{priority}', 'h', f'/{priority}/', 'svc', priority, max_attempts=4, stretch=3.0, target_latency_s=1.0)
     for priority in range(3)
 )
-_WALL_S = 1_700_000_000.0
+_WALL_CLOCK_OFFSET_S = 1_700_000_000.0
 # Simulated time between two passes, in seconds.
 _PASS_INTERVAL_S = 0.05
 # Tasks that complete between two passes.
@@ -81,7 +81,7 @@
 
     @property
     def _now(self) -> Moment:
-        return Moment(self._now_s, _WALL_S + self._now_s)
+        return Moment(self._now_s, _WALL_CLOCK_OFFSET_S + self._now_s)
 
     def fill(self, waiting_tasks: int) -> None:
         """Add jobs until at least this many tasks wait."""
