--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -10,7 +10,7 @@
 from dahliaarch_kernel.scheduler.events import RunEnd
 from dahliaarch_kernel.workload import JobSpec, Resources, StepSpec, TaskKey
 
-_WORKER = Resources(64_000, 262_144, 8)
+_WORKER_CAPACITY = Resources(64_000, 262_144, 8)
 _WORKERS_PER_RACK = 12
 _QUEUES = tuple(
     Queue(f'q{priority}', 'h', f'/{priority}/', 'svc', priority, max_attempts=4, stretch=3.0, target_latency_s=1.0)
@@ -75,7 +75,7 @@
         self._running: list[StartRun] = []
         self._scheduler = Scheduler(SchedulerSettings(), epoch=1)
         for number in range(workers):
-            profile = WorkerProfile(f'w{number}', 'svc', 'z', _WORKER, ('a', f'r{number // _WORKERS_PER_RACK}'))
+            profile = WorkerProfile(f'w{number}', 'svc', 'z', _WORKER_CAPACITY, ('a', f'r{number // _WORKERS_PER_RACK}'))
             self._scheduler.update_worker(profile, self._now)
             self._scheduler.worker_surveyed(f'w{number}', (), self._now_s, self._now)
 
