--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -21,7 +21,7 @@
 _PASS_INTERVAL_S = 0.05
 # Tasks that complete between two passes.
 _COMPLETIONS_PER_PASS = 4
-_PERCENTILES = 100
+_QUANTILE_COUNT = 100
 
 
 class BenchResult(NamedTuple):
@@ -61,7 +61,7 @@
     for _ in range(passes):
         load.fill(waiting_tasks)
         took_ms.append(load.step())
-    quantiles = statistics.quantiles(took_ms, n=_PERCENTILES)
+    quantiles = statistics.quantiles(took_ms, n=_QUANTILE_COUNT)
     return BenchResult(workers, waiting_tasks, passes, statistics.median(took_ms), quantiles[-1])
 
 
