--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -56,7 +56,7 @@
     seed : int
         Seed for the random jobs and task completions.
     """
-    load = _Load(workers, random.Random(seed))
+    load = _SimulatedLoad(workers, random.Random(seed))
     took_ms = []
     for _ in range(passes):
         load.fill(waiting_tasks)
@@ -65,7 +65,7 @@
     return BenchResult(workers, waiting_tasks, passes, statistics.median(took_ms), quantiles[-1])
 
 
-class _Load:
+class _SimulatedLoad:
     """A scheduler under a simulated load of arriving jobs and completing tasks."""
 
     def __init__(self, workers: int, choice: random.Random) -> None:
