--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -69,7 +69,7 @@
     """A scheduler under a simulated load of arriving jobs and completing tasks."""
 
     def __init__(self, workers: int, choice: random.Random) -> None:
-        self._choice = choice
+        self._rng = choice
         self._now_s = 1000.0
         self._jobs = 0
         self._running: list[StartRun] = []
@@ -90,7 +90,7 @@
         while waiting < waiting_tasks:
             step = self._step()
             self._jobs += 1
-            queue = self._choice.choice(_QUEUES)
+            queue = self._rng.choice(_QUEUES)
             spec = JobSpec(f'{self._jobs:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
             self._scheduler.add_job(spec, queue, self._now)
             waiting += step.task_count
@@ -99,7 +99,7 @@
         """Complete some tasks and run one pass; return its duration in milliseconds."""
         self._now_s += _PASS_INTERVAL_S
         for _ in range(min(_COMPLETIONS_PER_PASS, len(self._running))):
-            ended = self._running.pop(self._choice.randrange(len(self._running)))
+            ended = self._running.pop(self._rng.randrange(len(self._running)))
             self._end(ended)
         begun_s = time.perf_counter()
         effects = self._scheduler.decide(self._now)
@@ -116,11 +116,11 @@
         self._scheduler.run_ended(end, self._now)
 
     def _step(self) -> StepSpec:
-        gang = self._choice.random() < _GANG_SHARE
-        accelerators = self._choice.choice((1, 2, 4, 8)) if gang else 1
+        gang = self._rng.random() < _GANG_SHARE
+        accelerators = self._rng.choice((1, 2, 4, 8)) if gang else 1
         demand = Resources(6_000, 23_000, accelerators)
-        count = self._choice.randint(1, 12) if gang else self._choice.randint(4, 40)
-        return StepSpec(count, demand, self._choice.uniform(2.0, 10.0), gang=gang, same_rack=gang)
+        count = self._rng.randint(1, 12) if gang else self._rng.randint(4, 40)
+        return StepSpec(count, demand, self._rng.uniform(2.0, 10.0), gang=gang, same_rack=gang)
 
 
 _GANG_SHARE = 0.6
