--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -68,8 +68,8 @@
 class _SimulatedLoad:
     """A scheduler under a simulated load of arriving jobs and completing tasks."""
 
-    def __init__(self, workers: int, choice: random.Random) -> None:
-        self._rng = choice
+    def __init__(self, workers: int, rng: random.Random) -> None:
+        self._rng = rng
         self._now_s = 1000.0
         self._jobs = 0
         self._running: list[StartRun] = []
