--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -71,7 +71,7 @@
     def __init__(self, workers: int, rng: random.Random) -> None:
         self._rng = rng
         self._now_s = 1000.0
-        self._jobs = 0
+        self._job_count = 0
         self._running: list[StartRun] = []
         self._scheduler = Scheduler(SchedulerSettings(), epoch=1)
         for number in range(workers):
@@ -89,9 +89,9 @@
         waiting = sum(len(step.pending) for job in jobs for step in job.step_by_key.values())
         while waiting < waiting_tasks:
             step = self._step()
-            self._jobs += 1
+            self._job_count += 1
             queue = self._rng.choice(_QUEUES)
-            spec = JobSpec(f'{self._jobs:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
+            spec = JobSpec(f'{self._job_count:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
             self._scheduler.add_job(spec, queue, self._now)
             waiting += step.task_count
 
