--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -60,7 +60,7 @@
     took_ms = []
     for _ in range(passes):
         load.fill(waiting_tasks)
-        took_ms.append(load.step())
+        took_ms.append(load.run_pass())
     quantiles = statistics.quantiles(took_ms, n=_QUANTILE_COUNT)
     return BenchResult(workers, waiting_tasks, passes, statistics.median(took_ms), quantiles[-1])
 
@@ -88,14 +88,14 @@
         jobs = self._scheduler.job_by_id.values()
         waiting = sum(len(step.pending) for job in jobs for step in job.step_by_key.values())
         while waiting < waiting_tasks:
-            step = self._step()
+            run_pass = self._step()
             self._job_count += 1
             queue = self._rng.choice(_QUEUES)
             spec = JobSpec(f'{self._job_count:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
             self._scheduler.add_job(spec, queue, self._now)
             waiting += step.task_count
 
-    def step(self) -> float:
+    def run_pass(self) -> float:
         """Complete some tasks and run one pass; return its duration in milliseconds."""
         self._now_s += _PASS_INTERVAL_S
         for _ in range(min(_COMPLETIONS_PER_PASS, len(self._running))):
