--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -88,7 +88,7 @@
         jobs = self._scheduler.job_by_id.values()
         waiting = sum(len(step.pending) for job in jobs for step in job.step_by_key.values())
         while waiting < waiting_tasks:
-            run_pass = self._step()
+            run_pass = self._draw_step()
             self._job_count += 1
             queue = self._rng.choice(_QUEUES)
             spec = JobSpec(f'{self._job_count:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
@@ -115,7 +115,7 @@
         end = RunEnd(start.worker_id, key, start.run, EndKind.DONE)
         self._scheduler.run_ended(end, self._now)
 
-    def _step(self) -> StepSpec:
+    def _draw_step(self) -> StepSpec:
         gang = self._rng.random() < _GANG_SHARE
         accelerators = self._rng.choice((1, 2, 4, 8)) if gang else 1
         demand = Resources(6_000, 23_000, accelerators)
