--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -100,7 +100,7 @@
         self._now_s += _PASS_INTERVAL_S
         for _ in range(min(_COMPLETIONS_PER_PASS, len(self._running))):
             ended = self._running.pop(self._rng.randrange(len(self._running)))
-            self._end(ended)
+            self._complete(ended)
         begun_s = time.perf_counter()
         effects = self._scheduler.decide(self._now)
         took_s = time.perf_counter() - begun_s
@@ -110,7 +110,7 @@
                 self._scheduler.run_started(effect.worker_id, effect.key, effect.run, self._now)
         return took_s * 1000
 
-    def _end(self, start: StartRun) -> None:
+    def _complete(self, start: StartRun) -> None:
         key: TaskKey = start.key
         end = RunEnd(start.worker_id, key, start.run, EndKind.DONE)
         self._scheduler.run_ended(end, self._now)
