--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -57,12 +57,12 @@
         Seed for the random jobs and task completions.
     """
     load = _SimulatedLoad(workers, random.Random(seed))
-    took_ms = []
+    durations_ms = []
     for _ in range(passes):
         load.fill(waiting_tasks)
-        took_ms.append(load.run_pass())
-    quantiles = statistics.quantiles(took_ms, n=_QUANTILE_COUNT)
-    return BenchResult(workers, waiting_tasks, passes, statistics.median(took_ms), quantiles[-1])
+        durations_ms.append(load.run_pass())
+    quantiles = statistics.quantiles(durations_ms, n=_QUANTILE_COUNT)
+    return BenchResult(workers, waiting_tasks, passes, statistics.median(durations_ms), quantiles[-1])
 
 
 class _SimulatedLoad:
