--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -103,12 +103,12 @@
             self._complete(ended)
         begun_s = time.perf_counter()
         effects = self._scheduler.decide(self._now)
-        took_s = time.perf_counter() - begun_s
+        duration_s = time.perf_counter() - begun_s
         for effect in effects:
             if isinstance(effect, StartRun):
                 self._running.append(effect)
                 self._scheduler.run_started(effect.worker_id, effect.key, effect.run, self._now)
-        return took_s * 1000
+        return duration_s * 1000
 
     def _complete(self, start: StartRun) -> None:
         key: TaskKey = start.key
