--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -101,9 +101,9 @@
         for _ in range(min(_COMPLETIONS_PER_PASS, len(self._running))):
             ended = self._running.pop(self._rng.randrange(len(self._running)))
             self._complete(ended)
-        begun_s = time.perf_counter()
+        started_s = time.perf_counter()
         effects = self._scheduler.decide(self._now)
-        duration_s = time.perf_counter() - begun_s
+        duration_s = time.perf_counter() - started_s
         for effect in effects:
             if isinstance(effect, StartRun):
                 self._running.append(effect)
