--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -15,7 +15,7 @@
 
 _QUEUES = ('urgent', 'ordinary')
 # Timeout for all jobs to succeed, in seconds.
-_ALL_ENDED_S = 60.0
+_COMPLETION_TIMEOUT_S = 60.0
 # When the owner is killed and when the store stops answering, in seconds from the start.
 _KILL_AT_S = 2.0
 _SILENCE_AT_S = 5.0
@@ -90,9 +90,9 @@
             )
             await anyio.sleep(choice.expovariate(1 / _GAP_S))
     succeeded = 0
-    with anyio.move_on_after(_ALL_ENDED_S):
+    with anyio.move_on_after(_COMPLETION_TIMEOUT_S):
         for job_id, queue in accepted.items():
-            await caller.wait_for(queue, job_id, 'succeeded', _ALL_ENDED_S)
+            await caller.wait_for(queue, job_id, 'succeeded', _COMPLETION_TIMEOUT_S)
             succeeded += 1
     return _count(deployment, len(accepted), succeeded)
 
