--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -24,7 +24,7 @@
 _GANG_SHARE = 0.5
 _ESTIMATE_MS = 400
 # Mean interarrival time of jobs, in seconds.
-_GAP_S = 0.15
+_MEAN_INTERARRIVAL_S = 0.15
 
 
 class DemoCounts(NamedTuple):
@@ -88,7 +88,7 @@
                 choice.choice(_QUEUES),
                 draw_steps(choice, estimate_ms=400, gang_share=_GANG_SHARE),
             )
-            await anyio.sleep(choice.expovariate(1 / _GAP_S))
+            await anyio.sleep(choice.expovariate(1 / _MEAN_INTERARRIVAL_S))
     succeeded = 0
     with anyio.move_on_after(_COMPLETION_TIMEOUT_S):
         for job_id, queue in accepted.items():
