--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -18,7 +18,7 @@
 _COMPLETION_TIMEOUT_S = 60.0
 # When the owner is killed and when the store stops answering, in seconds from the start.
 _OWNER_KILL_AT_S = 2.0
-_SILENCE_AT_S = 5.0
+_STORE_OUTAGE_AT_S = 5.0
 _SILENCE_S = 1.5
 # Share of jobs that are gangs.
 _GANG_SHARE = 0.5
@@ -101,7 +101,7 @@
     await anyio.sleep(_OWNER_KILL_AT_S)
     owner = await deployment.owner()
     deployment.kill(owner)
-    await anyio.sleep(_SILENCE_AT_S - _OWNER_KILL_AT_S)
+    await anyio.sleep(_STORE_OUTAGE_AT_S - _OWNER_KILL_AT_S)
     deployment.launch(owner)
     deployment.store.faults.is_silent = True
     await anyio.sleep(_SILENCE_S)
