--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -19,7 +19,7 @@
 # When the owner is killed and when the store stops answering, in seconds from the start.
 _OWNER_KILL_AT_S = 2.0
 _STORE_OUTAGE_AT_S = 5.0
-_SILENCE_S = 1.5
+_STORE_OUTAGE_S = 1.5
 # Share of jobs that are gangs.
 _GANG_SHARE = 0.5
 _ESTIMATE_MS = 400
@@ -104,7 +104,7 @@
     await anyio.sleep(_STORE_OUTAGE_AT_S - _OWNER_KILL_AT_S)
     deployment.launch(owner)
     deployment.store.faults.is_silent = True
-    await anyio.sleep(_SILENCE_S)
+    await anyio.sleep(_STORE_OUTAGE_S)
     deployment.store.faults.is_silent = False
 
 
