--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -68,14 +68,14 @@
         async with anyio.create_task_group() as tasks:
             try:
                 await deployment.start(tasks)
-                counts = await _play(deployment, jobs, random.Random(seed))
+                counts = await _run_workload(deployment, jobs, random.Random(seed))
             finally:
                 deployment.close()
                 tasks.cancel_scope.cancel()
     return counts
 
 
-async def _play(deployment: Deployment, jobs: int, choice: random.Random) -> DemoCounts:
+async def _run_workload(deployment: Deployment, jobs: int, choice: random.Random) -> DemoCounts:
     accepted: dict[str, str] = {}
     caller = deployment.caller()
     async with anyio.create_task_group() as tasks:
