--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -79,7 +79,7 @@
     accepted: dict[str, str] = {}
     caller = deployment.caller()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_trouble, deployment)
+        tasks.start_soon(_inject_faults, deployment)
         for _ in range(jobs):
             tasks.start_soon(
                 _hand_in,
@@ -97,7 +97,7 @@
     return _count(deployment, len(accepted), succeeded)
 
 
-async def _trouble(deployment: Deployment) -> None:
+async def _inject_faults(deployment: Deployment) -> None:
     await anyio.sleep(_OWNER_KILL_AT_S)
     owner = await deployment.owner()
     deployment.kill(owner)
