--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -82,7 +82,7 @@
         tasks.start_soon(_inject_faults, deployment)
         for _ in range(jobs):
             tasks.start_soon(
-                _hand_in,
+                _submit,
                 caller,
                 accepted,
                 choice.choice(_QUEUES),
@@ -108,7 +108,7 @@
     deployment.store.faults.is_silent = False
 
 
-async def _hand_in(caller: Caller, accepted: dict[str, str], queue: str, steps: list[dict[str, Any]]) -> None:
+async def _submit(caller: Caller, accepted: dict[str, str], queue: str, steps: list[dict[str, Any]]) -> None:
     job_id = await caller.submit(queue, steps, '0.4', secrets.token_hex(8))
     accepted[job_id] = queue
 
