--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -75,7 +75,7 @@
     return counts
 
 
-async def _run_workload(deployment: Deployment, jobs: int, choice: random.Random) -> DemoCounts:
+async def _run_workload(deployment: Deployment, jobs: int, rng: random.Random) -> DemoCounts:
     accepted: dict[str, str] = {}
     caller = deployment.caller()
     async with anyio.create_task_group() as tasks:
@@ -85,10 +85,10 @@
                 _submit,
                 caller,
                 accepted,
-                choice.choice(_QUEUES),
-                draw_steps(choice, estimate_ms=400, gang_share=_GANG_SHARE),
+                rng.choice(_QUEUES),
+                draw_steps(rng, estimate_ms=400, gang_share=_GANG_SHARE),
             )
-            await anyio.sleep(choice.expovariate(1 / _MEAN_INTERARRIVAL_S))
+            await anyio.sleep(rng.expovariate(1 / _MEAN_INTERARRIVAL_S))
     succeeded = 0
     with anyio.move_on_after(_COMPLETION_TIMEOUT_S):
         for job_id, queue in accepted.items():
