--- a/packages/standins/dahliaarch_standins/daemon.py
+++ b/packages/standins/dahliaarch_standins/daemon.py
@@ -19,14 +19,14 @@
 from .hosts import proxy_host
 
 
-class _LedSocket(Socket):
+class _ProxiedSocket(Socket):
     """A socket that connects to the proxies of its peers."""
 
     own_host = ''
 
     def bind(self, addr: str) -> Any:
         """Bind, and record the host as the source address of connections."""
-        _LedSocket.own_host = _host(addr)
+        _ProxiedSocket.own_host = _host(addr)
         return super().bind(addr)
 
     def connect(self, addr: str) -> Any:
@@ -39,7 +39,7 @@
 
 
 class _LedContext(Context):
-    _socket_class = _LedSocket
+    _socket_class = _ProxiedSocket
 
 
 def _host(endpoint: str) -> str:
@@ -49,7 +49,7 @@
 def _led(endpoint: str) -> str:
     """Return the ZeroMQ endpoint of the peer's proxy, with the own host as source address."""
     host = _host(endpoint)
-    return f'tcp://{_LedSocket.own_host}:0;{endpoint.removeprefix("tcp://").replace(host, proxy_host(host))}'
+    return f'tcp://{_ProxiedSocket.own_host}:0;{endpoint.removeprefix("tcp://").replace(host, proxy_host(host))}'
 
 
 if __name__ == '__main__':
