--- a/packages/standins/dahliaarch_standins/daemon.py
+++ b/packages/standins/dahliaarch_standins/daemon.py
@@ -38,7 +38,7 @@
         return super().disconnect(_led(addr if isinstance(addr, str) else addr.decode()))
 
 
-class _LedContext(Context):
+class _ProxiedContext(Context):
     _socket_class = _ProxiedSocket
 
 
@@ -53,5 +53,5 @@
 
 
 if __name__ == '__main__':
-    with patch('dahliaarch_node.peers.core.Context', _LedContext):
+    with patch('dahliaarch_node.peers.core.Context', _ProxiedContext):
         main()
