--- a/packages/standins/dahliaarch_standins/daemon.py
+++ b/packages/standins/dahliaarch_standins/daemon.py
@@ -31,11 +31,11 @@
 
     def connect(self, addr: str) -> Any:
         """Connect to the proxy of a peer."""
-        return super().connect(_led(addr))
+        return super().connect(_proxied_endpoint(addr))
 
     def disconnect(self, addr: str | bytes) -> Any:
         """Disconnect from the proxy of a peer."""
-        return super().disconnect(_led(addr if isinstance(addr, str) else addr.decode()))
+        return super().disconnect(_proxied_endpoint(addr if isinstance(addr, str) else addr.decode()))
 
 
 class _ProxiedContext(Context):
@@ -46,7 +46,7 @@
     return endpoint.removeprefix('tcp://').partition(':')[0]
 
 
-def _led(endpoint: str) -> str:
+def _proxied_endpoint(endpoint: str) -> str:
     """Return the ZeroMQ endpoint of the peer's proxy, with the own host as source address."""
     host = _host(endpoint)
     return f'tcp://{_ProxiedSocket.own_host}:0;{endpoint.removeprefix("tcp://").replace(host, proxy_host(host))}'
