--- a/packages/standins/dahliaarch_standins/hosts.py
+++ b/packages/standins/dahliaarch_standins/hosts.py
@@ -1,14 +1,14 @@
 """Loopback addresses of instances and of their proxies."""
 
-_INSTANCES = '127.0.10.'
+_INSTANCE_PREFIX = '127.0.10.'
 _PROXIES = '127.0.11.'
 
 
 def instance_host(number: int) -> str:
     """Return the host of the instance with a zero-based number."""
-    return f'{_INSTANCES}{number + 1}'
+    return f'{_INSTANCE_PREFIX}{number + 1}'
 
 
 def proxy_host(host: str) -> str:
     """Return the host of the proxy for an instance's host."""
-    return host.replace(_INSTANCES, _PROXIES)
+    return host.replace(_INSTANCE_PREFIX, _PROXIES)
