--- a/packages/standins/dahliaarch_standins/hosts.py
+++ b/packages/standins/dahliaarch_standins/hosts.py
@@ -1,7 +1,7 @@
 """Loopback addresses of instances and of their proxies."""
 
 _INSTANCE_PREFIX = '127.0.10.'
-_PROXIES = '127.0.11.'
+_PROXY_PREFIX = '127.0.11.'
 
 
 def instance_host(number: int) -> str:
@@ -11,4 +11,4 @@
 
 def proxy_host(host: str) -> str:
     """Return the host of the proxy for an instance's host."""
-    return host.replace(_INSTANCE_PREFIX, _PROXIES)
+    return host.replace(_INSTANCE_PREFIX, _PROXY_PREFIX)
