--- a/packages/standins/dahliaarch_standins/deployment/jobs.py
+++ b/packages/standins/dahliaarch_standins/deployment/jobs.py
@@ -7,13 +7,13 @@
 from dahliaarch_kernel.workload import Resources, StepSpec
 
 _TWO_STEP_SHARE = 0.3
-_MOST_TASKS = 4
+_MAX_TASKS = 4
 
 
 def draw_steps(choice: random.Random, *, estimate_ms: int, gang_share: float = 0.0) -> list[dict[str, Any]]:
     """Return one step, or two of which the second depends on the first."""
     first = {
-        'Count': choice.randint(1, _MOST_TASKS),
+        'Count': choice.randint(1, _MAX_TASKS),
         'Cpu': 4000,
         'MemMb': 16_000,
         'Gpu': choice.choice((1, 2, 4, 8)),
