--- a/packages/standins/dahliaarch_standins/deployment/jobs.py
+++ b/packages/standins/dahliaarch_standins/deployment/jobs.py
@@ -10,17 +10,17 @@
 _MAX_TASKS = 4
 
 
-def draw_steps(choice: random.Random, *, estimate_ms: int, gang_share: float = 0.0) -> list[dict[str, Any]]:
+def draw_steps(rng: random.Random, *, estimate_ms: int, gang_share: float = 0.0) -> list[dict[str, Any]]:
     """Return one step, or two of which the second depends on the first."""
     first = {
-        'Count': choice.randint(1, _MAX_TASKS),
+        'Count': rng.randint(1, _MAX_TASKS),
         'Cpu': 4000,
         'MemMb': 16_000,
-        'Gpu': choice.choice((1, 2, 4, 8)),
+        'Gpu': rng.choice((1, 2, 4, 8)),
         'EstimateMs': estimate_ms,
-        'Gang': choice.random() < gang_share,
+        'Gang': rng.random() < gang_share,
     }
-    if choice.random() < _TWO_STEP_SHARE:
+    if rng.random() < _TWO_STEP_SHARE:
         return [first, {**first, 'After': [0]}]
     return [first]
 
