--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -26,7 +26,7 @@
 HOST = '127.0.0.1'
 PREFIX_BY_QUEUE = {'urgent': '/urgent/', 'ordinary': '/ordinary/'}
 ADVISED_QUEUE = 'ordinary'
-_START_S = 20.0
+_START_TIMEOUT_S = 20.0
 _STOP_S = 8.0
 
 
@@ -177,7 +177,7 @@
         """Start the daemons; wait until all are ready and one owns the pool."""
         for name in self.names:
             self.launch(name)
-        with anyio.fail_after(_START_S):
+        with anyio.fail_after(_START_TIMEOUT_S):
             for name in self.names:
                 await self.wait_ready(name)
             await self.owner()
