--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -27,7 +27,7 @@
 PREFIX_BY_QUEUE = {'urgent': '/urgent/', 'ordinary': '/ordinary/'}
 ADVISED_QUEUE = 'ordinary'
 _START_TIMEOUT_S = 20.0
-_STOP_S = 8.0
+_STOP_TIMEOUT_S = 8.0
 
 
 class Caller:
@@ -258,7 +258,7 @@
     async def wait_stopped(self, name: str) -> int:
         """Wait until a daemon exits; return its exit status."""
         process = self._process_by_name.pop(name)
-        with anyio.fail_after(_STOP_S):
+        with anyio.fail_after(_STOP_TIMEOUT_S):
             while process.poll() is None:
                 await anyio.sleep(0.05)
         return int(process.returncode)
