--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -340,7 +340,7 @@
     """
     found: list[int] = []
     while len(found) < count:
-        port = _FIRST_PORT + secrets.randbelow(_PORTS)
+        port = _FIRST_PORT + secrets.randbelow(_PORT_COUNT)
         if _keep_port(port):
             found.append(port)
     return found
@@ -363,4 +363,4 @@
 _KEEPERS: list[socket.socket] = []
 # Below the default ephemeral range of Linux, which starts at 32768.
 _FIRST_PORT = 12_000
-_PORTS = 20_000
+_PORT_COUNT = 20_000
