--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -356,11 +356,11 @@
         return False
     # Set after binding: set before, it would allow binding a port that another process has reserved.
     keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    _KEEPERS.append(keeper)
+    _RESERVED_SOCKETS.append(keeper)
     return True
 
 
-_KEEPERS: list[socket.socket] = []
+_RESERVED_SOCKETS: list[socket.socket] = []
 # Below the default ephemeral range of Linux, which starts at 32768.
 _FIRST_PORT = 12_000
 _PORT_COUNT = 20_000
