--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -341,12 +341,12 @@
     found: list[int] = []
     while len(found) < count:
         port = _FIRST_PORT + secrets.randbelow(_PORT_COUNT)
-        if _keep_port(port):
+        if _reserve_port(port):
             found.append(port)
     return found
 
 
-def _keep_port(port: int) -> bool:
+def _reserve_port(port: int) -> bool:
     """Reserve a port until this process exits; return False if it is in use. Daemons can still bind it."""
     keeper = socket.socket()
     try:
