--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -348,15 +348,15 @@
 
 def _reserve_port(port: int) -> bool:
     """Reserve a port until this process exits; return False if it is in use. Daemons can still bind it."""
-    keeper = socket.socket()
+    reserved = socket.socket()
     try:
-        keeper.bind((HOST, port))
+        reserved.bind((HOST, port))
     except OSError:
-        keeper.close()
+        reserved.close()
         return False
     # Set after binding: set before, it would allow binding a port that another process has reserved.
-    keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    _RESERVED_SOCKETS.append(keeper)
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    _RESERVED_SOCKETS.append(reserved)
     return True
 
 
