--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -338,12 +338,12 @@
     before the daemon binds it. A port that is not reserved could be taken by
     another deployment while the daemon is down.
     """
-    found: list[int] = []
-    while len(found) < count:
+    ports: list[int] = []
+    while len(ports) < count:
         port = _FIRST_PORT + secrets.randbelow(_PORT_COUNT)
         if _reserve_port(port):
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
 
 
 def _reserve_port(port: int) -> bool:
