--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -43,7 +43,7 @@
         """Create a client; no connection is opened yet."""
         self._addresses = addresses
         self._http = HttpClient()
-        self._next = 0
+        self._request_count = 0
 
     async def call(
         self,
@@ -56,8 +56,8 @@
         timeout_s: float = 3.0,
     ) -> Reply | None:
         """Send one request; return None if it could not be sent or was not answered."""
-        self._next += 1
-        address = self._addresses[self._next % len(self._addresses)]
+        self._request_count += 1
+        address = self._addresses[self._request_count % len(self._addresses)]
         headers = {'Host': host, 'Authorization': f'Token {key}'}
         try:
             return await self._http.call(
