--- a/packages/standins/dahliaarch_standins/bench/core.py
+++ b/packages/standins/dahliaarch_standins/bench/core.py
@@ -75,7 +75,9 @@
         self._running: list[StartRun] = []
         self._scheduler = Scheduler(SchedulerSettings(), epoch=1)
         for number in range(workers):
-            profile = WorkerProfile(f'w{number}', 'svc', 'z', _WORKER_CAPACITY, ('a', f'r{number // _WORKERS_PER_RACK}'))
+            profile = WorkerProfile(
+                f'w{number}', 'svc', 'z', _WORKER_CAPACITY, ('a', f'r{number // _WORKERS_PER_RACK}')
+            )
             self._scheduler.update_worker(profile, self._now)
             self._scheduler.worker_surveyed(f'w{number}', (), self._now_s, self._now)
 
@@ -88,7 +90,7 @@
         jobs = self._scheduler.job_by_id.values()
         waiting = sum(len(step.pending) for job in jobs for step in job.step_by_key.values())
         while waiting < waiting_tasks:
-            run_pass = self._draw_step()
+            step = self._draw_step()
             self._job_count += 1
             queue = self._rng.choice(_QUEUES)
             spec = JobSpec(f'{self._job_count:016x}', 'account', queue.name, '', (step,), accepted_s=self._now.wall_s)
