--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -26,8 +26,8 @@
 from .test_takeover import (
     decode_job_record,
     EPOCH,
+    InMemoryStore,
     kept_job,
-    KeptStore,
     LAST,
     LONGEST_LEASE_S,
     NEW,
@@ -87,12 +87,12 @@
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
     # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
-    store = KeptStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
+    store = InMemoryStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == starts
 
 
-class ConditionalStore(KeptStore):
+class ConditionalStore(InMemoryStore):
     """A store that tracks revisions, checks conditions and can refuse all writes."""
 
     def __init__(self, items):
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -34,7 +34,7 @@
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
 from .sessions import Sessions
-from .test_takeover import decode_job_record, is_ready, kept_job, KeptStore, LAST, NEW, take_over, worker_entry
+from .test_takeover import decode_job_record, InMemoryStore, is_ready, kept_job, LAST, NEW, take_over, worker_entry
 
 START_TIMES_MS = (1_000, 2_000, 3_000)
 FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
@@ -169,7 +169,7 @@
             is_action_started = False
         return not remaining
 
-    store = KeptStore([entry_item(FIRST)] if items is None else items)
+    store = InMemoryStore([entry_item(FIRST)] if items is None else items)
     owner = anyio.run(take_over, store, worker, advance, within_s)
     assert not remaining, f'{len(remaining)} actions did not complete'
     return owner
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -18,8 +18,8 @@
 from .test_takeover import (
     decode_job_record,
     EPOCH,
+    InMemoryStore,
     kept_job,
-    KeptStore,
     LAST,
     LONGEST_LEASE_S,
     NEW,
@@ -34,7 +34,7 @@
 NEW_TASK = TaskKey(NEW, 0, 0, 0)
 
 
-class RecordingStore(KeptStore):
+class RecordingStore(InMemoryStore):
     """A store that records, per roster written, whether worker w0 is marked as lapsed, and that can stop answering."""
 
     def __init__(self, items, workers):
@@ -55,7 +55,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowCommitStore(KeptStore):
+class SlowCommitStore(InMemoryStore):
     """A store whose writes take longer than the interval between two changes of the roster."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
@@ -84,7 +84,7 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     items = [kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
-    anyio.run(take_over, KeptStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == ([('w1', TASK)] if is_lapsed else [])
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -41,7 +41,7 @@
 LONGEST_LEASE_S = 4.0
 
 
-class KeptStore:
+class InMemoryStore:
     """An in-memory store that lists its items and accepts every write without applying it.
 
     If there are later items, the first watch on jobs reports that the history is gone, and the items are added.
@@ -65,7 +65,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowStore(KeptStore):
+class SlowStore(InMemoryStore):
     """A store that takes ``answer_s`` for each page."""
 
     answer_s = 0.25
@@ -171,7 +171,7 @@
 
 def test_no_cancellation_is_lost_among_many_jobs():
     """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
-    store = KeptStore([*many_jobs(), Item(cancel_key(LAST), b'', 2)])
+    store = InMemoryStore([*many_jobs(), Item(cancel_key(LAST), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
     assert len(owner.scheduler.job_by_id) == MANY + 1
     assert phase_of_last(owner) == 'cancelled'
@@ -179,7 +179,7 @@
 
 def test_no_cancellation_is_lost_when_many_jobs_are_read_anew():
     """They were also dropped when jobs were read again because the history was gone, and never delivered later."""
-    store = KeptStore([kept_job(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
+    store = InMemoryStore([kept_job(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
@@ -192,7 +192,7 @@
         job_counts.add(len(owner.scheduler.job_by_id))
         return owner.is_ready
 
-    anyio.run(take_over, KeptStore(many_jobs()), Workers(), record_job_count, 30.0)
+    anyio.run(take_over, InMemoryStore(many_jobs()), Workers(), record_job_count, 30.0)
     assert len(job_counts - {0, MANY + 1}) >= 3
 
 
@@ -200,7 +200,7 @@
     """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(LAST, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
@@ -211,7 +211,7 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     update = decode_job_record(kept_job(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
@@ -221,7 +221,7 @@
     """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
@@ -253,7 +253,7 @@
     # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
@@ -270,6 +270,6 @@
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
     assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
