--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -27,7 +27,7 @@
     decode_job_record,
     EPOCH,
     InMemoryStore,
-    kept_job,
+    job_item,
     LAST,
     LONGEST_LEASE_S,
     NEW,
@@ -87,7 +87,7 @@
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
     # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
-    store = InMemoryStore([kept_job(LAST, time.time()), *WORKER_ITEMS, *items])
+    store = InMemoryStore([job_item(LAST, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == starts
 
@@ -191,7 +191,7 @@
 
 def test_a_start_is_sent_only_once_the_store_holds_its_assignment():
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
 
     _, workers = run_scenario(scenario, [worker_entry('w0')])
@@ -203,7 +203,7 @@
 
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await anyio.sleep(0.5)
         start_counts.append(len(workers.starts))
         store.refuses_writes = False
@@ -218,7 +218,7 @@
 def test_a_start_is_not_sent_once_its_job_was_cancelled_while_it_was_held():
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(JobCancelled(NEW))
         await anyio.sleep(0.1)
@@ -235,7 +235,7 @@
     # An owner continued to start new jobs until it knew its successor, which could not know of these starts.
     async def scenario(owner, store, workers):
         store.claim(EPOCH + 1)
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
@@ -245,7 +245,7 @@
 
 def test_the_assignments_of_a_job_are_removed_with_its_end():
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
         assert assignments_key_of(NEW) in store.item_by_key
         owner.post(JobCancelled(NEW))
@@ -258,7 +258,7 @@
 def test_a_worker_is_removed_from_the_roster_after_the_assignments_of_its_tasks():
     # Otherwise the next owner finds a task assigned to an unknown worker and cannot tell the reason.
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
         store.has_assignments_at_roster_write.clear()
         owner.post(WorkerOver('w0'))
@@ -274,7 +274,7 @@
 
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await anyio.sleep(0.1)
         owner.post(WorkerOver('w0'))
         await anyio.sleep(0.1)
@@ -291,7 +291,7 @@
 def test_a_held_start_for_a_worker_that_falls_silent_moves_to_another():
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(kept_job(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW, time.time())))
         await anyio.sleep(0.1)
         (run,) = owner.scheduler.job_by_id[NEW].runs()
         workers.silent_until_s[run.worker_id] = float('inf')
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -22,7 +22,7 @@
 from ..feeds import job_messages
 from ..messages import WorkerListed, WorkerUnlisted, WorkerUnreadable
 from ..unserved import UnservedWorkers
-from .test_takeover import InMemoryStore, kept_job, LAST, QUEUE, take_over, worker_entry, Workers
+from .test_takeover import InMemoryStore, job_item, LAST, QUEUE, take_over, worker_entry, Workers
 
 KEY = TaskKey(LAST, 0, 0, 0)
 
@@ -62,7 +62,7 @@
 
 def test_malformed_entries_do_not_affect_other_workers():
     workers = Workers()
-    store = InMemoryStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
+    store = InMemoryStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), job_item(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
     assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
@@ -98,7 +98,7 @@
 
 
 def new_job_messages(owner):
-    return job_messages(kept_job(LAST, 1.0)._replace(revision=owner.epoch + 1))
+    return job_messages(job_item(LAST, 1.0)._replace(revision=owner.epoch + 1))
 
 
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -34,7 +34,7 @@
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
 from .sessions import Sessions
-from .test_takeover import decode_job_record, InMemoryStore, is_ready, kept_job, LAST, NEW, take_over, worker_entry
+from .test_takeover import decode_job_record, InMemoryStore, is_ready, job_item, LAST, NEW, take_over, worker_entry
 
 START_TIMES_MS = (1_000, 2_000, 3_000)
 FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
@@ -147,7 +147,7 @@
 
 
 def job(job_id=LAST):
-    return decode_job_record(kept_job(job_id, time.time()))
+    return decode_job_record(job_item(job_id, time.time()))
 
 
 def run_actions(worker, *actions, items=None, within_s=4.0):
@@ -340,8 +340,8 @@
 def test_an_incarnation_gets_one_start_at_a_time_and_no_gang_member_before_it_lists_an_end():
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
-    gang = kept_job('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
-    many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
+    gang = job_item('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
+    many = job_item(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
     def post(owner):
         worker.restart(SECOND, late_acknowledgement=2)
@@ -518,7 +518,7 @@
         worker,
         (lambda owner: None, tracks_one_run(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
-        items=[kept_job(LAST, time.time()), roster_item(FIRST), *entries],
+        items=[job_item(LAST, time.time()), roster_item(FIRST), *entries],
     )
     assert not worker.starts
     assert worker.running
@@ -538,7 +538,7 @@
     run_actions(
         TwoWorkers(),
         (lambda owner: None, tracks_one_run(SECOND)),
-        items=[kept_job(LAST, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
+        items=[job_item(LAST, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
 
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -19,7 +19,7 @@
     decode_job_record,
     EPOCH,
     InMemoryStore,
-    kept_job,
+    job_item,
     LAST,
     LONGEST_LEASE_S,
     NEW,
@@ -83,7 +83,7 @@
     # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
-    items = [kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
+    items = [job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
     anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == ([('w1', TASK)] if is_lapsed else [])
 
@@ -91,7 +91,7 @@
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
-    store = RecordingStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore([job_item(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
     store.is_silent = True
     starts_while_silent = []
 
@@ -110,7 +110,7 @@
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
     workers = Workers()
     store = RecordingStore([worker_entry('w0')], workers)
-    update = decode_job_record(kept_job(NEW, time.time()))
+    update = decode_job_record(job_item(NEW, time.time()))
 
     def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
@@ -131,7 +131,7 @@
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
     store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
-    listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
+    listed = decode_job_record(job_item(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def condition(owner):
         submit_if_ready(owner, listed)
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -122,7 +122,7 @@
     return Item(roster_key(0), encode([entry]), 2)
 
 
-def kept_job(job_id, accepted_s, step=STEP):
+def job_item(job_id, accepted_s, step=STEP):
     spec = JobSpec(job_id, 'acc', QUEUE.name, '20', (step,), accepted_s=accepted_s)
     return Item(job_key(job_id), encode(JobRecord(spec, QUEUE)), 1)
 
@@ -166,7 +166,7 @@
 def many_jobs():
     """Return more job records than the owner's inbox holds, and the record of one more job."""
     now_s = time.time()
-    return [*(kept_job(f'{number:016x}', now_s) for number in range(MANY)), kept_job(LAST, now_s)]
+    return [*(job_item(f'{number:016x}', now_s) for number in range(MANY)), job_item(LAST, now_s)]
 
 
 def test_no_cancellation_is_lost_among_many_jobs():
@@ -179,7 +179,7 @@
 
 def test_no_cancellation_is_lost_when_many_jobs_are_read_anew():
     """They were also dropped when jobs were read again because the history was gone, and never delivered later."""
-    store = InMemoryStore([kept_job(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
+    store = InMemoryStore([job_item(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
@@ -200,7 +200,7 @@
     """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(LAST, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
-    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
@@ -211,8 +211,8 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
-    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
-    update = decode_job_record(kept_job(NEW, time.time()))
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    update = decode_job_record(job_item(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
 
@@ -221,14 +221,14 @@
     """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
-    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
 
 def test_what_is_read_at_a_takeover_is_read_at_once():
     """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
-    store = SlowStore([kept_job(LAST, time.time()), worker_entry('w0')])
+    store = SlowStore([job_item(LAST, time.time()), worker_entry('w0')])
     begun_s = time.monotonic()
     anyio.run(take_over, store, Workers(), is_ready, 5.0)
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
@@ -253,7 +253,7 @@
     # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
-    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
@@ -270,6 +270,6 @@
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
-    store = InMemoryStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
     assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
