--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -31,7 +31,7 @@
     LAST,
     LONGEST_LEASE_S,
     NEW,
-    roster,
+    roster_item,
     take_over,
     worker_entry,
     Workers,
@@ -60,7 +60,7 @@
     return workers
 
 
-WORKER_ITEMS = (roster('w0'), worker_entry('w0'), worker_entry('w1'))
+WORKER_ITEMS = (roster_item('w0'), worker_entry('w0'), worker_entry('w1'))
 
 
 @pytest.mark.parametrize(
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -23,7 +23,7 @@
     LAST,
     LONGEST_LEASE_S,
     NEW,
-    roster,
+    roster_item,
     submit_if_ready,
     take_over,
     worker_entry,
@@ -83,7 +83,12 @@
     # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
-    items = [job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
+    items = [
+        job_item(LAST, time.time()),
+        worker_entry('w0'),
+        worker_entry('w1'),
+        roster_item('w0', is_lapsed=is_lapsed),
+    ]
     anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == ([('w1', TASK)] if is_lapsed else [])
 
@@ -91,7 +96,9 @@
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
-    store = RecordingStore([job_item(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore(
+        [job_item(LAST, time.time()), worker_entry('w0'), roster_item('w0', is_lapsed=True)], workers
+    )
     store.is_silent = True
     starts_while_silent = []
 
@@ -130,7 +137,7 @@
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
-    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
+    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster_item('w0', is_lapsed=True)])
     listed = decode_job_record(job_item(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def condition(owner):
@@ -149,7 +156,7 @@
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
     # The first roster that a new owner wrote marked the worker as not lapsed, since it did not count as silent yet.
     workers = UnresponsiveWorkers(failure)
-    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster_item('w0', is_lapsed=True)], workers)
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.recorded_rosters
     assert all(is_lapsed for is_lapsed, _ in store.recorded_rosters)
@@ -158,7 +165,7 @@
 def test_a_worker_is_not_lapsed_while_a_late_start_may_begin_on_its_next_incarnation():
     now = Moment(100.0, 0.0)
     state = SchedulerState(SchedulerSettings(), 1, compile_policy(SHIPPED_POLICIES['first-come']))
-    worker = WorkerState(decode(roster('w0', is_lapsed=False).value, list[RosterEntry], 'roster')[0].profile)
+    worker = WorkerState(decode(roster_item('w0', is_lapsed=False).value, list[RosterEntry], 'roster')[0].profile)
     state.worker_by_id['w0'] = worker
     worker.silent_since_s = now.steady_s
     worker.late_order_s = 12.0
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -115,7 +115,7 @@
     return Item(WORKERS_PREFIX + worker_id, msgspec.json.encode(entry), 1)
 
 
-def roster(worker_id, *, is_lapsed=False):
+def roster_item(worker_id, *, is_lapsed=False):
     """Return a roster with one worker, from an owner that persisted no assignments after it."""
     profile = WorkerProfile(worker_id, 'svc', 'z', Resources(64_000, 262_144, 8), ('a', 'r0'))
     entry = RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id), is_lapsed)
@@ -211,7 +211,7 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
     update = decode_job_record(job_item(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
@@ -221,7 +221,7 @@
     """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
@@ -253,7 +253,7 @@
     # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
