--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -33,7 +33,7 @@
     NEW,
     roster_item,
     take_over,
-    worker_entry,
+    worker_entry_item,
     Workers,
 )
 
@@ -60,7 +60,7 @@
     return workers
 
 
-WORKER_ITEMS = (roster_item('w0'), worker_entry('w0'), worker_entry('w1'))
+WORKER_ITEMS = (roster_item('w0'), worker_entry_item('w0'), worker_entry_item('w1'))
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
         owner.post(decode_job_record(job_item(NEW, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
 
-    _, workers = run_scenario(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry_item('w0')])
     assert workers.checks_at_start == [True, True, True]
 
 
@@ -211,7 +211,7 @@
         await anyio.sleep(0.1)
         start_counts.append(len(workers.starts))
 
-    run_scenario(scenario, [worker_entry('w0')])
+    run_scenario(scenario, [worker_entry_item('w0')])
     assert start_counts == [0, 1]
 
 
@@ -226,7 +226,7 @@
         await wait_until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
-    store, workers = run_scenario(scenario, [worker_entry('w0')])
+    store, workers = run_scenario(scenario, [worker_entry_item('w0')])
     assert not workers.starts
     assert assignments_key_of(NEW) not in store.item_by_key
 
@@ -239,7 +239,7 @@
         await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
-    _, workers = run_scenario(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry_item('w0')])
     assert not workers.starts
 
 
@@ -251,7 +251,7 @@
         owner.post(JobCancelled(NEW))
         await wait_until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
 
-    store, _ = run_scenario(scenario, [worker_entry('w0')])
+    store, _ = run_scenario(scenario, [worker_entry_item('w0')])
     assert assignments_key_of(NEW) not in store.item_by_key
 
 
@@ -264,7 +264,7 @@
         owner.post(WorkerOver('w0'))
         await wait_until(lambda: store.has_assignments_at_roster_write, 2.0)
 
-    store, _ = run_scenario(scenario, [worker_entry('w0')])
+    store, _ = run_scenario(scenario, [worker_entry_item('w0')])
     assert store.has_assignments_at_roster_write == [False]
 
 
@@ -283,7 +283,7 @@
         step = owner.scheduler.job_by_id[NEW].step_by_key[0, 0]
         crashes.append((step.crashes_by_index, step.pending))
 
-    _, workers = run_scenario(scenario, [worker_entry('w0')])
+    _, workers = run_scenario(scenario, [worker_entry_item('w0')])
     assert crashes == [({}, {0})]
     assert not workers.starts
 
@@ -301,4 +301,4 @@
         await wait_until(lambda: workers.starts, 2.0)
         assert [worker for worker, _ in workers.starts] == [{'w0': 'w1', 'w1': 'w0'}[run.worker_id]]
 
-    run_scenario(scenario, [worker_entry('w0'), worker_entry('w1')])
+    run_scenario(scenario, [worker_entry_item('w0'), worker_entry_item('w1')])
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -22,7 +22,7 @@
 from ..feeds import job_messages
 from ..messages import WorkerListed, WorkerUnlisted, WorkerUnreadable
 from ..unserved import UnservedWorkers
-from .test_takeover import InMemoryStore, job_item, LAST, QUEUE, take_over, worker_entry, Workers
+from .test_takeover import InMemoryStore, job_item, LAST, QUEUE, take_over, worker_entry_item, Workers
 
 KEY = TaskKey(LAST, 0, 0, 0)
 
@@ -42,7 +42,7 @@
 
 
 def entry_with_service(worker_id, service):
-    item = worker_entry(worker_id)
+    item = worker_entry_item(worker_id)
     return item._replace(value=msgspec.json.encode(msgspec.json.decode(item.value) | {'Service': service}))
 
 
@@ -62,7 +62,7 @@
 
 def test_malformed_entries_do_not_affect_other_workers():
     workers = Workers()
-    store = InMemoryStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), job_item(LAST, 1.0)])
+    store = InMemoryStore([malformed_entry('b'), worker_entry_item('w'), malformed_entry('z'), job_item(LAST, 1.0)])
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
     assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
@@ -70,7 +70,7 @@
 
 def test_a_worker_whose_entry_becomes_unreadable_gets_no_starts_until_it_is_readable_again():
     workers = Workers()
-    store = InMemoryStore([worker_entry('w')])
+    store = InMemoryStore([worker_entry_item('w')])
 
     def suspend(owner):
         if 'w' in workers.surveys and KEY.job_id not in owner.scheduler.job_by_id:
@@ -104,7 +104,7 @@
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
     """The previous owner used the worker; unless it is surveyed, its task is started a second time elsewhere."""
     workers = Workers({'w': ()})
-    store = InMemoryStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
+    store = InMemoryStore([malformed_entry('w'), roster_item('w'), worker_entry_item('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
     assert not owner.scheduler.worker_by_id['w'].takes_starts
@@ -121,7 +121,7 @@
 
 def test_a_worker_of_an_unconfigured_service_is_not_surveyed():
     workers = Workers()
-    store = InMemoryStore([entry_with_service('w', 'foreign'), worker_entry('x')])
+    store = InMemoryStore([entry_with_service('w', 'foreign'), worker_entry_item('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'x'}
 
@@ -130,7 +130,7 @@
     workers = Workers()
     queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
     run_takeover(
-        InMemoryStore([worker_entry('w')]),
+        InMemoryStore([worker_entry_item('w')]),
         workers,
         lambda owner: False,
         within_s=0.6,
@@ -160,7 +160,7 @@
 
 def test_an_entry_that_is_removed_after_it_became_unreadable_counts_as_lapsed():
     workers = Workers()
-    store = InMemoryStore([worker_entry('w')])
+    store = InMemoryStore([worker_entry_item('w')])
 
     def suspend_and_remove(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -34,7 +34,7 @@
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
 from .sessions import Sessions
-from .test_takeover import decode_job_record, InMemoryStore, is_ready, job_item, LAST, NEW, take_over, worker_entry
+from .test_takeover import decode_job_record, InMemoryStore, is_ready, job_item, LAST, NEW, take_over, worker_entry_item
 
 START_TIMES_MS = (1_000, 2_000, 3_000)
 FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
@@ -137,8 +137,8 @@
 
 
 def entry_item(incarnation, **changes):
-    fields = msgspec.json.decode(worker_entry(incarnation.name).value) | {'born': incarnation.born_ms} | changes
-    return worker_entry(incarnation.name)._replace(value=msgspec.json.encode(fields))
+    fields = msgspec.json.decode(worker_entry_item(incarnation.name).value) | {'born': incarnation.born_ms} | changes
+    return worker_entry_item(incarnation.name)._replace(value=msgspec.json.encode(fields))
 
 
 def worker_listed(incarnation, accelerators=8):
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -26,7 +26,7 @@
     roster_item,
     submit_if_ready,
     take_over,
-    worker_entry,
+    worker_entry_item,
     Workers,
 )
 
@@ -85,8 +85,8 @@
     workers.silent_until_s['w0'] = float('inf')
     items = [
         job_item(LAST, time.time()),
-        worker_entry('w0'),
-        worker_entry('w1'),
+        worker_entry_item('w0'),
+        worker_entry_item('w1'),
         roster_item('w0', is_lapsed=is_lapsed),
     ]
     anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
@@ -97,7 +97,7 @@
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
     store = RecordingStore(
-        [job_item(LAST, time.time()), worker_entry('w0'), roster_item('w0', is_lapsed=True)], workers
+        [job_item(LAST, time.time()), worker_entry_item('w0'), roster_item('w0', is_lapsed=True)], workers
     )
     store.is_silent = True
     starts_while_silent = []
@@ -116,7 +116,7 @@
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
     workers = Workers()
-    store = RecordingStore([worker_entry('w0')], workers)
+    store = RecordingStore([worker_entry_item('w0')], workers)
     update = decode_job_record(job_item(NEW, time.time()))
 
     def condition(owner):
@@ -137,7 +137,7 @@
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
-    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster_item('w0', is_lapsed=True)])
+    store = SlowCommitStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)])
     listed = decode_job_record(job_item(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def condition(owner):
@@ -156,7 +156,9 @@
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
     # The first roster that a new owner wrote marked the worker as not lapsed, since it did not count as silent yet.
     workers = UnresponsiveWorkers(failure)
-    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster_item('w0', is_lapsed=True)], workers)
+    store = RecordingStore(
+        [worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)], workers
+    )
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.recorded_rosters
     assert all(is_lapsed for is_lapsed, _ in store.recorded_rosters)
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -100,7 +100,7 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-def worker_entry(worker_id):
+def worker_entry_item(worker_id):
     entry = {
         'Service': 'svc',
         'Addr': '127.0.0.1:1',
@@ -200,7 +200,7 @@
     """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(LAST, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
@@ -211,7 +211,9 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
+    store = InMemoryStore(
+        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
     update = decode_job_record(job_item(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
     assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
@@ -221,14 +223,16 @@
     """They waited for the longest lease of that worker, as if it had stayed silent."""
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
+    store = InMemoryStore(
+        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
 
 def test_what_is_read_at_a_takeover_is_read_at_once():
     """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
-    store = SlowStore([job_item(LAST, time.time()), worker_entry('w0')])
+    store = SlowStore([job_item(LAST, time.time()), worker_entry_item('w0')])
     begun_s = time.monotonic()
     anyio.run(take_over, store, Workers(), is_ready, 5.0)
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
@@ -253,7 +257,9 @@
     # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster_item('w0')])
+    store = InMemoryStore(
+        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
     assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
 
@@ -270,6 +276,6 @@
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
     assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -27,7 +27,7 @@
 from ..registry import fence_of
 from ..settings import OwnerSettings
 from .sessions import Sessions
-from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW, QUEUE, roster_item, STEP, worker_entry
+from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW, QUEUE, roster_item, STEP, worker_entry_item
 
 SUCCESSOR = EPOCH + 100
 JOB = TaskKey(NEW, 0, 0, 0)
@@ -83,9 +83,11 @@
     workers = PartitionedWorkers()
 
     async def run():
-        old = make_owner(EPOCH, InMemoryStore([worker_entry('w0')]), workers)
+        old = make_owner(EPOCH, InMemoryStore([worker_entry_item('w0')]), workers)
         # The old owner persisted a roster but no assignments that its successor could read.
-        new = make_owner(SUCCESSOR, InMemoryStore([worker_entry('w0'), worker_entry('w1'), roster_item('w0')]), workers)
+        new = make_owner(
+            SUCCESSOR, InMemoryStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]), workers
+        )
         async with anyio.create_task_group() as tasks:
             for owner in (old, new):
                 tasks.start_soon(owner.run)
