--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -26,9 +26,9 @@
 from .test_takeover import (
     decode_job_record,
     EPOCH,
+    INHERITED_JOB_ID,
     InMemoryStore,
     job_item,
-    LAST,
     LONGEST_LEASE_S,
     NEW,
     roster_item,
@@ -38,7 +38,7 @@
 )
 
 RUN = (EPOCH - 10 << 20) + 1
-TASK = TaskKey(LAST, 0, 0, 0)
+TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
 def assignments_key_of(job_id):
@@ -47,7 +47,7 @@
 
 def assignments_item(worker_id):
     stored = StepAssignments((Assignment(0, RUN, worker_id, time.time() - 3.0),))
-    return Item(assignments_key_of(LAST), encode(stored), 3)
+    return Item(assignments_key_of(INHERITED_JOB_ID), encode(stored), 3)
 
 
 def assigner_item(revision=4):
@@ -87,7 +87,7 @@
 def test_a_job_waits_for_a_silent_worker_only_if_it_may_run_there(items, starts):
     # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
-    store = InMemoryStore([job_item(LAST, time.time()), *WORKER_ITEMS, *items])
+    store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), *WORKER_ITEMS, *items])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.starts == starts
 
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -22,9 +22,9 @@
 from ..feeds import job_messages
 from ..messages import WorkerListed, WorkerUnlisted, WorkerUnreadable
 from ..unserved import UnservedWorkers
-from .test_takeover import InMemoryStore, job_item, LAST, QUEUE, take_over, worker_entry_item, Workers
+from .test_takeover import INHERITED_JOB_ID, InMemoryStore, job_item, QUEUE, take_over, worker_entry_item, Workers
 
-KEY = TaskKey(LAST, 0, 0, 0)
+KEY = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
 def run_takeover(store, workers, condition, **options):
@@ -62,7 +62,9 @@
 
 def test_malformed_entries_do_not_affect_other_workers():
     workers = Workers()
-    store = InMemoryStore([malformed_entry('b'), worker_entry_item('w'), malformed_entry('z'), job_item(LAST, 1.0)])
+    store = InMemoryStore(
+        [malformed_entry('b'), worker_entry_item('w'), malformed_entry('z'), job_item(INHERITED_JOB_ID, 1.0)]
+    )
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
     assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
@@ -98,7 +100,7 @@
 
 
 def new_job_messages(owner):
-    return job_messages(job_item(LAST, 1.0)._replace(revision=owner.epoch + 1))
+    return job_messages(job_item(INHERITED_JOB_ID, 1.0)._replace(revision=owner.epoch + 1))
 
 
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -34,11 +34,20 @@
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
 from .sessions import Sessions
-from .test_takeover import decode_job_record, InMemoryStore, is_ready, job_item, LAST, NEW, take_over, worker_entry_item
+from .test_takeover import (
+    decode_job_record,
+    INHERITED_JOB_ID,
+    InMemoryStore,
+    is_ready,
+    job_item,
+    NEW,
+    take_over,
+    worker_entry_item,
+)
 
 START_TIMES_MS = (1_000, 2_000, 3_000)
 FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
-TASK = TaskKey(LAST, 0, 0, 0)
+TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
 class RestartingWorker(Sessions):
@@ -146,7 +155,7 @@
     return WorkerListed(profile, Address('127.0.0.1', 1), incarnation)
 
 
-def job(job_id=LAST):
+def job(job_id=INHERITED_JOB_ID):
     return decode_job_record(job_item(job_id, time.time()))
 
 
@@ -179,7 +188,7 @@
     return lambda owner: len(worker.starts) == count
 
 
-def phase_is(phase, job_id=LAST):
+def phase_is(phase, job_id=INHERITED_JOB_ID):
     return lambda owner: owner.scheduler.job_by_id[job_id].phase == phase
 
 
@@ -221,7 +230,7 @@
         (lambda owner: owner.post(job()), start_count_is(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
     )
-    step = owner.scheduler.job_by_id[LAST].step_by_key[0, 0]
+    step = owner.scheduler.job_by_id[INHERITED_JOB_ID].step_by_key[0, 0]
     assert len(worker.starts) == 2
     assert (step.done, len(step.failed_runs_by_index)) in [({0}, 0), (set(), 0), (set(), 1)]
 
@@ -341,7 +350,7 @@
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
     gang = job_item('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
-    many = job_item(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
+    many = job_item(INHERITED_JOB_ID, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
     def post(owner):
         worker.restart(SECOND, late_acknowledgement=2)
@@ -356,7 +365,7 @@
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.running) == 6),
     )
-    assert {key.job_id for _, key in worker.starts[1:4]} == {LAST}
+    assert {key.job_id for _, key in worker.starts[1:4]} == {INHERITED_JOB_ID}
     assert len(worker.stopped) == 3
     assert worker.max_runs_at_stop == 1
 
@@ -436,7 +445,7 @@
     run_actions(
         worker,
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
-        (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
+        (lambda owner: owner.post(job()), lambda owner: INHERITED_JOB_ID in owner.scheduler.job_by_id),
         (lambda owner: owner.post(WorkerUnlisted('w')), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(worker_listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
     )
@@ -476,7 +485,7 @@
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: worker.restart(THIRD), tracks(THIRD)),
-        (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
+        (lambda owner: owner.post(job()), lambda owner: INHERITED_JOB_ID in owner.scheduler.job_by_id),
         (lambda owner: owner.post(worker_listed(THIRD)), start_count_is(worker, 1)),
     )
     assert worker.starts == [(THIRD.worker_id, TASK)]
@@ -518,7 +527,7 @@
         worker,
         (lambda owner: None, tracks_one_run(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
-        items=[job_item(LAST, time.time()), roster_item(FIRST), *entries],
+        items=[job_item(INHERITED_JOB_ID, time.time()), roster_item(FIRST), *entries],
     )
     assert not worker.starts
     assert worker.running
@@ -538,7 +547,7 @@
     run_actions(
         TwoWorkers(),
         (lambda owner: None, tracks_one_run(SECOND)),
-        items=[job_item(LAST, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
+        items=[job_item(INHERITED_JOB_ID, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
 
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -18,9 +18,9 @@
 from .test_takeover import (
     decode_job_record,
     EPOCH,
+    INHERITED_JOB_ID,
     InMemoryStore,
     job_item,
-    LAST,
     LONGEST_LEASE_S,
     NEW,
     roster_item,
@@ -30,7 +30,7 @@
     Workers,
 )
 
-TASK = TaskKey(LAST, 0, 0, 0)
+TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 NEW_TASK = TaskKey(NEW, 0, 0, 0)
 
 
@@ -84,7 +84,7 @@
     workers = Workers()
     workers.silent_until_s['w0'] = float('inf')
     items = [
-        job_item(LAST, time.time()),
+        job_item(INHERITED_JOB_ID, time.time()),
         worker_entry_item('w0'),
         worker_entry_item('w1'),
         roster_item('w0', is_lapsed=is_lapsed),
@@ -97,7 +97,7 @@
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
     workers = Workers()
     store = RecordingStore(
-        [job_item(LAST, time.time()), worker_entry_item('w0'), roster_item('w0', is_lapsed=True)], workers
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), roster_item('w0', is_lapsed=True)], workers
     )
     store.is_silent = True
     starts_while_silent = []
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -33,7 +33,7 @@
 EPOCH = 50_000
 QUEUE = Queue('q', 'h', '/q/', 'svc', priority=1, max_attempts=3, stretch=3.0, target_latency_s=1.0)
 STEP = StepSpec(1, Resources(1000, 1000, 1), 20.0)
-LAST = 'f' * 16
+INHERITED_JOB_ID = 'f' * 16
 NEW = 'e' * 16
 # Number of jobs in the store at sixty jobs per second, each retained for three minutes.
 MANY = 10_800
@@ -159,19 +159,19 @@
 
 
 def phase_of_last(owner):
-    job = owner.scheduler.job_by_id.get(LAST)
+    job = owner.scheduler.job_by_id.get(INHERITED_JOB_ID)
     return None if job is None else job.phase
 
 
 def many_jobs():
     """Return more job records than the owner's inbox holds, and the record of one more job."""
     now_s = time.time()
-    return [*(job_item(f'{number:016x}', now_s) for number in range(MANY)), job_item(LAST, now_s)]
+    return [*(job_item(f'{number:016x}', now_s) for number in range(MANY)), job_item(INHERITED_JOB_ID, now_s)]
 
 
 def test_no_cancellation_is_lost_among_many_jobs():
     """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
-    store = InMemoryStore([*many_jobs(), Item(cancel_key(LAST), b'', 2)])
+    store = InMemoryStore([*many_jobs(), Item(cancel_key(INHERITED_JOB_ID), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
     assert len(owner.scheduler.job_by_id) == MANY + 1
     assert phase_of_last(owner) == 'cancelled'
@@ -179,7 +179,9 @@
 
 def test_no_cancellation_is_lost_when_many_jobs_are_read_anew():
     """They were also dropped when jobs were read again because the history was gone, and never delivered later."""
-    store = InMemoryStore([job_item(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
+    store = InMemoryStore(
+        [job_item(INHERITED_JOB_ID, time.time())], [*many_jobs()[:-1], Item(cancel_key(INHERITED_JOB_ID), b'', 2)]
+    )
     owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
@@ -198,9 +200,9 @@
 
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_previous_owner():
     """Its runs were given up at once and started elsewhere while they were still running."""
-    task = TaskKey(LAST, 0, 0, 0)
+    task = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
+    store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
@@ -212,7 +214,7 @@
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
     store = InMemoryStore(
-        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
     )
     update = decode_job_record(job_item(NEW, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
@@ -224,15 +226,15 @@
     workers = Workers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
     store = InMemoryStore(
-        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
     )
     anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
-    assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
+    assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
 def test_what_is_read_at_a_takeover_is_read_at_once():
     """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
-    store = SlowStore([job_item(LAST, time.time()), worker_entry_item('w0')])
+    store = SlowStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0')])
     begun_s = time.monotonic()
     anyio.run(take_over, store, Workers(), is_ready, 5.0)
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
@@ -258,10 +260,10 @@
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
     store = InMemoryStore(
-        [job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
     )
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
-    assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
+    assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
 class UnhealthyWorkers(Workers):
@@ -276,6 +278,6 @@
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
-    store = InMemoryStore([job_item(LAST, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
+    store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
-    assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
+    assert workers.starts == [('w1', TaskKey(INHERITED_JOB_ID, 0, 0, 0))]
