--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -30,7 +30,7 @@
     InMemoryStore,
     job_item,
     LONGEST_LEASE_S,
-    NEW,
+    NEW_JOB_ID,
     roster_item,
     take_over,
     worker_entry_item,
@@ -72,7 +72,7 @@
         ([assigner_item(), assignments_item('gone')], [('w1', TASK)]),
         ([assignments_item('w1')], []),
         ([assigner_item(1), assignments_item('w1')], []),
-        ([assigner_item(), assignments_item('w1'), Item(assignments_key_of(NEW), b'\xc1', 3)], []),
+        ([assigner_item(), assignments_item('w1'), Item(assignments_key_of(NEW_JOB_ID), b'\xc1', 3)], []),
     ],
     ids=[
         'not assigned',
@@ -100,7 +100,7 @@
         self.item_by_key = {item.key: item for item in items}
         self.revision = EPOCH + 1000
         self.refuses_writes = False
-        # For each write of the roster, whether the job NEW has stored assignments then.
+        # For each write of the roster, whether the job NEW_JOB_ID has stored assignments then.
         self.has_assignments_at_roster_write = []
 
     @property
@@ -133,7 +133,7 @@
         for key in removals:
             self.item_by_key.pop(key, None)
         if any(write.key.startswith(ROSTER_PREFIX) for write in writes):
-            self.has_assignments_at_roster_write.append(assignments_key_of(NEW) in self.item_by_key)
+            self.has_assignments_at_roster_write.append(assignments_key_of(NEW_JOB_ID) in self.item_by_key)
         return CommitResult(CommitStatus.DONE, self.revision)
 
     def claim(self, epoch):
@@ -191,7 +191,7 @@
 
 def test_a_start_is_sent_only_once_the_store_holds_its_assignment():
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
 
     _, workers = run_scenario(scenario, [worker_entry_item('w0')])
@@ -203,7 +203,7 @@
 
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await anyio.sleep(0.5)
         start_counts.append(len(workers.starts))
         store.refuses_writes = False
@@ -218,24 +218,24 @@
 def test_a_start_is_not_sent_once_its_job_was_cancelled_while_it_was_held():
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await anyio.sleep(0.1)
-        owner.post(JobCancelled(NEW))
+        owner.post(JobCancelled(NEW_JOB_ID))
         await anyio.sleep(0.1)
         store.refuses_writes = False
-        await wait_until(lambda: owner.scheduler.job_by_id[NEW].is_end_saved, 2.0)
+        await wait_until(lambda: owner.scheduler.job_by_id[NEW_JOB_ID].is_end_saved, 2.0)
         await anyio.sleep(0.2)
 
     store, workers = run_scenario(scenario, [worker_entry_item('w0')])
     assert not workers.starts
-    assert assignments_key_of(NEW) not in store.item_by_key
+    assert assignments_key_of(NEW_JOB_ID) not in store.item_by_key
 
 
 def test_an_owner_that_was_replaced_sends_no_start():
     # An owner continued to start new jobs until it knew its successor, which could not know of these starts.
     async def scenario(owner, store, workers):
         store.claim(EPOCH + 1)
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await wait_until(lambda: owner.is_deposed, 2.0)
         await anyio.sleep(0.1)
 
@@ -245,20 +245,20 @@
 
 def test_the_assignments_of_a_job_are_removed_with_its_end():
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
-        assert assignments_key_of(NEW) in store.item_by_key
-        owner.post(JobCancelled(NEW))
-        await wait_until(lambda: assignments_key_of(NEW) not in store.item_by_key, 2.0)
+        assert assignments_key_of(NEW_JOB_ID) in store.item_by_key
+        owner.post(JobCancelled(NEW_JOB_ID))
+        await wait_until(lambda: assignments_key_of(NEW_JOB_ID) not in store.item_by_key, 2.0)
 
     store, _ = run_scenario(scenario, [worker_entry_item('w0')])
-    assert assignments_key_of(NEW) not in store.item_by_key
+    assert assignments_key_of(NEW_JOB_ID) not in store.item_by_key
 
 
 def test_a_worker_is_removed_from_the_roster_after_the_assignments_of_its_tasks():
     # Otherwise the next owner finds a task assigned to an unknown worker and cannot tell the reason.
     async def scenario(owner, store, workers):
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await wait_until(lambda: workers.starts, 2.0)
         store.has_assignments_at_roster_write.clear()
         owner.post(WorkerOver('w0'))
@@ -274,13 +274,13 @@
 
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await anyio.sleep(0.1)
         owner.post(WorkerOver('w0'))
         await anyio.sleep(0.1)
         store.refuses_writes = False
         await anyio.sleep(0.5)
-        step = owner.scheduler.job_by_id[NEW].step_by_key[0, 0]
+        step = owner.scheduler.job_by_id[NEW_JOB_ID].step_by_key[0, 0]
         crashes.append((step.crashes_by_index, step.pending))
 
     _, workers = run_scenario(scenario, [worker_entry_item('w0')])
@@ -291,9 +291,9 @@
 def test_a_held_start_for_a_worker_that_falls_silent_moves_to_another():
     async def scenario(owner, store, workers):
         store.refuses_writes = True
-        owner.post(decode_job_record(job_item(NEW, time.time())))
+        owner.post(decode_job_record(job_item(NEW_JOB_ID, time.time())))
         await anyio.sleep(0.1)
-        (run,) = owner.scheduler.job_by_id[NEW].runs()
+        (run,) = owner.scheduler.job_by_id[NEW_JOB_ID].runs()
         workers.silent_until_s[run.worker_id] = float('inf')
         owner.post(WorkerSilent(run.worker_id))
         await anyio.sleep(0.1)
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -40,7 +40,7 @@
     InMemoryStore,
     is_ready,
     job_item,
-    NEW,
+    NEW_JOB_ID,
     take_over,
     worker_entry_item,
 )
@@ -223,8 +223,8 @@
     worker = RestartingWorker()
     owner = run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
-        (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
+        (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW_JOB_ID)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), start_count_is(worker, 2)),
@@ -274,7 +274,7 @@
     worker.acknowledgement_error = failure
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
@@ -299,7 +299,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
         (recover, keeps_running(worker)),
@@ -316,7 +316,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), time_has_passed(0.6)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
@@ -337,7 +337,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), keeps_running(worker)),
@@ -359,7 +359,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (post, tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
@@ -382,7 +382,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
@@ -581,7 +581,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), time_has_passed(0.5)),
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -22,7 +22,7 @@
     InMemoryStore,
     job_item,
     LONGEST_LEASE_S,
-    NEW,
+    NEW_JOB_ID,
     roster_item,
     submit_if_ready,
     take_over,
@@ -31,7 +31,7 @@
 )
 
 TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
-NEW_TASK = TaskKey(NEW, 0, 0, 0)
+NEW_TASK = TaskKey(NEW_JOB_ID, 0, 0, 0)
 
 
 class RecordingStore(InMemoryStore):
@@ -117,7 +117,7 @@
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
     workers = Workers()
     store = RecordingStore([worker_entry_item('w0')], workers)
-    update = decode_job_record(job_item(NEW, time.time()))
+    update = decode_job_record(job_item(NEW_JOB_ID, time.time()))
 
     def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
@@ -138,7 +138,7 @@
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
     workers = Workers()
     store = SlowCommitStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)])
-    listed = decode_job_record(job_item(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
+    listed = decode_job_record(job_item(NEW_JOB_ID, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def condition(owner):
         submit_if_ready(owner, listed)
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -31,7 +31,7 @@
 from .. import core, PoolOwner
 from ..settings import OwnerSettings
 from .sessions import Sessions
-from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW, worker_entry_item
+from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW_JOB_ID, worker_entry_item
 from .test_two_owners import make_job_listed
 
 LEASE_S = 2.0
@@ -112,7 +112,7 @@
         authority.confirm(clock())
         await anyio.sleep(0.5)
 
-    assert run_suspended_owner(clock, authority, confirm).starts == [TaskKey(NEW, 0, 0, 0)]
+    assert run_suspended_owner(clock, authority, confirm).starts == [TaskKey(NEW_JOB_ID, 0, 0, 0)]
 
 
 def test_a_suspended_owner_renews_no_worker_lease_before_it_is_confirmed(clock):
@@ -131,7 +131,7 @@
 
 def test_a_start_that_gets_its_slot_after_the_machine_resumed_is_not_sent(clock):
     async def start(owner):
-        owner._links.get('w0').start(StartRun('w0', TaskKey(NEW, 0, 0, 0), 1, ''), '')
+        owner._links.get('w0').start(StartRun('w0', TaskKey(NEW_JOB_ID, 0, 0, 0), 1, ''), '')
         await anyio.sleep(0.2)
 
     assert not run_suspended_owner(clock, Authority(LEASE_S), start).starts
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -34,7 +34,7 @@
 QUEUE = Queue('q', 'h', '/q/', 'svc', priority=1, max_attempts=3, stretch=3.0, target_latency_s=1.0)
 STEP = StepSpec(1, Resources(1000, 1000, 1), 20.0)
 INHERITED_JOB_ID = 'f' * 16
-NEW = 'e' * 16
+NEW_JOB_ID = 'e' * 16
 # Number of jobs in the store at sixty jobs per second, each retained for three minutes.
 MANY = 10_800
 # Longest lease that workers accept, in seconds.
@@ -216,9 +216,9 @@
     store = InMemoryStore(
         [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
     )
-    update = decode_job_record(job_item(NEW, time.time()))
+    update = decode_job_record(job_item(NEW_JOB_ID, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
-    assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
+    assert workers.starts == [('w1', TaskKey(NEW_JOB_ID, 0, 0, 0))]
 
 
 def test_jobs_of_the_previous_owner_start_once_the_last_silent_worker_has_answered():
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -27,10 +27,19 @@
 from ..registry import fence_of
 from ..settings import OwnerSettings
 from .sessions import Sessions
-from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW, QUEUE, roster_item, STEP, worker_entry_item
+from .test_takeover import (
+    EPOCH,
+    InMemoryStore,
+    LONGEST_LEASE_S,
+    NEW_JOB_ID,
+    QUEUE,
+    roster_item,
+    STEP,
+    worker_entry_item,
+)
 
 SUCCESSOR = EPOCH + 100
-JOB = TaskKey(NEW, 0, 0, 0)
+JOB = TaskKey(NEW_JOB_ID, 0, 0, 0)
 
 
 class PartitionedWorkers(Sessions):
@@ -68,7 +77,7 @@
 
 def make_job_listed(owner_epoch):
     """Return a job accepted after the takeover by an instance that knew the owner with the given epoch."""
-    spec = JobSpec(NEW, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
+    spec = JobSpec(NEW_JOB_ID, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
     return JobListed(spec, QUEUE, SUCCESSOR + 7, owner_epoch)
 
 
