--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -36,7 +36,7 @@
 INHERITED_JOB_ID = 'f' * 16
 NEW_JOB_ID = 'e' * 16
 # Number of jobs in the store at sixty jobs per second, each retained for three minutes.
-MANY = 10_800
+OTHER_JOB_COUNT = 10_800
 # Longest lease that workers accept, in seconds.
 LONGEST_LEASE_S = 4.0
 
@@ -166,14 +166,17 @@
 def many_jobs():
     """Return more job records than the owner's inbox holds, and the record of one more job."""
     now_s = time.time()
-    return [*(job_item(f'{number:016x}', now_s) for number in range(MANY)), job_item(INHERITED_JOB_ID, now_s)]
+    return [
+        *(job_item(f'{number:016x}', now_s) for number in range(OTHER_JOB_COUNT)),
+        job_item(INHERITED_JOB_ID, now_s),
+    ]
 
 
 def test_no_cancellation_is_lost_among_many_jobs():
     """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
     store = InMemoryStore([*many_jobs(), Item(cancel_key(INHERITED_JOB_ID), b'', 2)])
     owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
-    assert len(owner.scheduler.job_by_id) == MANY + 1
+    assert len(owner.scheduler.job_by_id) == OTHER_JOB_COUNT + 1
     assert phase_of_last(owner) == 'cancelled'
 
 
@@ -195,7 +198,7 @@
         return owner.is_ready
 
     anyio.run(take_over, InMemoryStore(many_jobs()), Workers(), record_job_count, 30.0)
-    assert len(job_counts - {0, MANY + 1}) >= 3
+    assert len(job_counts - {0, OTHER_JOB_COUNT + 1}) >= 3
 
 
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_previous_owner():
