--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -29,7 +29,7 @@
     INHERITED_JOB_ID,
     InMemoryStore,
     job_item,
-    LONGEST_LEASE_S,
+    MAX_LEASE_S,
     NEW_JOB_ID,
     roster_item,
     take_over,
@@ -88,7 +88,7 @@
     # All jobs of previous owners waited for every silent worker, for up to 8 s while the pool was idle.
     workers = silent_workers('w0')
     store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), *WORKER_ITEMS, *items])
-    anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.starts == starts
 
 
@@ -161,7 +161,7 @@
 
 
 def make_owner(epoch, store, workers):
-    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming(mean_retry_pause_s=0.02))
+    settings = OwnerSettings(epoch, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming(mean_retry_pause_s=0.02))
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -21,7 +21,7 @@
     INHERITED_JOB_ID,
     InMemoryStore,
     job_item,
-    LONGEST_LEASE_S,
+    MAX_LEASE_S,
     NEW_JOB_ID,
     roster_item,
     submit_if_ready,
@@ -89,7 +89,7 @@
         worker_entry_item('w1'),
         roster_item('w0', is_lapsed=is_lapsed),
     ]
-    anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.starts == ([('w1', TASK)] if is_lapsed else [])
 
 
@@ -122,13 +122,13 @@
     def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
         if worker is not None and worker.is_surveyed and 'w0' not in workers.silent_until_s:
-            workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
+            workers.silent_until_s['w0'] = time.monotonic() + 2.0 * MAX_LEASE_S
         if any(is_lapsed for is_lapsed, _ in store.recorded_rosters):
             workers.silent_until_s['w0'] = 0.0
             submit_if_ready(owner, update)
         return workers.starts
 
-    anyio.run(take_over, store, workers, condition, 3.0 * LONGEST_LEASE_S)
+    anyio.run(take_over, store, workers, condition, 3.0 * MAX_LEASE_S)
     assert workers.starts == [('w0', NEW_TASK)]
     assert [is_lapsed for is_lapsed, _ in store.recorded_rosters] == [False, True, False]
     assert store.recorded_rosters[-1] == (False, 0)
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -31,7 +31,7 @@
 from .. import core, PoolOwner
 from ..settings import OwnerSettings
 from .sessions import Sessions
-from .test_takeover import EPOCH, InMemoryStore, LONGEST_LEASE_S, NEW_JOB_ID, worker_entry_item
+from .test_takeover import EPOCH, InMemoryStore, MAX_LEASE_S, NEW_JOB_ID, worker_entry_item
 from .test_two_owners import make_job_listed
 
 LEASE_S = 2.0
@@ -80,7 +80,7 @@
     workers = Workers()
 
     async def run():
-        settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
+        settings = OwnerSettings(EPOCH, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
         owner = PoolOwner(settings, InMemoryStore([worker_entry_item('w0')]), workers, tuple, Metrics(), authority)
         authority.confirm(clock())
         async with anyio.create_task_group() as tasks:
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -38,7 +38,7 @@
 # Number of jobs in the store at sixty jobs per second, each retained for three minutes.
 OTHER_JOB_COUNT = 10_800
 # Longest lease that workers accept, in seconds.
-LONGEST_LEASE_S = 4.0
+MAX_LEASE_S = 4.0
 
 
 class InMemoryStore:
@@ -129,7 +129,7 @@
 
 async def take_over(store, workers, condition, within_s, configuration=None):
     """Run an owner until it meets a condition or a time limit has passed; return it."""
-    settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
+    settings = OwnerSettings(EPOCH, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
     owner = PoolOwner(settings, store, workers, tuple, Metrics())
     if configuration is not None:
         owner.set_configuration(configuration)
@@ -206,7 +206,7 @@
     task = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
     workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
     store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
-    anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
 
@@ -231,7 +231,7 @@
     store = InMemoryStore(
         [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
     )
-    anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -30,7 +30,7 @@
 from .test_takeover import (
     EPOCH,
     InMemoryStore,
-    LONGEST_LEASE_S,
+    MAX_LEASE_S,
     NEW_JOB_ID,
     QUEUE,
     roster_item,
@@ -71,7 +71,7 @@
 
 
 def make_owner(epoch, store, workers):
-    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
+    settings = OwnerSettings(epoch, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
@@ -111,12 +111,12 @@
 
 
 def test_a_job_that_the_previous_owner_was_told_of_waits_for_workers_that_may_run_it():
-    assert starts_with_two_owners(EPOCH, LONGEST_LEASE_S - 1.0) == [('w0', JOB, fence_of(EPOCH, 1))]
+    assert starts_with_two_owners(EPOCH, MAX_LEASE_S - 1.0) == [('w0', JOB, fence_of(EPOCH, 1))]
 
 
 def test_a_job_accepted_without_a_known_owner_waits_for_workers_that_may_run_it():
     """The old owner may have learned of it through its own watch on the store."""
-    assert len(starts_with_two_owners(0, LONGEST_LEASE_S - 1.0)) == 1
+    assert len(starts_with_two_owners(0, MAX_LEASE_S - 1.0)) == 1
 
 
 def test_an_owner_that_learns_of_a_job_of_its_successor_does_not_start_it():
