--- a/packages/node/dahliaarch_node/owner/tests/test_assignments.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_assignments.py
@@ -28,13 +28,13 @@
     EPOCH,
     INHERITED_JOB_ID,
     InMemoryStore,
+    InMemoryWorkers,
     job_item,
     MAX_LEASE_S,
     NEW_JOB_ID,
     roster_item,
     take_over,
     worker_entry_item,
-    Workers,
 )
 
 RUN = (EPOCH - 10 << 20) + 1
@@ -55,7 +55,7 @@
 
 
 def silent_workers(*silent_ids):
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s = dict.fromkeys(silent_ids, float('inf'))
     return workers
 
@@ -140,7 +140,7 @@
         self.item_by_key[OWNER_KEY] = Item(OWNER_KEY, b'', epoch)
 
 
-class RecordingWorkers(Workers):
+class RecordingWorkers(InMemoryWorkers):
     """Workers that record whether the assignment, a roster and the assigner were stored when a start arrived."""
 
     def __init__(self, store):
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -22,7 +22,15 @@
 from ..feeds import job_messages
 from ..messages import WorkerListed, WorkerUnlisted, WorkerUnreadable
 from ..unserved import UnservedWorkers
-from .test_takeover import INHERITED_JOB_ID, InMemoryStore, job_item, QUEUE, take_over, worker_entry_item, Workers
+from .test_takeover import (
+    INHERITED_JOB_ID,
+    InMemoryStore,
+    InMemoryWorkers,
+    job_item,
+    QUEUE,
+    take_over,
+    worker_entry_item,
+)
 
 KEY = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
@@ -61,7 +69,7 @@
 
 
 def test_malformed_entries_do_not_affect_other_workers():
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = InMemoryStore(
         [malformed_entry('b'), worker_entry_item('w'), malformed_entry('z'), job_item(INHERITED_JOB_ID, 1.0)]
     )
@@ -71,7 +79,7 @@
 
 
 def test_a_worker_whose_entry_becomes_unreadable_gets_no_starts_until_it_is_readable_again():
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = InMemoryStore([worker_entry_item('w')])
 
     def suspend(owner):
@@ -105,7 +113,7 @@
 
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
     """The previous owner used the worker; unless it is surveyed, its task is started a second time elsewhere."""
-    workers = Workers({'w': ()})
+    workers = InMemoryWorkers({'w': ()})
     store = InMemoryStore([malformed_entry('w'), roster_item('w'), worker_entry_item('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
@@ -114,7 +122,7 @@
 
 def test_the_next_owner_grants_short_leases_to_a_draining_worker_without_an_entry():
     """With the longest leases, its runs would be restarted elsewhere seconds later."""
-    workers = Workers({'w': ()})
+    workers = InMemoryWorkers({'w': ()})
     owner = run_takeover(
         InMemoryStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
     )
@@ -122,14 +130,14 @@
 
 
 def test_a_worker_of_an_unconfigured_service_is_not_surveyed():
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = InMemoryStore([entry_with_service('w', 'foreign'), worker_entry_item('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'x'}
 
 
 def test_a_worker_of_a_service_that_only_a_queue_names_is_surveyed():
-    workers = Workers()
+    workers = InMemoryWorkers()
     queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
     run_takeover(
         InMemoryStore([worker_entry_item('w')]),
@@ -143,7 +151,7 @@
 
 def test_a_worker_of_a_removed_service_is_surveyed_by_the_next_owner():
     """Tasks of jobs that were accepted before the removal may be running on it."""
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = InMemoryStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'w'}
@@ -161,7 +169,7 @@
 
 
 def test_an_entry_that_is_removed_after_it_became_unreadable_counts_as_lapsed():
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = InMemoryStore([worker_entry_item('w')])
 
     def suspend_and_remove(owner):
--- a/packages/node/dahliaarch_node/owner/tests/test_heap.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_heap.py
@@ -11,7 +11,7 @@
 
 from ...metrics import Metrics
 from ..heap import GarbageCollectionTuner
-from .test_takeover import InMemoryStore, many_jobs, OTHER_JOB_COUNT, take_over, Workers
+from .test_takeover import InMemoryStore, InMemoryWorkers, many_jobs, OTHER_JOB_COUNT, take_over
 
 OLDEST_GENERATION = 2
 # Minimum number of container objects that a job consists of.
@@ -40,7 +40,7 @@
 
     store = InMemoryStore(many_jobs())
     full_collections.clear()
-    anyio.run(take_over, store, Workers(), collect_once_ready, 30.0)
+    anyio.run(take_over, store, InMemoryWorkers(), collect_once_ready, 30.0)
     assert full_collections
     assert max(full_collections) < OTHER_JOB_COUNT * MIN_OBJECTS_PER_JOB
 
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -20,6 +20,7 @@
     EPOCH,
     INHERITED_JOB_ID,
     InMemoryStore,
+    InMemoryWorkers,
     job_item,
     MAX_LEASE_S,
     NEW_JOB_ID,
@@ -27,7 +28,6 @@
     submit_if_ready,
     take_over,
     worker_entry_item,
-    Workers,
 )
 
 TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
@@ -63,7 +63,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class UnresponsiveWorkers(Workers):
+class UnresponsiveWorkers(InMemoryWorkers):
     """Workers of which one, w0, is unreachable or does not answer."""
 
     def __init__(self, failure):
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize('is_lapsed', [True, False])
 def test_jobs_of_the_previous_owner_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
     # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = float('inf')
     items = [
         job_item(INHERITED_JOB_ID, time.time()),
@@ -95,7 +95,7 @@
 
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = RecordingStore(
         [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), roster_item('w0', is_lapsed=True)], workers
     )
@@ -115,7 +115,7 @@
 
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = RecordingStore([worker_entry_item('w0')], workers)
     update = decode_job_record(job_item(NEW_JOB_ID, time.time()))
 
@@ -136,7 +136,7 @@
 
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
-    workers = Workers()
+    workers = InMemoryWorkers()
     store = SlowCommitStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)])
     listed = decode_job_record(job_item(NEW_JOB_ID, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -38,7 +38,7 @@
 SUSPENDED_S = 5.0
 
 
-class Workers(Sessions):
+class InMemoryWorkers(Sessions):
     """In-memory workers that record starts and the times at which surveys renew leases."""
 
     def __init__(self):
@@ -77,7 +77,7 @@
 
 def run_suspended_owner(clock, authority, after_ready):
     """Run an owner with confirmed authority, suspend its machine, submit a job; return its workers."""
-    workers = Workers()
+    workers = InMemoryWorkers()
 
     async def run():
         settings = OwnerSettings(EPOCH, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -75,7 +75,7 @@
         return await super().read_page(prefix, after, timeout_s=timeout_s)
 
 
-class Workers(Sessions):
+class InMemoryWorkers(Sessions):
     """In-memory workers: those that run tasks answer only their first survey, the others are idle."""
 
     def __init__(self, running=()):
@@ -175,7 +175,7 @@
 def test_no_cancellation_is_lost_among_many_jobs():
     """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
     store = InMemoryStore([*many_jobs(), Item(cancel_key(INHERITED_JOB_ID), b'', 2)])
-    owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
+    owner = anyio.run(take_over, store, InMemoryWorkers(), is_ready, 30.0)
     assert len(owner.scheduler.job_by_id) == OTHER_JOB_COUNT + 1
     assert phase_of_last(owner) == 'cancelled'
 
@@ -185,7 +185,7 @@
     store = InMemoryStore(
         [job_item(INHERITED_JOB_ID, time.time())], [*many_jobs()[:-1], Item(cancel_key(INHERITED_JOB_ID), b'', 2)]
     )
-    owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
+    owner = anyio.run(take_over, store, InMemoryWorkers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
 
@@ -197,14 +197,14 @@
         job_counts.add(len(owner.scheduler.job_by_id))
         return owner.is_ready
 
-    anyio.run(take_over, InMemoryStore(many_jobs()), Workers(), record_job_count, 30.0)
+    anyio.run(take_over, InMemoryStore(many_jobs()), InMemoryWorkers(), record_job_count, 30.0)
     assert len(job_counts - {0, OTHER_JOB_COUNT + 1}) >= 3
 
 
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_previous_owner():
     """Its runs were given up at once and started elsewhere while they were still running."""
     task = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
-    workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
+    workers = InMemoryWorkers({'w0': (ListedRun(task, 1, '', 10.0),)})
     store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
@@ -213,7 +213,7 @@
 
 def test_a_job_that_comes_after_a_takeover_does_not_wait_for_workers_that_are_silent():
     """With one worker lost since the previous owner, urgent jobs started 1.2 s after a takeover and ended late."""
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
     store = InMemoryStore(
@@ -226,7 +226,7 @@
 
 def test_jobs_of_the_previous_owner_start_once_the_last_silent_worker_has_answered():
     """They waited for the longest lease of that worker, as if it had stayed silent."""
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
     store = InMemoryStore(
         [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
@@ -239,11 +239,11 @@
     """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
     store = SlowStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0')])
     begun_s = time.monotonic()
-    anyio.run(take_over, store, Workers(), is_ready, 5.0)
+    anyio.run(take_over, store, InMemoryWorkers(), is_ready, 5.0)
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
 
 
-class LossyWorkers(Workers):
+class LossyWorkers(InMemoryWorkers):
     """Workers that leave a given number of surveys unanswered before they answer one."""
 
     def __init__(self, unanswered_by_id):
@@ -269,7 +269,7 @@
     assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
-class UnhealthyWorkers(Workers):
+class UnhealthyWorkers(InMemoryWorkers):
     """Workers of which one, w0, answers every survey with the status that it is unhealthy."""
 
     async def survey(self, address, incarnation, **options):
