--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -5,7 +5,7 @@
 from dahliaarch_platform.workers import WorkerUnansweredError
 
 
-class Sessions:
+class InMemorySessions:
     """Mixin that gives an in-memory worker sessions, whose calls carry its incarnation and a fence."""
 
     def session(self, address, incarnation, fence):
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -33,7 +33,7 @@
 from ...records import ROSTER_PREFIX, RosterEntry
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
-from .sessions import Sessions
+from .sessions import InMemorySessions
 from .test_takeover import (
     decode_job_record,
     INHERITED_JOB_ID,
@@ -50,7 +50,7 @@
 TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
-class RestartingWorker(Sessions):
+class RestartingWorker(InMemorySessions):
     """A worker whose incarnations answer one after another; each lists a started run until it ends."""
 
     def __init__(self):
@@ -406,7 +406,7 @@
     worker.unanswered_start_count = unanswered
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class TwoWorkers(Sessions):
+    class TwoWorkers(InMemorySessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
@@ -540,7 +540,7 @@
     worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class TwoWorkers(Sessions):
+    class TwoWorkers(InMemorySessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
--- a/packages/node/dahliaarch_node/owner/tests/test_links.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_links.py
@@ -22,12 +22,12 @@
 from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerOver, WorkerSilent, WorkerSurveyed
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 SETTINGS = LinkSettings(retry_s=0.01)
 
 
-class DisconnectedWorker(Sessions):
+class DisconnectedWorker(InMemorySessions):
     """A worker that answers one survey and fails all later ones."""
 
     def __init__(self, failure):
@@ -119,7 +119,7 @@
     assert lease.latest_end_s() >= begun_s + SETTINGS.lease_s
 
 
-class LateWorker(Sessions):
+class LateWorker(InMemorySessions):
     """A worker that answers surveys after a delay, which may exceed the timeout of the owner."""
 
     def __init__(self, delay_s):
@@ -172,7 +172,7 @@
     assert any(isinstance(message, WorkerSurveyed) for message in anyio.run(run_link))
 
 
-class LossyWorker(Sessions):
+class LossyWorker(InMemorySessions):
     """A worker that loses two of three answers, or delays the answers to surveys that acknowledge ends."""
 
     def __init__(self, acknowledgement_delay_s=None):
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -25,7 +25,7 @@
 from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 SCENARIO_S = 4.0
 ENDS = 60
@@ -33,7 +33,7 @@
 KEY = TaskKey('a' * 16, 0, 0, 0)
 
 
-class Worker(Sessions):
+class Worker(InMemorySessions):
     """A worker that lists a fixed number of ends, never answers stops, and can stop answering surveys."""
 
     def __init__(self, ends=0):
--- a/packages/node/dahliaarch_node/owner/tests/test_stops.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_stops.py
@@ -21,14 +21,14 @@
 from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import WorkerSurveyed
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 FIRST, SECOND = (TaskKey('a' * 16, 0, 0, index) for index in range(2))
 # Time from each stop order until its run ends, in seconds.
 END_S = {FIRST: 0.05, SECOND: 0.26}
 
 
-class StoppingWorker(Sessions):
+class StoppingWorker(InMemorySessions):
     """A worker that runs two tasks and answers a pending survey as soon as one of them ends."""
 
     def __init__(self):
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -30,7 +30,7 @@
 from ...timing import StoreTiming
 from .. import core, PoolOwner
 from ..settings import OwnerSettings
-from .sessions import Sessions
+from .sessions import InMemorySessions
 from .test_takeover import EPOCH, InMemoryStore, MAX_LEASE_S, NEW_JOB_ID, worker_entry_item
 from .test_two_owners import make_job_listed
 
@@ -38,7 +38,7 @@
 SUSPENDED_S = 5.0
 
 
-class InMemoryWorkers(Sessions):
+class InMemoryWorkers(InMemorySessions):
     """In-memory workers that record starts and the times at which surveys renew leases."""
 
     def __init__(self):
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -28,7 +28,7 @@
 from .. import PoolOwner
 from ..messages import JobListed
 from ..settings import OwnerSettings
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 EPOCH = 50_000
 QUEUE = Queue('q', 'h', '/q/', 'svc', priority=1, max_attempts=3, stretch=3.0, target_latency_s=1.0)
@@ -75,7 +75,7 @@
         return await super().read_page(prefix, after, timeout_s=timeout_s)
 
 
-class InMemoryWorkers(Sessions):
+class InMemoryWorkers(InMemorySessions):
     """In-memory workers: those that run tasks answer only their first survey, the others are idle."""
 
     def __init__(self, running=()):
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -26,7 +26,7 @@
 from ..messages import JobListed
 from ..registry import fence_of
 from ..settings import OwnerSettings
-from .sessions import Sessions
+from .sessions import InMemorySessions
 from .test_takeover import (
     EPOCH,
     InMemoryStore,
@@ -42,7 +42,7 @@
 JOB = TaskKey(NEW_JOB_ID, 0, 0, 0)
 
 
-class PartitionedWorkers(Sessions):
+class PartitionedWorkers(InMemorySessions):
     """Two workers, the first of which is unreachable for the successor."""
 
     def __init__(self):
--- a/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_unanswered_starts.py
@@ -15,7 +15,7 @@
 from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut, StartAcknowledged, WorkerSurveyed
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 START_LIMIT = 32
 # Accelerators per worker, each of which gets one task.
@@ -29,7 +29,7 @@
 JOB_ID = 'a' * 16
 
 
-class Worker(Sessions):
+class Worker(InMemorySessions):
     """A worker that answers surveys, and orders if configured; it executes delayed starts within their lease."""
 
     def __init__(self, *, answers_starts=False, answers_stops=False, start_delay_s=None, work_s=60.0):
