--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with in-memory workers."""
+"""In-memory worker sessions."""
 
 import asyncio
 
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -35,7 +35,7 @@
 STEP = StepSpec(1, Resources(1000, 1000, 1), 20.0)
 INHERITED_JOB_ID = 'f' * 16
 NEW_JOB_ID = 'e' * 16
-# Number of jobs in the store at sixty jobs per second, each retained for three minutes.
+# Number of other jobs in the store, at sixty jobs per second, each retained for three minutes.
 OTHER_JOB_COUNT = 10_800
 # Longest lease that workers accept, in seconds.
 MAX_LEASE_S = 4.0
