--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -45,7 +45,7 @@
     running.wait_for(running.job_ids[-1], 'succeeded')
     assert all(len(worker.ends) > MAX_ATTEMPTS for worker in running.workers)
     # A worker that crashes while an acknowledgement is unanswered is probed, which starts a task more than once.
-    running.wait_until(lambda: all(len(worker.noted) == len(worker.ends) for worker in running.workers))
+    running.wait_until(lambda: all(len(worker.acknowledged_ends) == len(worker.ends) for worker in running.workers))
     running.sleep(SURVEY_TIMEOUT_S)
 
     async def start_again():
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -26,7 +26,7 @@
 _CRASH_PREFIX = 'crash'
 
 
-class Noted(NamedTuple):
+class AcknowledgedEnd(NamedTuple):
     """Acknowledged end of a run, if the lease did not expire between the end and its acknowledgement."""
 
     worker: str
@@ -152,7 +152,7 @@
         # Published address for orders, if it is that of a proxy in front of the worker.
         self.published_address: Address | None = None
         # Acknowledged ends of runs, with the time of the acknowledgement.
-        self.noted: dict[Noted, float] = {}
+        self.acknowledged_ends: dict[AcknowledgedEnd, float] = {}
         self.starts: list[Started] = []
         self.ends: list[Ended] = []
         # Tasks whose start got no response and is carried out late.
@@ -320,7 +320,7 @@
         """Discard the acknowledged ends, including later ends with numbers up to the acknowledged one."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
-        acknowledged_ends = {
+        discarded_ends = {
             self._acknowledged_end(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged
         }
         # An end does not count as acknowledged if the lease has expired between the end
@@ -328,11 +328,11 @@
         ends_before_lapse = {
             self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s
         }
-        self.noted.update(dict.fromkeys(acknowledged_ends - ends_before_lapse, time.monotonic()))
+        self.acknowledged_ends.update(dict.fromkeys(discarded_ends - ends_before_lapse, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
 
-    def _acknowledged_end(self, task: str, run: int) -> Noted:
-        return Noted(self.worker_id, task, run, self._incarnation.incarnation)
+    def _acknowledged_end(self, task: str, run: int) -> AcknowledgedEnd:
+        return AcknowledgedEnd(self.worker_id, task, run, self._incarnation.incarnation)
 
     def crash(self, worker_id: str) -> None:
         """Crash and restart at once as another incarnation at the same address, without downtime."""
--- a/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_reports.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
-from dahliaarch_standins.platform.workers import Ended, Noted, Started
+from dahliaarch_standins.platform.workers import AcknowledgedEnd, Ended, Started
 from dahliaarch_standins.soak import core, run_soak, SoakSettings
 from dahliaarch_standins.soak.plans import draw_plan
 from dahliaarch_standins.soak.reports import new_folder, Origin, write_report
@@ -24,7 +24,7 @@
     worker.starts = [Started('w0', TASK, 5, 9, 12.0, 1), Started('w0', TASK, 5, 9, 10.0, 0)]
     worker.starts.append(Started('w0', OTHER, 6, 9, 10.5, 0))
     worker.ends = [Ended('w0', TASK, 5, 'crashed', 11.0, 0), Ended('w0', TASK, 5, 'done', 13.0, 1)]
-    worker.noted = {Noted('w0', TASK, 5, 1): 13.5}
+    worker.acknowledged_ends = {AcknowledgedEnd('w0', TASK, 5, 1): 13.5}
     return worker
 
 
--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dahliaarch_standins.platform import StoreStandIn, WorkerStandIn
-from dahliaarch_standins.platform.workers import Ended, Noted, Started
+from dahliaarch_standins.platform.workers import AcknowledgedEnd, Ended, Started
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
 from dahliaarch_standins.soak.violations import (
     duplicate_runs,
@@ -134,7 +134,7 @@
     worker = WorkerStandIn('w', 'svc', 'r0', StoreStandIn())
     worker.starts = [Started('w', TASK, 1, 9, at_s, incarnation) for incarnation, at_s in starts]
     worker.ends = [Ended('w', TASK, 1, how, at_s, incarnation) for incarnation, how, at_s in ends]
-    worker.noted = {Noted('w', TASK, 1, incarnation): 99.0 for incarnation in noted}
+    worker.acknowledged_ends = {AcknowledgedEnd('w', TASK, 1, incarnation): 99.0 for incarnation in noted}
     return worker
 
 
--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -8,7 +8,7 @@
 from dahliaarch_kernel.workload import StepSpec
 
 from ..platform import WorkerStandIn
-from ..platform.workers import Noted
+from ..platform.workers import AcknowledgedEnd
 
 # States of a job in which none of its tasks may run.
 ENDED_STATES = frozenset(('succeeded', 'failed', 'cancelled'))
@@ -71,18 +71,18 @@
     end_s: float
     run: int
     how: str
-    noted: Noted
+    end_key: AcknowledgedEnd
 
 
 def duplicate_runs(workers: Sequence[WorkerStandIn]) -> Iterator[Violation]:
     """Yield tasks with overlapping runs, or with a run after a recorded success."""
-    noted = {each for worker in workers for each in worker.noted}
+    acknowledged_ends = {each for worker in workers for each in worker.acknowledged_ends}
     for task, intervals in _intervals_by_task(workers).items():
         for earlier, later in pairwise(sorted(intervals)):
             runs = f'{task}: {earlier.run}, then {later.run}'
             if later.begin_s < earlier.end_s:
                 yield Violation('never two runs of a task at a time', runs)
-            elif earlier.how == 'done' and earlier.noted in noted:
+            elif earlier.how == 'done' and earlier.end_key in acknowledged_ends:
                 yield Violation('no run after a success that was noted', runs)
 
 
@@ -90,12 +90,12 @@
     intervals: dict[str, list[_RunInterval]] = defaultdict(list)
     for worker in workers:
         # The next incarnation may execute a start again under the same run number.
-        end_by_run = {Noted(end.worker, end.task, end.run, end.incarnation): end for end in worker.ends}
+        end_by_run = {AcknowledgedEnd(end.worker, end.task, end.run, end.incarnation): end for end in worker.ends}
         for start in worker.starts:
-            noted = Noted(start.worker, start.task, start.run, start.incarnation)
-            end = end_by_run.get(noted)
+            end_key = AcknowledgedEnd(start.worker, start.task, start.run, start.incarnation)
+            end = end_by_run.get(end_key)
             ended_s, how = (end.at_s, end.how) if end else (float('inf'), 'running')
-            intervals[start.task].append(_RunInterval(start.at_s, ended_s, start.run, how, noted))
+            intervals[start.task].append(_RunInterval(start.at_s, ended_s, start.run, how, end_key))
     return intervals
 
 
