--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -47,7 +47,7 @@
     """End all members of every gang that has a failed member, as real workers do."""
     failed = {end.run for end in running.ends() if end.how == 'failed'}
     for worker in running.workers:
-        worker.break_off(failed)
+        worker.end_broken_runs(failed)
 
 
 def time_to_run_s(running, steps):
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -235,7 +235,7 @@
             entry['RemainingMs'] = 4000
         self._store.put(f'servers/{self.worker_id}', msgspec.json.encode(entry))
 
-    def break_off(self, numbers: Collection[int]) -> None:
+    def end_broken_runs(self, numbers: Collection[int]) -> None:
         """End the runs with the given numbers, because another member of their gang has failed."""
         for run in tuple(self._incarnation.run_by_task.values()):
             if run.number in numbers:
