--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -270,7 +270,7 @@
 
 
 async def _remove_worker(worker):
-    worker.leave()
+    worker.disappear()
 
 
 @when('a worker that runs one of its tasks starts draining and is disconnected', target_fixture='cut_off')
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -197,7 +197,7 @@
                 await self._crash_and_return()
             await anyio.sleep(_TICK_S)
 
-    def leave(self) -> None:
+    def disappear(self) -> None:
         """Remove the entry and stop without reporting the ends of active runs."""
         self._store.remove(f'servers/{self.worker_id}')
         self.server.close()
