--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -132,7 +132,7 @@
 def test_a_task_that_crashes_workers_is_given_up_though_they_keep_their_ids(running):
     """Two crashes of the same worker count as two crashes."""
     for worker in running.workers:
-        worker.keeps_id = True
+        worker.keeps_id_after_crash = True
     job_id = running.submit(ONE_TASK, 'crash1')
     assert wait_for_end(running, job_id, max_starts=MAX_CRASHING_STARTS) == 'failed'
     assert {start.worker for start in running.starts() if start.task.startswith(job_id)} <= {'w0', 'w1', 'w2', 'w3'}
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -165,7 +165,7 @@
         # Maximum duration of a lease, in seconds.
         self.max_hold_s = 10.0
         # Whether the worker keeps its id after a crash caused by a task.
-        self.keeps_id = False
+        self.keeps_id_after_crash = False
         self._service = service
         self._rack = rack
         self._store = store
@@ -369,7 +369,7 @@
 
     async def _crash_and_return(self) -> None:
         """Crash, and accept connections again after the downtime."""
-        if self.keeps_id:
+        if self.keeps_id_after_crash:
             await self.start_again()
             return
         async with self._downtime():
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -56,7 +56,7 @@
         self.deployment.store.checks_conditions = settings.without != 'conditions'
         self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
         for worker in self.deployment.workers[: settings.keeping_ids]:
-            worker.keeps_id = True
+            worker.keeps_id_after_crash = True
         for worker in self.deployment.workers:
             worker.checks_fences = settings.without != 'fences'
             worker.checks_run_numbers = settings.without != 'run numbers'
