--- a/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_failing_starts.py
@@ -22,7 +22,7 @@
 
 def fail(worker):
     """Fail every task as soon as it starts."""
-    worker.fails_tasks = True
+    worker.fails_every_task = True
 
 
 def leave_unanswered(worker):
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -158,7 +158,7 @@
         # Tasks whose start got no response and is carried out late.
         self.late_starts: list[str] = []
         # Whether every task fails immediately after its start.
-        self.fails_tasks = False
+        self.fails_every_task = False
         self.is_draining = False
         self.is_cut_off = False
         self.capacity = Resources(64_000, 262_144, 8)
@@ -405,7 +405,9 @@
         self._extend_lease(body)
         incarnation.highest_run_by_task[task] = number
         payload = body['Spec']
-        work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
+        work_s = (
+            -1.0 if self.fails_every_task or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
+        )
         self._crash_pending = self._crash_pending or payload.startswith(_CRASH_PREFIX)
         incarnation.run_by_task[task] = _Run(task, number, work_s, now_s)
         self.starts.append(Started(self.worker_id, task, number, body.get('Fence', 0), now_s, incarnation.incarnation))
