--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -159,7 +159,7 @@
 
 @when('the store forgets its history', target_fixture='calls_before')
 def _(running):
-    running.store.forget_history()
+    running.store.discard_history()
     return running.store.calls
 
 
--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -93,7 +93,7 @@
         """Return the keys that start with a prefix, sorted."""
         return sorted(key for key in self._item_by_key if key.startswith(prefix))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Discard the history: watches from an earlier revision get status 410."""
         self._history.clear()
         self._oldest_watchable = self.revision
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -173,7 +173,7 @@
 async def forget_history(system: System, fault: Fault, rng: random.Random) -> None:
     """Let the store discard its history of changes."""
     system.disturbances.record_history_loss(time.monotonic())
-    system.store.forget_history()
+    system.store.discard_history()
 
 
 @register
