--- a/packages/standins/dahliaarch_standins/platform/store.py
+++ b/packages/standins/dahliaarch_standins/platform/store.py
@@ -35,7 +35,7 @@
         # Safeguard that control arms disable.
         self.checks_conditions = True
         # Watches with this prefix report no updates.
-        self.muted_key = ''
+        self.muted_prefix = ''
         self.revision = 0
         self._item_by_key: dict[str, dict[str, Any]] = {}
         self._history: deque[dict[str, Any]] = deque(maxlen=50_000)
@@ -162,7 +162,7 @@
                 changed = self._change_event
                 prefix = query['PathPrefix']
                 events = [each for each in self._history if each['Revision'] > after and each['Key'].startswith(prefix)]
-                if events and prefix != self.muted_key:
+                if events and prefix != self.muted_prefix:
                     page = events[:_MAX_PAGE_ITEMS]
                     last = self.revision if len(page) == len(events) else page[-1]['Revision']
                     return _json({'events': page, 'StoreRevision': last})
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -54,7 +54,7 @@
         self.disturbances = DisturbanceTracker(self.deployment.names, slow_names)
         self.operator = Operator(self.deployment, settings.seed)
         self.deployment.store.checks_conditions = settings.without != 'conditions'
-        self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
+        self.deployment.store.muted_prefix = CONFIGURATION_KEY if settings.without == 'updates' else ''
         for worker in self.deployment.workers[: settings.keeping_ids]:
             worker.keeps_id_after_crash = True
         for worker in self.deployment.workers:
