--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -11,7 +11,7 @@
 from dahliaarch_platform.settings import Address
 
 # Validity of a ticket and duration of a call, in seconds.
-VALID_S = 1.5
+TICKET_VALIDITY_S = 1.5
 DECISION_S = 0.1
 
 
@@ -48,5 +48,5 @@
             (worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consenting_workers
         ]
         for worker_id, ticket in rows:
-            self._expiry_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + VALID_S
-        return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': VALID_S * 1000}))
+            self._expiry_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + TICKET_VALIDITY_S
+        return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': TICKET_VALIDITY_S * 1000}))
