--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -20,7 +20,7 @@
 from dahliaarch_platform.settings import Address, PATH_VARIABLE
 
 from ..platform import PolicyStandIn, StoreStandIn, WorkerStandIn
-from ..platform.policy import DECISION_S, TICKET_VALIDITY_S
+from ..platform.policy import DECISION_DURATION_S, TICKET_VALIDITY_S
 
 KEY = 'operator-made-key'
 HOST = '127.0.0.1'
@@ -192,7 +192,7 @@
         self.version += 1
         queues = [queue_row(name, prefix, priority) for priority, (name, prefix) in enumerate(PREFIX_BY_QUEUE.items())]
         if self.policy is not None:
-            advice = {'DecisionMs': DECISION_S * 1000, 'PerItemMs': 0, 'ValidMs': TICKET_VALIDITY_S * 1000}
+            advice = {'DecisionMs': DECISION_DURATION_S * 1000, 'PerItemMs': 0, 'ValidMs': TICKET_VALIDITY_S * 1000}
             queues = [queue | {'Advice': advice} if queue['Name'] == ADVISED_QUEUE else queue for queue in queues]
         configuration = {
             'Version': self.version,
--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -12,7 +12,7 @@
 
 # Validity of a ticket and duration of a call, in seconds.
 TICKET_VALIDITY_S = 1.5
-DECISION_S = 0.1
+DECISION_DURATION_S = 0.1
 
 
 class PolicyStandIn:
@@ -43,7 +43,7 @@
     async def _handle_request(self, request: Request) -> Response:
         self.calls += 1
         body = msgspec.json.decode(request.body)
-        await anyio.sleep(DECISION_S)
+        await anyio.sleep(DECISION_DURATION_S)
         rows = [
             (worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consenting_workers
         ]
