--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -25,7 +25,7 @@
     duplicate_runs,
     ENDED_STATES,
     excess_crash_starts,
-    may_be_given_up,
+    jobs_that_may_be_given_up,
     refused_jobs_that_ran,
     still_running,
     Submission,
@@ -167,7 +167,9 @@
         *await _find_still_running(system, states),
         *excess_crash_starts(submissions, system.deployment.workers),
         *refused_jobs_that_ran(submissions, system.deployment.workers),
-        *wrong_final_states(states, submissions, _done_tasks(system), may_be_given_up(system.deployment.workers)),
+        *wrong_final_states(
+            states, submissions, _done_tasks(system), jobs_that_may_be_given_up(system.deployment.workers)
+        ),
         *check.violations,
         *ready_work.violations(system.deployment.log_paths),
         *await _find_wrong_keys(system),
--- a/packages/standins/dahliaarch_standins/soak/ready_work.py
+++ b/packages/standins/dahliaarch_standins/soak/ready_work.py
@@ -28,7 +28,7 @@
 from ..platform import WorkerStandIn
 from .contact import QUIET_PERIOD_S
 from .system import System
-from .violations import may_be_given_up, Submission, Violation
+from .violations import jobs_that_may_be_given_up, Submission, Violation
 
 # Longest time that a ready job may wait without a running task, in seconds.
 MAX_READY_WAIT_S = 3.0
@@ -133,7 +133,7 @@
         begun = (start.task for worker in self._workers for start in worker.starts if start.at_s >= self._sampled_s)
         running = (task for worker in self._workers for task in worker.running)
         recent = {task.partition('.')[0] for task in (*begun, *running, *chain.from_iterable(crashed.values()))}
-        passed_over = recent | may_be_given_up(self._workers)
+        passed_over = recent | jobs_that_may_be_given_up(self._workers)
         done = {end.task for worker in self._workers for end in worker.ends if end.how == 'done'}
         for submission in self._submissions:
             if submission.is_accepted and not submission.is_cancelled and submission.job_id not in passed_over:
--- a/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_soak.py
@@ -10,7 +10,7 @@
 from dahliaarch_standins.soak import control_arm, draw_settings, run_soak, SoakSettings
 from dahliaarch_standins.soak.violations import (
     duplicate_runs,
-    may_be_given_up,
+    jobs_that_may_be_given_up,
     still_running,
     Submission,
     wrong_final_states,
@@ -120,7 +120,7 @@
     ids=['two crashes', 'one each of two tasks', 'none', 'not known', 'not done'],
 )
 def test_a_job_may_be_shown_as_failed_only_after_two_crashes_under_a_task(job_id, state, is_false):
-    excused = may_be_given_up([CrashedWorker('a.0.0.0', 'b.0.0.0'), CrashedWorker('a.0.0.0', 'b.0.0.1')])
+    excused = jobs_that_may_be_given_up([CrashedWorker('a.0.0.0', 'b.0.0.0'), CrashedWorker('a.0.0.0', 'b.0.0.1')])
     found = list(wrong_final_states({job_id: state}, [Submission(job_id, 'urgent', 1, (200,))], {}, excused))
     assert bool(found) is is_false
 
--- a/packages/standins/dahliaarch_standins/soak/violations.py
+++ b/packages/standins/dahliaarch_standins/soak/violations.py
@@ -125,7 +125,7 @@
         yield Violation('a refusal that says "not run" is true', job_id)
 
 
-def may_be_given_up(workers: Iterable[WorkerStandIn]) -> set[str]:
+def jobs_that_may_be_given_up(workers: Iterable[WorkerStandIn]) -> set[str]:
     """Return jobs with a task under which enough workers crashed, whatever the cause, to give the task up."""
     crashes = Counter(end.task for worker in workers for end in worker.ends if end.how == 'crashed')
     return {task.partition('.')[0] for task, count in crashes.items() if count >= _MIN_CRASHES_TO_GIVE_UP}
