--- a/packages/standins/dahliaarch_standins/soak/reports.py
+++ b/packages/standins/dahliaarch_standins/soak/reports.py
@@ -109,9 +109,11 @@
         yield start.at_s, start.task, f'{where} started, fence {start.fence}'
     for end in worker.ends:
         yield end.at_s, end.task, f'{_run_label(end.worker, end.incarnation, end.task, end.run)} ended, {end.how}'
-    for end, at_s in worker.acknowledged_ends.items():
-        where = _run_label(end.worker, end.incarnation, end.task, end.run)
-        yield at_s, end.task, f'{where} noted as ended'
+    for acknowledged_end, at_s in worker.acknowledged_ends.items():
+        where = _run_label(
+            acknowledged_end.worker, acknowledged_end.incarnation, acknowledged_end.task, acknowledged_end.run
+        )
+        yield at_s, acknowledged_end.task, f'{where} noted as ended'
 
 
 def _run_label(worker: str, incarnation: int, task: str, run: int) -> str:
