--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -48,12 +48,12 @@
     running.wait_until(lambda: all(len(worker.acknowledged_ends) == len(worker.ends) for worker in running.workers))
     running.sleep(SURVEY_TIMEOUT_S)
 
-    async def start_again():
+    async def restart():
         async with anyio.create_task_group() as tasks:
             for worker in running.workers:
-                tasks.start_soon(worker.start_again)
+                tasks.start_soon(worker.restart)
 
-    running.portal.call(start_again)
+    running.portal.call(restart)
 
 
 def test_a_task_that_ends_on_a_worker_that_has_started_again_runs_once(running):
@@ -90,7 +90,7 @@
     for worker in running.workers:
         worker.faults.lost_share = 0.0
     target_worker = next(worker for worker in running.workers if worker.late_starts)
-    running.portal.call(target_worker.start_again, 0.2)
+    running.portal.call(target_worker.restart, 0.2)
     assert wait_for_end(running, job_id, max_starts=1) == 'succeeded'
     assert not running.tasks_run_twice()
 
@@ -119,7 +119,7 @@
     worker.faults.observer, worker.faults.lost_share = None, 0.0
     # The late acknowledgement arrives before the first survey of the new incarnation.
     worker.faults.delay_s = 1.2
-    running.portal.call(worker.start_again, 0.2)
+    running.portal.call(worker.restart, 0.2)
     running.sleep(1.5)
     worker.faults.delay_s = 0.0
     running.wait_for(running.job_ids[-1], 'succeeded')
--- a/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
+++ b/packages/standins/dahliaarch_standins/platform/tests/test_workers.py
@@ -64,11 +64,11 @@
 def test_a_late_order_is_carried_out_by_the_next_incarnation_with_the_same_id():
     """The id does not distinguish the incarnations, and the later one has lost the fence of the earlier one."""
 
-    async def start_again(worker):
+    async def restart(worker):
         await call(worker, '/hold', {'Fence': 2, 'AckedUpto': 0})
-        await worker.start_again(0.05)
+        await worker.restart(0.05)
 
-    assert count_starts_after(start_again) == 1
+    assert count_starts_after(restart) == 1
 
 
 def test_a_worker_that_restarts_under_its_id_has_no_previous_state():
@@ -84,7 +84,7 @@
                 await call(worker, '/run-start', {**start(fence=3 - number), 'Run': number, 'Spec': '0'})
                 await anyio.sleep(0.1)
                 hold_replies.append(await call(worker, '/hold', {'Fence': 3 - number, 'AckedUpto': number - 1}))
-                await worker.start_again(0.01)
+                await worker.restart(0.01)
             tasks.cancel_scope.cancel()
         worker.server.close()
         return hold_replies
@@ -104,7 +104,7 @@
             tasks.start_soon(worker.run)
             while not worker.address.port:
                 await anyio.sleep(0.01)
-            tasks.start_soon(worker.start_again, 0.2)
+            tasks.start_soon(worker.restart, 0.2)
             await anyio.sleep(0.1)
             with socket.socket() as other, pytest.raises(ConnectionRefusedError):
                 other.connect(worker.address)
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -353,7 +353,7 @@
     def _begin_incarnation(self) -> None:
         self._incarnation = _Incarnation(time.monotonic(), self._incarnation.incarnation + 1)
 
-    async def start_again(self, down_s: float = _DOWN_S) -> None:
+    async def restart(self, down_s: float = _DOWN_S) -> None:
         """Crash and restart under the same id; the entry is rewritten before it expires.
 
         Calls without a response yet may be carried out by the next incarnation. If the worker
@@ -370,7 +370,7 @@
     async def _crash_and_return(self) -> None:
         """Crash, and accept connections again after the downtime."""
         if self.keeps_id_after_crash:
-            await self.start_again()
+            await self.restart()
             return
         async with self._downtime():
             self._crashes += 1
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -255,7 +255,7 @@
     workers = system.deployment.workers
     for worker in rng.sample(workers, rng.randint(1, len(workers))):
         for _ in range(rng.choice((1, 2))):
-            await worker.start_again(rng.uniform(*_DOWNTIME_RANGE_S))
+            await worker.restart(rng.uniform(*_DOWNTIME_RANGE_S))
 
 
 def _owner_or_any(system: System, rng: random.Random) -> str:
