--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -110,7 +110,7 @@
         for connection in self._connections:
             connection.silence()
 
-    async def lose_answers(self) -> None:
+    async def drop_answers(self) -> None:
         """Drop the answers on the open connections, and shortly afterwards the requests too."""
         affected = tuple(self._connections)
         for connection in affected:
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -103,7 +103,7 @@
                     calls.start_soon(watch)
                     await received.wait()
                     if is_one_way:
-                        await proxy.lose_answers()
+                        await proxy.drop_answers()
                     else:
                         proxy.silence()
             tasks.cancel_scope.cancel()
@@ -127,7 +127,7 @@
             proxy = await start_proxy(Address('127.0.0.1', server.port), tasks)
             client = HttpClient()
             await client.call(proxy.address, 'GET', '/before', timeout_s=1)
-            tasks.start_soon(proxy.lose_answers)
+            tasks.start_soon(proxy.drop_answers)
             await anyio.sleep(0.05)
             with pytest.raises(RequestUnansweredError):
                 await client.call(proxy.address, 'GET', '/cut', timeout_s=0.5)
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -271,6 +271,6 @@
         case 0:
             proxy.silence()
         case 1:
-            await proxy.lose_answers()
+            await proxy.drop_answers()
         case _:
             await proxy.reset()
