--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -89,7 +89,7 @@
         self.address = Address('127.0.0.1', 0)
         self.delay_s = 0.0
         self.latency_s = 0.0
-        self.refuses = False
+        self.refuses_connections = False
         self.drops_all = False
         self._connections: set[_ProxiedConnection] = set()
 
@@ -125,7 +125,7 @@
             await _close(connection)
 
     async def _serve(self, caller: SocketStream) -> None:
-        if self.refuses:
+        if self.refuses_connections:
             await anyio.aclose_forcefully(caller)
             return
         try:
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -196,10 +196,10 @@
 async def _cut_off(system: System, name: str, proxy: FaultProxy, fault: Fault, rng: random.Random) -> None:
     """Disrupt the connections of a proxy and temporarily refuse new ones."""
     with system.disturbing(name):
-        proxy.refuses = True
+        proxy.refuses_connections = True
         await _disrupt(proxy, rng)
         await anyio.sleep(fault.for_s)
-        proxy.refuses = False
+        proxy.refuses_connections = False
 
 
 @register
@@ -228,10 +228,10 @@
 async def cut_worker(system: System, fault: Fault, rng: random.Random) -> None:
     """Silence, cut one way or reset connections to a worker, and refuse new ones."""
     proxy = rng.choice(system.worker_proxies)
-    proxy.refuses = True
+    proxy.refuses_connections = True
     await _disrupt(proxy, rng)
     await anyio.sleep(fault.for_s)
-    proxy.refuses = False
+    proxy.refuses_connections = False
 
 
 @register
