--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -70,7 +70,7 @@
         that it also limits the throughput.
     latency_s : float
         Additional latency in both directions, which does not limit the throughput.
-    refuses : bool
+    refuses_connections : bool
         Whether new connections are closed immediately.
     drops_all : bool
         Whether all bytes are dropped, on open and on new connections.
