--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -58,7 +58,7 @@
     ----------
     target : Address
         Address that connections are forwarded to.
-    requests_over, answers_over : SlowLink or None
+    request_link, answer_link : SlowLink or None
         Links that limit the rate to the target and back; None for no limit.
 
     Attributes
@@ -80,12 +80,12 @@
         self,
         target: Address,
         *,
-        requests_over: SlowLink | None = None,
+        request_link: SlowLink | None = None,
         answers_over: SlowLink | None = None,
     ) -> None:
         """Create the proxy; `listen` starts it."""
         self.target = target
-        self._default_route = Route(_links(requests_over), _links(answers_over))
+        self._default_route = Route(_links(request_link), _links(answers_over))
         self.address = Address('127.0.0.1', 0)
         self.delay_s = 0.0
         self.latency_s = 0.0
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -55,7 +55,7 @@
     async def start(self, tasks):
         address = await self._store.listen()
         self._epoch = self._store.put(OWNER_KEY, encode(Member('i', 'n', 'h', 1)))
-        proxy = FaultProxy(address, requests_over=self.link)
+        proxy = FaultProxy(address, request_link=self.link)
         self.client = StoreClient(StoreSettings(await proxy.listen(tasks)), HttpClient(), lambda *_: None)
         self.start_recorder(tasks)
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -128,7 +128,7 @@
 
     async def _connect(self, tasks):
         """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
-        to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
+        to_slow = FaultProxy(self.address(self.slow), request_link=self.link)
         to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
         self.slow_member = self._member_at(self.slow, await to_slow.listen(tasks))
         self.fast_member = self._member_at(self.fast, await to_fast.listen(tasks))
