--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -81,11 +81,11 @@
         target: Address,
         *,
         request_link: SlowLink | None = None,
-        answers_over: SlowLink | None = None,
+        answer_link: SlowLink | None = None,
     ) -> None:
         """Create the proxy; `listen` starts it."""
         self.target = target
-        self._default_route = Route(_links(request_link), _links(answers_over))
+        self._default_route = Route(_links(request_link), _links(answer_link))
         self.address = Address('127.0.0.1', 0)
         self.delay_s = 0.0
         self.latency_s = 0.0
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_bursts_of_starts.py
@@ -43,16 +43,16 @@
 
 async def start_pool(tasks, store):
     """Start the workers behind a slow link; return their stand-ins and the address of the store behind it."""
-    request_link, answers_over = SlowLink(SLOW_BYTES_PER_S), SlowLink(SLOW_BYTES_PER_S)
+    request_link, answer_link = SlowLink(SLOW_BYTES_PER_S), SlowLink(SLOW_BYTES_PER_S)
     workers = [WorkerStandIn(f'w{number:014d}', 'svc', f'r{number // 12}', store) for number in range(WORKERS)]
     for worker in workers:
         tasks.start_soon(worker.run)
         while not worker.address.port:
             await anyio.sleep(0.001)
-        proxy = FaultProxy(worker.address, request_link=request_link, answers_over=answers_over)
+        proxy = FaultProxy(worker.address, request_link=request_link, answer_link=answer_link)
         worker.published_address = await proxy.listen(tasks)
         worker.publish()
-    store_proxy = FaultProxy(await store.listen(), request_link=request_link, answers_over=answers_over)
+    store_proxy = FaultProxy(await store.listen(), request_link=request_link, answer_link=answer_link)
     return workers, await store_proxy.listen(tasks)
 
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_takeovers.py
@@ -52,11 +52,11 @@
 
 
 @asynccontextmanager
-async def owner_taking_over(store, *, hold_s=6.0, answers_over=None):
+async def owner_taking_over(store, *, hold_s=6.0, answer_link=None):
     """Run an owner that takes over the records of a store."""
     address = await store.listen()
     async with anyio.create_task_group() as tasks:
-        proxy = FaultProxy(address, answers_over=answers_over)
+        proxy = FaultProxy(address, answer_link=answer_link)
         client = StoreClient(StoreSettings(await proxy.listen(tasks)), HttpClient(), lambda *_: None)
         epoch = store.put(OWNER_KEY, encode(Member('i', 'n', 'h', 1)))
         settings = OwnerSettings(epoch, Bounds(max_hold_s=hold_s), StoreTiming())
@@ -109,7 +109,7 @@
             tasks.start_soon(worker.run)
             while not worker.address.port:
                 await anyio.sleep(0.01)
-            async with owner_taking_over(store, hold_s=3.0, answers_over=SlowLink(SLOW_BYTES_PER_S)) as owner:
+            async with owner_taking_over(store, hold_s=3.0, answer_link=SlowLink(SLOW_BYTES_PER_S)) as owner:
                 # A run started by the previous owner, and the end of the lease as that owner last renewed it.
                 lease_until_s = anyio.current_time() + 3.0
                 order = StartOrder(key, 1, '30', lease_until_s)
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_silent_connections.py
@@ -177,7 +177,7 @@
         store = StoreStandIn()
         store.put(CONFIGURATION_KEY, bytes(400_000))
         async with anyio.create_task_group() as tasks:
-            proxy = FaultProxy(await store.listen(), answers_over=SlowLink(600_000))
+            proxy = FaultProxy(await store.listen(), answer_link=SlowLink(600_000))
             client = StoreClient(StoreSettings(await proxy.listen(tasks)), HttpClient(), lambda *_: None)
             pages = []
 
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -118,7 +118,7 @@
     async def start(self, tasks, timing=TIMING):
         store_address = await self.store.listen()
         tasks.start_soon(self.store.run)
-        self.slow_store_proxy = FaultProxy(store_address, answers_over=self.link)
+        self.slow_store_proxy = FaultProxy(store_address, answer_link=self.link)
         self.fast_store_proxy = FaultProxy(store_address)
         self.fast = Instance('fast', await self.fast_store_proxy.listen(tasks))
         self.slow = Instance('slow', await self.slow_store_proxy.listen(tasks), timing)
@@ -129,7 +129,7 @@
     async def _connect(self, tasks):
         """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
         to_slow = FaultProxy(self.address(self.slow), request_link=self.link)
-        to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
+        to_fast = FaultProxy(self.address(self.fast), answer_link=self.link)
         self.slow_member = self._member_at(self.slow, await to_slow.listen(tasks))
         self.fast_member = self._member_at(self.fast, await to_fast.listen(tasks))
         self.fast.membership.add(self.slow_member)
