--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -178,7 +178,7 @@
     async def _throttle(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
         for link in links:
-            await link.carry(len(chunk))
+            await link.transfer(len(chunk))
 
 
 def _links(link: SlowLink | None) -> tuple[SlowLink, ...]:
--- a/packages/standins/dahliaarch_standins/proxy/links.py
+++ b/packages/standins/dahliaarch_standins/proxy/links.py
@@ -32,7 +32,7 @@
         self._busy_until_s = 0.0
         self._lock = anyio.Lock()
 
-    async def carry(self, size_bytes: int) -> None:
+    async def transfer(self, size_bytes: int) -> None:
         """Wait for the transfer of some bytes, which begins after the transfers queued before it."""
         async with self._lock:
             begin_s = max(self._busy_until_s, time.monotonic() - _MAX_COMPENSATED_DELAY_S)
