--- a/packages/standins/dahliaarch_standins/proxy/links.py
+++ b/packages/standins/dahliaarch_standins/proxy/links.py
@@ -21,14 +21,14 @@
 
     Attributes
     ----------
-    carried_bytes : int
+    transferred_bytes : int
         Total number of bytes transferred.
     """
 
     def __init__(self, bytes_per_s: float = math.inf) -> None:
         """Create an idle link."""
         self.bytes_per_s = bytes_per_s
-        self.carried_bytes = 0
+        self.transferred_bytes = 0
         self._busy_until_s = 0.0
         self._lock = anyio.Lock()
 
@@ -38,7 +38,7 @@
             begin_s = max(self._busy_until_s, time.monotonic() - _MAX_COMPENSATED_DELAY_S)
             self._busy_until_s = begin_s + size_bytes / self.bytes_per_s
             await anyio.sleep(max(0.0, self._busy_until_s - time.monotonic()))
-            self.carried_bytes += size_bytes
+            self.transferred_bytes += size_bytes
 
 
 class Route(NamedTuple):
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_large_writes.py
@@ -124,10 +124,10 @@
     async def scenario(harness, tasks):
         harness.recorder.roster = [roster_entry(number) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
-        before = harness.link.carried_bytes
+        before = harness.link.transferred_bytes
         harness.recorder.roster = [roster_entry(number, draining=number == 700) for number in range(WORKER_COUNT)]
         await harness.flush_and_wait()
-        assert harness.link.carried_bytes - before < 20_000
+        assert harness.link.transferred_bytes - before < 20_000
         draining_by_worker = {
             entry.profile.worker_id: entry.profile.draining for entry in await harness.persisted_workers()
         }
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -12,7 +12,7 @@
 
 The cause was timeouts that do not depend on the size of the answer, combined with retries from the first byte. The
 symptoms are `configuration_unreachable ... no answer in 1.00 s` every 1.2 s without end on instances whose processors
-are idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
+are idle, and `heartbeat_unanswered` with `transferred_bytes` of 293,311 to 859,137 for all slow instances at once.
 """
 
 import time
@@ -183,10 +183,10 @@
         pair.write_configuration(2, ROUTE_COUNT * 2)
         await pair.slow.wait_for_version(2, within_s=20)
         await anyio.sleep(2)
-        before = pair.link.carried_bytes
+        before = pair.link.transferred_bytes
         await anyio.sleep(2)
         # Heartbeats and the answers to expired watches remain.
-        assert pair.link.carried_bytes - before < 20_000
+        assert pair.link.transferred_bytes - before < 20_000
 
     run_scenario(scenario)
 
