--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -109,9 +109,9 @@
     async def _start_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
         """Start a proxy from an instance to the store, and one from its peers to the instance."""
         links = self.links(name)
-        near_store = FaultProxy(store, request_link=links.outgoing, answer_link=links.incoming)
-        self.deployment.store_address_by_name[name] = await near_store.listen(tasks)
-        self.store_proxy_by_name[name] = near_store
+        store_proxy = FaultProxy(store, request_link=links.outgoing, answer_link=links.incoming)
+        self.deployment.store_address_by_name[name] = await store_proxy.listen(tasks)
+        self.store_proxy_by_name[name] = store_proxy
         target = self.deployment.peer_address(name)
         before = PeerProxy(target, self._links_by_host)
         await before.listen(tasks, target._replace(host=proxy_host(target.host)))
