--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -341,12 +341,12 @@
     ports: list[int] = []
     while len(ports) < count:
         port = _FIRST_PORT + secrets.randbelow(_PORT_COUNT)
-        if _keep_port(port):
+        if _reserve_port(port):
             ports.append(port)
     return ports
 
 
-def _keep_port(port: int) -> bool:
+def _reserve_port(port: int) -> bool:
     """Reserve a port until this process exits; return False if it is in use. Daemons can still bind it."""
     reserved = socket.socket()
     try:
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_ports.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_ports.py
@@ -2,13 +2,13 @@
 
 import socket
 
-from dahliaarch_standins.deployment.core import _keep_port, free_ports
+from dahliaarch_standins.deployment.core import _reserve_port, free_ports
 
 
 def test_a_kept_port_is_given_to_nobody_else_and_can_be_bound_by_its_daemon():
     """Guards against a killed daemon that cannot restart because another deployment was given its port."""
     port = free_ports(1)[0]
-    assert not _keep_port(port)
+    assert not _reserve_port(port)
     with socket.create_server(('127.0.0.1', port)):
-        assert not _keep_port(port)
-    assert not _keep_port(port)
+        assert not _reserve_port(port)
+    assert not _reserve_port(port)
