--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -22,7 +22,7 @@
 from ..platform import PolicyStandIn, StoreStandIn, WorkerStandIn
 from ..platform.policy import DECISION_DURATION_S, TICKET_VALIDITY_S
 
-KEY = 'operator-made-key'
+API_KEY = 'operator-made-key'
 HOST = '127.0.0.1'
 PREFIX_BY_QUEUE = {'urgent': '/urgent/', 'ordinary': '/ordinary/'}
 ADVISED_QUEUE = 'ordinary'
@@ -51,7 +51,7 @@
         path: str,
         body: dict[str, Any] | None = None,
         *,
-        key: str = KEY,
+        key: str = API_KEY,
         host: str = HOST,
         timeout_s: float = 3.0,
     ) -> Reply | None:
@@ -184,7 +184,7 @@
 
     def configure(
         self,
-        keys: Iterable[str] = (KEY,),
+        keys: Iterable[str] = (API_KEY,),
         guaranteed: int = 16,
         more_queues: Iterable[dict[str, Any]] = (),
     ) -> None:
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -7,7 +7,7 @@
 
 from dahliaarch_node.records import cancel_key, job_key, progress_key
 
-from ..core import KEY
+from ..core import API_KEY
 from .running import GANG, PARALLEL
 
 scenarios('must_hold.feature')
@@ -368,7 +368,7 @@
 def _(running):
     deadline_s = time.monotonic() + 2.0
     for name in running.deployment.names:
-        while running.call('GET', JOB, names=(name,), key=KEY).status != 401:
+        while running.call('GET', JOB, names=(name,), key=API_KEY).status != 401:
             assert time.monotonic() < deadline_s
 
 
--- a/packages/standins/dahliaarch_standins/soak/core.py
+++ b/packages/standins/dahliaarch_standins/soak/core.py
@@ -11,7 +11,7 @@
 from anyio.abc import TaskGroup
 
 from ..deployment import Caller
-from ..deployment.core import KEY, PREFIX_BY_QUEUE
+from ..deployment.core import API_KEY, PREFIX_BY_QUEUE
 from ..deployment.jobs import draw_steps, step_specs
 from .following import APPLY_S, ConfigurationCheck, SLOW_APPLY_S
 from .plans import draw_plan, Fault, inject
@@ -289,7 +289,7 @@
     found = []
     for name in system.deployment.names:
         caller = system.deployment.caller(name)
-        for key, is_valid in ((KEY, True), (OTHER_KEY, system.operator.has_other_key)):
+        for key, is_valid in ((API_KEY, True), (OTHER_KEY, system.operator.has_other_key)):
             reply = await caller.call('GET', f'{PREFIX_BY_QUEUE["urgent"]}{"0" * 16}', key=key)
             status = 0 if reply is None else reply.status
             if (status == 401) is is_valid:
--- a/packages/standins/dahliaarch_standins/soak/tests/test_following.py
+++ b/packages/standins/dahliaarch_standins/soak/tests/test_following.py
@@ -6,14 +6,14 @@
 
 from dahliaarch_standins.soak.contact import DisturbanceTracker, QUIET_PERIOD_S
 from dahliaarch_standins.soak.following import Answer, APPLY_S, ConfigurationCheck
-from dahliaarch_standins.soak.versions import KEY, OTHER_KEY, Probe, Version
+from dahliaarch_standins.soak.versions import API_KEY, OTHER_KEY, Probe, Version
 
 IN_FORCE_IN_TIME = 'a configuration is in force in time'
 NO_OLDER_VERSION = 'no version goes back'
 INCARNATION = 7
 
 
-def version(number, acknowledged_s, keys=(KEY,)):
+def version(number, acknowledged_s, keys=(API_KEY,)):
     return Version(number, frozenset(keys), frozenset(('urgent', f'only-{number}')), acknowledged_s)
 
 
@@ -24,10 +24,10 @@
         self.contact = DisturbanceTracker(('a', 'b'), slow_names)
         self.contact.begin(('a', 'b'))
         self.contact.end(('a', 'b'), 0.0)
-        self.versions = [version(1, 0.0), version(2, 10.0, (KEY, OTHER_KEY))]
+        self.versions = [version(1, 0.0), version(2, 10.0, (API_KEY, OTHER_KEY))]
         self.check = ConfigurationCheck(self.versions, self.contact, APPLY_S)
 
-    def violated_promises(self, route, status, sent_s, key=KEY, incarnation=INCARNATION):
+    def violated_promises(self, route, status, sent_s, key=API_KEY, incarnation=INCARNATION):
         before = len(self.check.violations)
         self.check.check_answer(Answer('a', incarnation, Probe(route, key), status, sent_s))
         return [each.promise for each in self.check.violations[before:]]
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(
     ('route', 'key', 'status'),
-    [('only-1', KEY, 400), ('only-2', KEY, 404), ('urgent', OTHER_KEY, 401)],
+    [('only-1', API_KEY, 400), ('only-2', API_KEY, 404), ('urgent', OTHER_KEY, 401)],
     ids=['a route that has gone', 'a route that has come', 'a key that has come'],
 )
 def test_an_older_version_is_recognized_by_its_routes_and_keys(checked, route, key, status):
--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..deployment import Deployment
-from ..deployment.core import HOST, KEY, PREFIX_BY_QUEUE, queue_row
+from ..deployment.core import API_KEY, HOST, PREFIX_BY_QUEUE, queue_row
 
 OTHER_KEY = 'key-that-comes-and-goes'
 # Maximum number of routes in addition to those of the deployment: 165 bytes each, so
@@ -34,7 +34,7 @@
     """
 
     route: str
-    key: str = KEY
+    key: str = API_KEY
 
     @property
     def path(self) -> str:
@@ -120,7 +120,7 @@
         """Write a version, which includes its own marker route."""
         own_route = marker_route(self._deployment.version + 1)
         routes = [*self._routes, own_route]
-        keys = (KEY, OTHER_KEY) if self.has_other_key else (KEY,)
+        keys = (API_KEY, OTHER_KEY) if self.has_other_key else (API_KEY,)
         self._deployment.configure(keys, more_queues=_rows(routes))
         self.versions.append(
             Version(
