--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -224,7 +224,7 @@
         process = self._process_by_name.get(name)
         return 0 if process is None else process.pid
 
-    def ended_by_themselves(self, but: Collection[str] = ()) -> list[str]:
+    def pop_exited(self, but: Collection[str] = ()) -> list[str]:
         """Remove and return the instances whose daemons have exited, except those in `but`."""
         ended = [name for name, process in self._process_by_name.items() if process.poll() is not None]
         ended = [name for name in ended if name not in but]
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -177,7 +177,7 @@
         """Record and restart daemons that exit by themselves, until cancelled."""
         while True:
             await anyio.sleep(_WATCH_INTERVAL_S)
-            for name in self.deployment.ended_by_themselves(self._restarting):
+            for name in self.deployment.pop_exited(self._restarting):
                 self.unexpected_exits.append(name)
                 with self.disturbing(name):
                     self.deployment.launch(name)
