--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -275,12 +275,12 @@
     async def owner(self) -> str:
         """Wait until an instance owns the pool; return its name."""
         while True:
-            name = self.owner_now()
+            name = self.current_owner()
             if name is not None:
                 return name
             await anyio.sleep(0.05)
 
-    def owner_now(self) -> str | None:
+    def current_owner(self) -> str | None:
         """Return the name of the instance that owns the pool, or None."""
         value = self.store.value(OWNER_KEY)
         return None if value is None else decode(value, Member, 'member').instance
--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -64,8 +64,8 @@
     def owner(self):
         return self.portal.call(self.deployment.owner)
 
-    def owner_now(self):
-        return self.deployment.owner_now()
+    def current_owner(self):
+        return self.deployment.current_owner()
 
     def starts(self):
         return [start for worker in self.workers for start in worker.starts]
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -114,7 +114,7 @@
 
 @then('another instance owns the pool within two seconds')
 def _(running, stopped):
-    running.wait_until(lambda: running.owner_now() not in {None, stopped}, timeout_s=2.0)
+    running.wait_until(lambda: running.current_owner() not in {None, stopped}, timeout_s=2.0)
 
 
 @then('the former owner exits without an error')
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -260,7 +260,7 @@
 
 def _owner_or_any(system: System, rng: random.Random) -> str:
     """Return the owner in half of all cases, otherwise a random instance."""
-    owner = system.deployment.owner_now()
+    owner = system.deployment.current_owner()
     is_owner_meant = rng.choice((False, True))
     return owner if owner and is_owner_meant else rng.choice(system.deployment.names)
 
