--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -186,7 +186,7 @@
         self,
         keys: Iterable[str] = (API_KEY,),
         guaranteed: int = 16,
-        more_queues: Iterable[dict[str, Any]] = (),
+        extra_queues: Iterable[dict[str, Any]] = (),
     ) -> None:
         """Write the next version of the configuration to the store."""
         self.version += 1
@@ -196,7 +196,7 @@
             queues = [queue | {'Advice': advice} if queue['Name'] == ADVISED_QUEUE else queue for queue in queues]
         configuration = {
             'Version': self.version,
-            'Routes': [*queues, *more_queues],
+            'Routes': [*queues, *extra_queues],
             'Services': [{'Name': 'svc', 'EnforcesCapacity': True}],
             'Tenants': [{'Name': 'crew', 'ApiKeys': list(keys), 'Guaranteed': {'Gpu': guaranteed}}],
         }
--- a/packages/standins/dahliaarch_standins/soak/versions.py
+++ b/packages/standins/dahliaarch_standins/soak/versions.py
@@ -121,7 +121,7 @@
         own_route = marker_route(self._deployment.version + 1)
         routes = [*self._routes, own_route]
         keys = (API_KEY, OTHER_KEY) if self.has_other_key else (API_KEY,)
-        self._deployment.configure(keys, more_queues=_rows(routes))
+        self._deployment.configure(keys, extra_queues=_rows(routes))
         self.versions.append(
             Version(
                 self._deployment.version,
