--- a/packages/cli/dahliaarch_cli/main.py
+++ b/packages/cli/dahliaarch_cli/main.py
@@ -111,7 +111,7 @@
     """Run real daemons against a simulated platform, kill the owner and count lost jobs and duplicated tasks."""
     counts = run_demo(jobs, seed)
     typer.echo(json.dumps(counts._asdict()))
-    raise typer.Exit(0 if counts.is_right else 1)
+    raise typer.Exit(0 if counts.is_correct else 1)
 
 
 @app.command()
--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -52,7 +52,7 @@
     owners: int
 
     @property
-    def is_right(self) -> bool:
+    def is_correct(self) -> bool:
         """Whether no job was lost and no task succeeded more than once."""
         return not self.lost and not self.doubled
 
