--- a/packages/node/dahliaarch_node/owner/tests/sessions.py
+++ b/packages/node/dahliaarch_node/owner/tests/sessions.py
@@ -1,11 +1,11 @@
-"""Sessions with in-memory workers."""
+"""In-memory worker sessions."""
 
 import asyncio
 
 from dahliaarch_platform.workers import WorkerUnansweredError
 
 
-class Sessions:
+class InMemorySessions:
     """Mixin that gives an in-memory worker sessions, whose calls carry its incarnation and a fence."""
 
     def session(self, address, incarnation, fence):
--- a/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_foreign_entries.py
@@ -22,9 +22,17 @@
 from ..feeds import job_messages
 from ..messages import WorkerListed, WorkerUnlisted, WorkerUnreadable
 from ..unserved import UnservedWorkers
-from .test_takeover import kept_job, KeptStore, LAST, QUEUE, take_over, worker_entry, Workers
+from .test_takeover import (
+    INHERITED_JOB_ID,
+    InMemoryStore,
+    InMemoryWorkers,
+    job_item,
+    QUEUE,
+    take_over,
+    worker_entry_item,
+)
 
-KEY = TaskKey(LAST, 0, 0, 0)
+KEY = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
 def run_takeover(store, workers, condition, **options):
@@ -42,7 +50,7 @@
 
 
 def entry_with_service(worker_id, service):
-    item = worker_entry(worker_id)
+    item = worker_entry_item(worker_id)
     return item._replace(value=msgspec.json.encode(msgspec.json.decode(item.value) | {'Service': service}))
 
 
@@ -61,16 +69,18 @@
 
 
 def test_malformed_entries_do_not_affect_other_workers():
-    workers = Workers()
-    store = KeptStore([malformed_entry('b'), worker_entry('w'), malformed_entry('z'), kept_job(LAST, 1.0)])
+    workers = InMemoryWorkers()
+    store = InMemoryStore(
+        [malformed_entry('b'), worker_entry_item('w'), malformed_entry('z'), job_item(INHERITED_JOB_ID, 1.0)]
+    )
     run_takeover(store, workers, lambda owner: workers.starts, within_s=3)
     assert started_workers(workers) == {'w'}
     assert set(workers.surveys) == {'w'}
 
 
 def test_a_worker_whose_entry_becomes_unreadable_gets_no_starts_until_it_is_readable_again():
-    workers = Workers()
-    store = KeptStore([worker_entry('w')])
+    workers = InMemoryWorkers()
+    store = InMemoryStore([worker_entry_item('w')])
 
     def suspend(owner):
         if 'w' in workers.surveys and KEY.job_id not in owner.scheduler.job_by_id:
@@ -98,13 +108,13 @@
 
 
 def new_job_messages(owner):
-    return job_messages(kept_job(LAST, 1.0)._replace(revision=owner.epoch + 1))
+    return job_messages(job_item(INHERITED_JOB_ID, 1.0)._replace(revision=owner.epoch + 1))
 
 
 def test_the_next_owner_surveys_a_worker_whose_entry_is_unreadable():
     """The previous owner used the worker; unless it is surveyed, its task is started a second time elsewhere."""
-    workers = Workers({'w': ()})
-    store = KeptStore([malformed_entry('w'), roster_item('w'), worker_entry('x')])
+    workers = InMemoryWorkers({'w': ()})
+    store = InMemoryStore([malformed_entry('w'), roster_item('w'), worker_entry_item('x')])
     owner = run_takeover(store, workers, lambda owner: owner.is_ready, within_s=3)
     assert set(workers.surveys) == {'w', 'x'}
     assert not owner.scheduler.worker_by_id['w'].takes_starts
@@ -112,33 +122,37 @@
 
 def test_the_next_owner_grants_short_leases_to_a_draining_worker_without_an_entry():
     """With the longest leases, its runs would be restarted elsewhere seconds later."""
-    workers = Workers({'w': ()})
+    workers = InMemoryWorkers({'w': ()})
     owner = run_takeover(
-        KeptStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
+        InMemoryStore([roster_item('w', draining=True)]), workers, lambda owner: owner.is_ready, within_s=3
     )
     assert owner._links.get('w').is_draining
 
 
 def test_a_worker_of_an_unconfigured_service_is_not_surveyed():
-    workers = Workers()
-    store = KeptStore([entry_with_service('w', 'foreign'), worker_entry('x')])
+    workers = InMemoryWorkers()
+    store = InMemoryStore([entry_with_service('w', 'foreign'), worker_entry_item('x')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'x'}
 
 
 def test_a_worker_of_a_service_that_only_a_queue_names_is_surveyed():
-    workers = Workers()
+    workers = InMemoryWorkers()
     queue_configuration = build_configuration(ConfigurationParts(1, queues=[QUEUE]))
     run_takeover(
-        KeptStore([worker_entry('w')]), workers, lambda owner: False, within_s=0.6, configuration=queue_configuration
+        InMemoryStore([worker_entry_item('w')]),
+        workers,
+        lambda owner: False,
+        within_s=0.6,
+        configuration=queue_configuration,
     )
     assert set(workers.surveys) == {'w'}
 
 
 def test_a_worker_of_a_removed_service_is_surveyed_by_the_next_owner():
     """Tasks of jobs that were accepted before the removal may be running on it."""
-    workers = Workers()
-    store = KeptStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
+    workers = InMemoryWorkers()
+    store = InMemoryStore([entry_with_service('w', 'dropped'), roster_item('w', 'dropped')])
     run_takeover(store, workers, lambda owner: False, within_s=0.6, configuration=configuration('svc'))
     assert set(workers.surveys) == {'w'}
 
@@ -155,8 +169,8 @@
 
 
 def test_an_entry_that_is_removed_after_it_became_unreadable_counts_as_lapsed():
-    workers = Workers()
-    store = KeptStore([worker_entry('w')])
+    workers = InMemoryWorkers()
+    store = InMemoryStore([worker_entry_item('w')])
 
     def suspend_and_remove(owner):
         if owner.is_ready and KEY.job_id not in owner.scheduler.job_by_id:
--- a/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_incarnations.py
@@ -33,15 +33,24 @@
 from ...records import ROSTER_PREFIX, RosterEntry
 from .. import registry
 from ..messages import WorkerListed, WorkerUnlisted
-from .sessions import Sessions
-from .test_takeover import decode_job_record, is_ready, kept_job, KeptStore, LAST, NEW, take_over, worker_entry
+from .sessions import InMemorySessions
+from .test_takeover import (
+    decode_job_record,
+    INHERITED_JOB_ID,
+    InMemoryStore,
+    is_ready,
+    job_item,
+    NEW_JOB_ID,
+    take_over,
+    worker_entry_item,
+)
 
 START_TIMES_MS = (1_000, 2_000, 3_000)
 FIRST, SECOND, THIRD = (WorkerIncarnation('w', born_ms) for born_ms in START_TIMES_MS)
-TASK = TaskKey(LAST, 0, 0, 0)
+TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
 
 
-class RestartingWorker(Sessions):
+class RestartingWorker(InMemorySessions):
     """A worker whose incarnations answer one after another; each lists a started run until it ends."""
 
     def __init__(self):
@@ -137,8 +146,8 @@
 
 
 def entry_item(incarnation, **changes):
-    fields = msgspec.json.decode(worker_entry(incarnation.name).value) | {'born': incarnation.born_ms} | changes
-    return worker_entry(incarnation.name)._replace(value=msgspec.json.encode(fields))
+    fields = msgspec.json.decode(worker_entry_item(incarnation.name).value) | {'born': incarnation.born_ms} | changes
+    return worker_entry_item(incarnation.name)._replace(value=msgspec.json.encode(fields))
 
 
 def worker_listed(incarnation, accelerators=8):
@@ -146,8 +155,8 @@
     return WorkerListed(profile, Address('127.0.0.1', 1), incarnation)
 
 
-def job(job_id=LAST):
-    return decode_job_record(kept_job(job_id, time.time()))
+def job(job_id=INHERITED_JOB_ID):
+    return decode_job_record(job_item(job_id, time.time()))
 
 
 def run_actions(worker, *actions, items=None, within_s=4.0):
@@ -169,7 +178,7 @@
             is_action_started = False
         return not remaining
 
-    store = KeptStore([entry_item(FIRST)] if items is None else items)
+    store = InMemoryStore([entry_item(FIRST)] if items is None else items)
     owner = anyio.run(take_over, store, worker, advance, within_s)
     assert not remaining, f'{len(remaining)} actions did not complete'
     return owner
@@ -179,7 +188,7 @@
     return lambda owner: len(worker.starts) == count
 
 
-def phase_is(phase, job_id=LAST):
+def phase_is(phase, job_id=INHERITED_JOB_ID):
     return lambda owner: owner.scheduler.job_by_id[job_id].phase == phase
 
 
@@ -214,14 +223,14 @@
     worker = RestartingWorker()
     owner = run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
-        (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
+        (lambda owner: worker.end(EndKind.DONE), phase_is('succeeded', NEW_JOB_ID)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: owner.post(job()), start_count_is(worker, 2)),
         (lambda owner: worker.end(kind), phase_is(phase)),
     )
-    step = owner.scheduler.job_by_id[LAST].step_by_key[0, 0]
+    step = owner.scheduler.job_by_id[INHERITED_JOB_ID].step_by_key[0, 0]
     assert len(worker.starts) == 2
     assert (step.done, len(step.failed_runs_by_index)) in [({0}, 0), (set(), 0), (set(), 1)]
 
@@ -265,7 +274,7 @@
     worker.acknowledgement_error = failure
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
@@ -290,7 +299,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
         (recover, keeps_running(worker)),
@@ -307,7 +316,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), time_has_passed(0.6)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
@@ -328,7 +337,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (restart, tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), keeps_running(worker)),
@@ -340,8 +349,8 @@
 def test_an_incarnation_gets_one_start_at_a_time_and_no_gang_member_before_it_lists_an_end():
     worker = RestartingWorker()
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
-    gang = kept_job('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
-    many = kept_job(LAST, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
+    gang = job_item('d' * 16, time.time(), StepSpec(2, Resources(1000, 1000, 1), 20.0, gang=True))
+    many = job_item(INHERITED_JOB_ID, time.time(), StepSpec(4, Resources(1000, 1000, 1), 20.0))
 
     def post(owner):
         worker.restart(SECOND, late_acknowledgement=2)
@@ -350,13 +359,13 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (post, tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.running) == 6),
     )
-    assert {key.job_id for _, key in worker.starts[1:4]} == {LAST}
+    assert {key.job_id for _, key in worker.starts[1:4]} == {INHERITED_JOB_ID}
     assert len(worker.stopped) == 3
     assert worker.max_runs_at_stop == 1
 
@@ -373,7 +382,7 @@
     worker.acknowledgement_error = WorkerUnansweredError('no answer')
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND, late_acknowledgement=late_acknowledgement), tracks(SECOND)),
         (lambda owner: setattr(worker, 'acknowledgement_error', None), lambda owner: True),
@@ -397,7 +406,7 @@
     worker.unanswered_start_count = unanswered
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class TwoWorkers(Sessions):
+    class TwoWorkers(InMemorySessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
@@ -436,7 +445,7 @@
     run_actions(
         worker,
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
-        (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
+        (lambda owner: owner.post(job()), lambda owner: INHERITED_JOB_ID in owner.scheduler.job_by_id),
         (lambda owner: owner.post(WorkerUnlisted('w')), lambda owner: len(worker.fences) > 8),
         (lambda owner: owner.post(worker_listed(SECOND, accelerators=0)), lambda owner: len(worker.fences) > 16),
     )
@@ -476,7 +485,7 @@
         worker,
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: True),
         (lambda owner: worker.restart(THIRD), tracks(THIRD)),
-        (lambda owner: owner.post(job()), lambda owner: LAST in owner.scheduler.job_by_id),
+        (lambda owner: owner.post(job()), lambda owner: INHERITED_JOB_ID in owner.scheduler.job_by_id),
         (lambda owner: owner.post(worker_listed(THIRD)), start_count_is(worker, 1)),
     )
     assert worker.starts == [(THIRD.worker_id, TASK)]
@@ -518,7 +527,7 @@
         worker,
         (lambda owner: None, tracks_one_run(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), lambda owner: len(worker.fences) > 8),
-        items=[kept_job(LAST, time.time()), roster_item(FIRST), *entries],
+        items=[job_item(INHERITED_JOB_ID, time.time()), roster_item(FIRST), *entries],
     )
     assert not worker.starts
     assert worker.running
@@ -531,14 +540,14 @@
     worker.survey_delay_s, worker.silent_until_s = 0.6, time.monotonic() + 0.8
     idle.incarnation = WorkerIncarnation('x', 1_000)
 
-    class TwoWorkers(Sessions):
+    class TwoWorkers(InMemorySessions):
         def session(self, address, incarnation, fence):
             return (worker if incarnation.name == 'w' else idle).session(address, incarnation, fence)
 
     run_actions(
         TwoWorkers(),
         (lambda owner: None, tracks_one_run(SECOND)),
-        items=[kept_job(LAST, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
+        items=[job_item(INHERITED_JOB_ID, time.time()), roster_item(FIRST), entry_item(idle.incarnation)],
     )
     assert not idle.starts
 
@@ -572,7 +581,7 @@
 
     run_actions(
         worker,
-        (lambda owner: owner.post(job(NEW)), start_count_is(worker, 1)),
+        (lambda owner: owner.post(job(NEW_JOB_ID)), start_count_is(worker, 1)),
         (lambda owner: worker.end(EndKind.DONE), lambda owner: any(number for _, number in worker.acknowledged)),
         (lambda owner: worker.restart(SECOND), tracks(SECOND)),
         (lambda owner: owner.post(worker_listed(SECOND)), time_has_passed(0.5)),
--- a/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_lapsed_workers.py
@@ -18,23 +18,23 @@
 from .test_takeover import (
     decode_job_record,
     EPOCH,
-    kept_job,
-    KeptStore,
-    LAST,
-    LONGEST_LEASE_S,
-    NEW,
-    roster,
+    INHERITED_JOB_ID,
+    InMemoryStore,
+    InMemoryWorkers,
+    job_item,
+    MAX_LEASE_S,
+    NEW_JOB_ID,
+    roster_item,
     submit_if_ready,
     take_over,
-    worker_entry,
-    Workers,
+    worker_entry_item,
 )
 
-TASK = TaskKey(LAST, 0, 0, 0)
-NEW_TASK = TaskKey(NEW, 0, 0, 0)
+TASK = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
+NEW_TASK = TaskKey(NEW_JOB_ID, 0, 0, 0)
 
 
-class RecordingStore(KeptStore):
+class RecordingStore(InMemoryStore):
     """A store that records, per roster written, whether worker w0 is marked as lapsed, and that can stop answering."""
 
     def __init__(self, items, workers):
@@ -55,7 +55,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowCommitStore(KeptStore):
+class SlowCommitStore(InMemoryStore):
     """A store whose writes take longer than the interval between two changes of the roster."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
@@ -63,7 +63,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class UnresponsiveWorkers(Workers):
+class UnresponsiveWorkers(InMemoryWorkers):
     """Workers of which one, w0, is unreachable or does not answer."""
 
     def __init__(self, failure):
@@ -81,17 +81,24 @@
 @pytest.mark.parametrize('is_lapsed', [True, False])
 def test_jobs_of_the_previous_owner_wait_for_a_silent_worker_only_if_it_may_run_them(is_lapsed):
     # Every job of the previous owner waited 8.2 s beside an idle pool although the worker had lapsed long before.
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = float('inf')
-    items = [kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=is_lapsed)]
-    anyio.run(take_over, KeptStore(items), workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    items = [
+        job_item(INHERITED_JOB_ID, time.time()),
+        worker_entry_item('w0'),
+        worker_entry_item('w1'),
+        roster_item('w0', is_lapsed=is_lapsed),
+    ]
+    anyio.run(take_over, InMemoryStore(items), workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.starts == ([('w1', TASK)] if is_lapsed else [])
 
 
 def test_a_lapsed_worker_gets_no_start_before_the_store_holds_that_it_may():
     # Otherwise the next owner would start the tasks of that worker elsewhere while they run there.
-    workers = Workers()
-    store = RecordingStore([kept_job(LAST, time.time()), worker_entry('w0'), roster('w0', is_lapsed=True)], workers)
+    workers = InMemoryWorkers()
+    store = RecordingStore(
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), roster_item('w0', is_lapsed=True)], workers
+    )
     store.is_silent = True
     starts_while_silent = []
 
@@ -108,20 +115,20 @@
 
 
 def test_a_worker_that_answers_after_its_lease_ended_gets_starts_once_the_store_holds_that():
-    workers = Workers()
-    store = RecordingStore([worker_entry('w0')], workers)
-    update = decode_job_record(kept_job(NEW, time.time()))
+    workers = InMemoryWorkers()
+    store = RecordingStore([worker_entry_item('w0')], workers)
+    update = decode_job_record(job_item(NEW_JOB_ID, time.time()))
 
     def condition(owner):
         worker = owner.scheduler.worker_by_id.get('w0')
         if worker is not None and worker.is_surveyed and 'w0' not in workers.silent_until_s:
-            workers.silent_until_s['w0'] = time.monotonic() + 2.0 * LONGEST_LEASE_S
+            workers.silent_until_s['w0'] = time.monotonic() + 2.0 * MAX_LEASE_S
         if any(is_lapsed for is_lapsed, _ in store.recorded_rosters):
             workers.silent_until_s['w0'] = 0.0
             submit_if_ready(owner, update)
         return workers.starts
 
-    anyio.run(take_over, store, workers, condition, 3.0 * LONGEST_LEASE_S)
+    anyio.run(take_over, store, workers, condition, 3.0 * MAX_LEASE_S)
     assert workers.starts == [('w0', NEW_TASK)]
     assert [is_lapsed for is_lapsed, _ in store.recorded_rosters] == [False, True, False]
     assert store.recorded_rosters[-1] == (False, 0)
@@ -129,9 +136,9 @@
 
 def test_a_lapsed_worker_that_answers_gets_starts_though_the_roster_keeps_changing():
     # Starts were held until the stored roster equaled the current one, which never happens while it keeps changing.
-    workers = Workers()
-    store = SlowCommitStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)])
-    listed = decode_job_record(kept_job(NEW, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
+    workers = InMemoryWorkers()
+    store = SlowCommitStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)])
+    listed = decode_job_record(job_item(NEW_JOB_ID, time.time(), StepSpec(20, Resources(1000, 1000, 1), 20.0)))
 
     def condition(owner):
         submit_if_ready(owner, listed)
@@ -149,7 +156,9 @@
 def test_a_worker_stays_lapsed_over_quick_changes_of_the_owner(failure):
     # The first roster that a new owner wrote marked the worker as not lapsed, since it did not count as silent yet.
     workers = UnresponsiveWorkers(failure)
-    store = RecordingStore([worker_entry('w0'), worker_entry('w1'), roster('w0', is_lapsed=True)], workers)
+    store = RecordingStore(
+        [worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0', is_lapsed=True)], workers
+    )
     anyio.run(take_over, store, workers, lambda owner: False, 1.5)
     assert store.recorded_rosters
     assert all(is_lapsed for is_lapsed, _ in store.recorded_rosters)
@@ -158,7 +167,7 @@
 def test_a_worker_is_not_lapsed_while_a_late_start_may_begin_on_its_next_incarnation():
     now = Moment(100.0, 0.0)
     state = SchedulerState(SchedulerSettings(), 1, compile_policy(SHIPPED_POLICIES['first-come']))
-    worker = WorkerState(decode(roster('w0', is_lapsed=False).value, list[RosterEntry], 'roster')[0].profile)
+    worker = WorkerState(decode(roster_item('w0', is_lapsed=False).value, list[RosterEntry], 'roster')[0].profile)
     state.worker_by_id['w0'] = worker
     worker.silent_since_s = now.steady_s
     worker.late_order_s = 12.0
--- a/packages/node/dahliaarch_node/owner/tests/test_takeover.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_takeover.py
@@ -28,20 +28,20 @@
 from .. import PoolOwner
 from ..messages import JobListed
 from ..settings import OwnerSettings
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
 EPOCH = 50_000
 QUEUE = Queue('q', 'h', '/q/', 'svc', priority=1, max_attempts=3, stretch=3.0, target_latency_s=1.0)
 STEP = StepSpec(1, Resources(1000, 1000, 1), 20.0)
-LAST = 'f' * 16
-NEW = 'e' * 16
-# Number of jobs in the store at sixty jobs per second, each retained for three minutes.
-MANY = 10_800
+INHERITED_JOB_ID = 'f' * 16
+NEW_JOB_ID = 'e' * 16
+# Number of other jobs in the store, at sixty jobs per second, each retained for three minutes.
+OTHER_JOB_COUNT = 10_800
 # Longest lease that workers accept, in seconds.
-LONGEST_LEASE_S = 4.0
+MAX_LEASE_S = 4.0
 
 
-class KeptStore:
+class InMemoryStore:
     """An in-memory store that lists its items and accepts every write without applying it.
 
     If there are later items, the first watch on jobs reports that the history is gone, and the items are added.
@@ -65,7 +65,7 @@
         return CommitResult(CommitStatus.DONE, EPOCH + 1)
 
 
-class SlowStore(KeptStore):
+class SlowStore(InMemoryStore):
     """A store that takes ``answer_s`` for each page."""
 
     answer_s = 0.25
@@ -75,7 +75,7 @@
         return await super().read_page(prefix, after, timeout_s=timeout_s)
 
 
-class Workers(Sessions):
+class InMemoryWorkers(InMemorySessions):
     """In-memory workers: those that run tasks answer only their first survey, the others are idle."""
 
     def __init__(self, running=()):
@@ -100,7 +100,7 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-def worker_entry(worker_id):
+def worker_entry_item(worker_id):
     entry = {
         'Service': 'svc',
         'Addr': '127.0.0.1:1',
@@ -115,21 +115,21 @@
     return Item(WORKERS_PREFIX + worker_id, msgspec.json.encode(entry), 1)
 
 
-def roster(worker_id, *, is_lapsed=False):
+def roster_item(worker_id, *, is_lapsed=False):
     """Return a roster with one worker, from an owner that persisted no assignments after it."""
     profile = WorkerProfile(worker_id, 'svc', 'z', Resources(64_000, 262_144, 8), ('a', 'r0'))
     entry = RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation(worker_id), is_lapsed)
     return Item(roster_key(0), encode([entry]), 2)
 
 
-def kept_job(job_id, accepted_s, step=STEP):
+def job_item(job_id, accepted_s, step=STEP):
     spec = JobSpec(job_id, 'acc', QUEUE.name, '20', (step,), accepted_s=accepted_s)
     return Item(job_key(job_id), encode(JobRecord(spec, QUEUE)), 1)
 
 
 async def take_over(store, workers, condition, within_s, configuration=None):
     """Run an owner until it meets a condition or a time limit has passed; return it."""
-    settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
+    settings = OwnerSettings(EPOCH, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
     owner = PoolOwner(settings, store, workers, tuple, Metrics())
     if configuration is not None:
         owner.set_configuration(configuration)
@@ -159,28 +159,33 @@
 
 
 def phase_of_last(owner):
-    job = owner.scheduler.job_by_id.get(LAST)
+    job = owner.scheduler.job_by_id.get(INHERITED_JOB_ID)
     return None if job is None else job.phase
 
 
 def many_jobs():
     """Return more job records than the owner's inbox holds, and the record of one more job."""
     now_s = time.time()
-    return [*(kept_job(f'{number:016x}', now_s) for number in range(MANY)), kept_job(LAST, now_s)]
+    return [
+        *(job_item(f'{number:016x}', now_s) for number in range(OTHER_JOB_COUNT)),
+        job_item(INHERITED_JOB_ID, now_s),
+    ]
 
 
 def test_no_cancellation_is_lost_among_many_jobs():
     """Cancellations beyond the capacity of the owner's inbox were dropped, and cancelled jobs ran again."""
-    store = KeptStore([*many_jobs(), Item(cancel_key(LAST), b'', 2)])
-    owner = anyio.run(take_over, store, Workers(), is_ready, 30.0)
-    assert len(owner.scheduler.job_by_id) == MANY + 1
+    store = InMemoryStore([*many_jobs(), Item(cancel_key(INHERITED_JOB_ID), b'', 2)])
+    owner = anyio.run(take_over, store, InMemoryWorkers(), is_ready, 30.0)
+    assert len(owner.scheduler.job_by_id) == OTHER_JOB_COUNT + 1
     assert phase_of_last(owner) == 'cancelled'
 
 
 def test_no_cancellation_is_lost_when_many_jobs_are_read_anew():
     """They were also dropped when jobs were read again because the history was gone, and never delivered later."""
-    store = KeptStore([kept_job(LAST, time.time())], [*many_jobs()[:-1], Item(cancel_key(LAST), b'', 2)])
-    owner = anyio.run(take_over, store, Workers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
+    store = InMemoryStore(
+        [job_item(INHERITED_JOB_ID, time.time())], [*many_jobs()[:-1], Item(cancel_key(INHERITED_JOB_ID), b'', 2)]
+    )
+    owner = anyio.run(take_over, store, InMemoryWorkers(), lambda owner: phase_of_last(owner) == 'cancelled', 10.0)
     assert phase_of_last(owner) == 'cancelled'
 
 
@@ -192,49 +197,53 @@
         job_counts.add(len(owner.scheduler.job_by_id))
         return owner.is_ready
 
-    anyio.run(take_over, KeptStore(many_jobs()), Workers(), record_job_count, 30.0)
-    assert len(job_counts - {0, MANY + 1}) >= 3
+    anyio.run(take_over, InMemoryStore(many_jobs()), InMemoryWorkers(), record_job_count, 30.0)
+    assert len(job_counts - {0, OTHER_JOB_COUNT + 1}) >= 3
 
 
 def test_a_worker_that_falls_silent_after_its_first_answer_keeps_the_lease_of_the_previous_owner():
     """Its runs were given up at once and started elsewhere while they were still running."""
-    task = TaskKey(LAST, 0, 0, 0)
-    workers = Workers({'w0': (ListedRun(task, 1, '', 10.0),)})
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
-    anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
+    task = TaskKey(INHERITED_JOB_ID, 0, 0, 0)
+    workers = InMemoryWorkers({'w0': (ListedRun(task, 1, '', 10.0),)})
+    store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
+    anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
     assert workers.surveys['w0'] > 2
     assert not workers.starts
 
 
 def test_a_job_that_comes_after_a_takeover_does_not_wait_for_workers_that_are_silent():
     """With one worker lost since the previous owner, urgent jobs started 1.2 s after a takeover and ended late."""
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = float('inf')
     # The previous owner persisted no assignments, so its job may be running on the silent worker.
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
-    update = decode_job_record(kept_job(NEW, time.time()))
+    store = InMemoryStore(
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
+    update = decode_job_record(job_item(NEW_JOB_ID, time.time()))
     anyio.run(take_over, store, workers, lambda owner: submit_if_ready(owner, update) and workers.starts, 0.8)
-    assert workers.starts == [('w1', TaskKey(NEW, 0, 0, 0))]
+    assert workers.starts == [('w1', TaskKey(NEW_JOB_ID, 0, 0, 0))]
 
 
 def test_jobs_of_the_previous_owner_start_once_the_last_silent_worker_has_answered():
     """They waited for the longest lease of that worker, as if it had stayed silent."""
-    workers = Workers()
+    workers = InMemoryWorkers()
     workers.silent_until_s['w0'] = time.monotonic() + 1.6
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
-    anyio.run(take_over, store, workers, lambda owner: workers.starts, LONGEST_LEASE_S - 1.0)
-    assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
+    store = InMemoryStore(
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
+    anyio.run(take_over, store, workers, lambda owner: workers.starts, MAX_LEASE_S - 1.0)
+    assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
 def test_what_is_read_at_a_takeover_is_read_at_once():
     """Four sequential reads from a store that takes 0.25 s per answer delayed decisions by a second."""
-    store = SlowStore([kept_job(LAST, time.time()), worker_entry('w0')])
+    store = SlowStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0')])
     begun_s = time.monotonic()
-    anyio.run(take_over, store, Workers(), is_ready, 5.0)
+    anyio.run(take_over, store, InMemoryWorkers(), is_ready, 5.0)
     assert time.monotonic() - begun_s < 3 * SlowStore.answer_s
 
 
-class LossyWorkers(Workers):
+class LossyWorkers(InMemoryWorkers):
     """Workers that leave a given number of surveys unanswered before they answer one."""
 
     def __init__(self, unanswered_by_id):
@@ -253,12 +262,14 @@
     # The survey timeout doubled with each missing answer, and every job of the previous owner waited until the last
     # worker had answered.
     workers = LossyWorkers({'w0': 4})
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1'), roster('w0')])
+    store = InMemoryStore(
+        [job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]
+    )
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 2.0)
-    assert [key for _, key in workers.starts] == [TaskKey(LAST, 0, 0, 0)]
+    assert [key for _, key in workers.starts] == [TaskKey(INHERITED_JOB_ID, 0, 0, 0)]
 
 
-class UnhealthyWorkers(Workers):
+class UnhealthyWorkers(InMemoryWorkers):
     """Workers of which one, w0, answers every survey with the status that it is unhealthy."""
 
     async def survey(self, address, incarnation, **options):
@@ -270,6 +281,6 @@
 def test_a_job_that_never_began_does_not_wait_for_a_worker_that_refuses_every_call():
     # A new owner has no record that the job was never started, so for all it knows it runs on that worker.
     workers = UnhealthyWorkers()
-    store = KeptStore([kept_job(LAST, time.time()), worker_entry('w0'), worker_entry('w1')])
+    store = InMemoryStore([job_item(INHERITED_JOB_ID, time.time()), worker_entry_item('w0'), worker_entry_item('w1')])
     anyio.run(take_over, store, workers, lambda owner: workers.starts, 3.0)
-    assert workers.starts == [('w1', TaskKey(LAST, 0, 0, 0))]
+    assert workers.starts == [('w1', TaskKey(INHERITED_JOB_ID, 0, 0, 0))]
--- a/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_two_owners.py
@@ -26,14 +26,23 @@
 from ..messages import JobListed
 from ..registry import fence_of
 from ..settings import OwnerSettings
-from .sessions import Sessions
-from .test_takeover import EPOCH, KeptStore, LONGEST_LEASE_S, NEW, QUEUE, roster, STEP, worker_entry
+from .sessions import InMemorySessions
+from .test_takeover import (
+    EPOCH,
+    InMemoryStore,
+    MAX_LEASE_S,
+    NEW_JOB_ID,
+    QUEUE,
+    roster_item,
+    STEP,
+    worker_entry_item,
+)
 
 SUCCESSOR = EPOCH + 100
-JOB = TaskKey(NEW, 0, 0, 0)
+JOB = TaskKey(NEW_JOB_ID, 0, 0, 0)
 
 
-class PartitionedWorkers(Sessions):
+class PartitionedWorkers(InMemorySessions):
     """Two workers, the first of which is unreachable for the successor."""
 
     def __init__(self):
@@ -62,13 +71,13 @@
 
 
 def make_owner(epoch, store, workers):
-    settings = OwnerSettings(epoch, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
+    settings = OwnerSettings(epoch, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
     return PoolOwner(settings, store, workers, tuple, Metrics())
 
 
 def make_job_listed(owner_epoch):
     """Return a job accepted after the takeover by an instance that knew the owner with the given epoch."""
-    spec = JobSpec(NEW, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
+    spec = JobSpec(NEW_JOB_ID, 'acc', QUEUE.name, '20', (STEP,), accepted_s=time.time())
     return JobListed(spec, QUEUE, SUCCESSOR + 7, owner_epoch)
 
 
@@ -83,9 +92,11 @@
     workers = PartitionedWorkers()
 
     async def run():
-        old = make_owner(EPOCH, KeptStore([worker_entry('w0')]), workers)
+        old = make_owner(EPOCH, InMemoryStore([worker_entry_item('w0')]), workers)
         # The old owner persisted a roster but no assignments that its successor could read.
-        new = make_owner(SUCCESSOR, KeptStore([worker_entry('w0'), worker_entry('w1'), roster('w0')]), workers)
+        new = make_owner(
+            SUCCESSOR, InMemoryStore([worker_entry_item('w0'), worker_entry_item('w1'), roster_item('w0')]), workers
+        )
         async with anyio.create_task_group() as tasks:
             for owner in (old, new):
                 tasks.start_soon(owner.run)
@@ -100,12 +111,12 @@
 
 
 def test_a_job_that_the_previous_owner_was_told_of_waits_for_workers_that_may_run_it():
-    assert starts_with_two_owners(EPOCH, LONGEST_LEASE_S - 1.0) == [('w0', JOB, fence_of(EPOCH, 1))]
+    assert starts_with_two_owners(EPOCH, MAX_LEASE_S - 1.0) == [('w0', JOB, fence_of(EPOCH, 1))]
 
 
 def test_a_job_accepted_without_a_known_owner_waits_for_workers_that_may_run_it():
     """The old owner may have learned of it through its own watch on the store."""
-    assert len(starts_with_two_owners(0, LONGEST_LEASE_S - 1.0)) == 1
+    assert len(starts_with_two_owners(0, MAX_LEASE_S - 1.0)) == 1
 
 
 def test_an_owner_that_learns_of_a_job_of_its_successor_does_not_start_it():
--- a/packages/standins/dahliaarch_standins/deployment/core.py
+++ b/packages/standins/dahliaarch_standins/deployment/core.py
@@ -20,9 +20,9 @@
 from dahliaarch_platform.settings import Address, PATH_VARIABLE
 
 from ..platform import PolicyStandIn, StoreStandIn, WorkerStandIn
-from ..platform.policy import DECISION_S, VALID_S
+from ..platform.policy import DECISION_DURATION_S, TICKET_VALIDITY_S
 
-KEY = 'operator-made-key'
+API_KEY = 'operator-made-key'
 HOST = '127.0.0.1'
 PREFIX_BY_QUEUE = {'urgent': '/urgent/', 'ordinary': '/ordinary/'}
 ADVISED_QUEUE = 'ordinary'
@@ -51,7 +51,7 @@
         path: str,
         body: dict[str, Any] | None = None,
         *,
-        key: str = KEY,
+        key: str = API_KEY,
         host: str = HOST,
         timeout_s: float = 3.0,
     ) -> Reply | None:
@@ -184,19 +184,19 @@
 
     def configure(
         self,
-        keys: Iterable[str] = (KEY,),
+        keys: Iterable[str] = (API_KEY,),
         guaranteed: int = 16,
-        more_queues: Iterable[dict[str, Any]] = (),
+        extra_queues: Iterable[dict[str, Any]] = (),
     ) -> None:
         """Write the next version of the configuration to the store."""
         self.version += 1
         queues = [queue_row(name, prefix, priority) for priority, (name, prefix) in enumerate(PREFIX_BY_QUEUE.items())]
         if self.policy is not None:
-            advice = {'DecisionMs': DECISION_S * 1000, 'PerItemMs': 0, 'ValidMs': VALID_S * 1000}
+            advice = {'DecisionMs': DECISION_DURATION_S * 1000, 'PerItemMs': 0, 'ValidMs': TICKET_VALIDITY_S * 1000}
             queues = [queue | {'Advice': advice} if queue['Name'] == ADVISED_QUEUE else queue for queue in queues]
         configuration = {
             'Version': self.version,
-            'Routes': [*queues, *more_queues],
+            'Routes': [*queues, *extra_queues],
             'Services': [{'Name': 'svc', 'EnforcesCapacity': True}],
             'Tenants': [{'Name': 'crew', 'ApiKeys': list(keys), 'Guaranteed': {'Gpu': guaranteed}}],
         }
@@ -224,7 +224,7 @@
         process = self._process_by_name.get(name)
         return 0 if process is None else process.pid
 
-    def ended_by_themselves(self, but: Collection[str] = ()) -> list[str]:
+    def pop_exited(self, but: Collection[str] = ()) -> list[str]:
         """Remove and return the instances whose daemons have exited, except those in `but`."""
         ended = [name for name, process in self._process_by_name.items() if process.poll() is not None]
         ended = [name for name in ended if name not in but]
@@ -275,12 +275,12 @@
     async def owner(self) -> str:
         """Wait until an instance owns the pool; return its name."""
         while True:
-            name = self.owner_now()
+            name = self.current_owner()
             if name is not None:
                 return name
             await anyio.sleep(0.05)
 
-    def owner_now(self) -> str | None:
+    def current_owner(self) -> str | None:
         """Return the name of the instance that owns the pool, or None."""
         value = self.store.value(OWNER_KEY)
         return None if value is None else decode(value, Member, 'member').instance
@@ -341,12 +341,12 @@
     ports: list[int] = []
     while len(ports) < count:
         port = _FIRST_PORT + secrets.randbelow(_PORT_COUNT)
-        if _keep_port(port):
+        if _reserve_port(port):
             ports.append(port)
     return ports
 
 
-def _keep_port(port: int) -> bool:
+def _reserve_port(port: int) -> bool:
     """Reserve a port until this process exits; return False if it is in use. Daemons can still bind it."""
     reserved = socket.socket()
     try:
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -7,7 +7,7 @@
 
 from dahliaarch_node.records import cancel_key, job_key, progress_key
 
-from ..core import KEY
+from ..core import API_KEY
 from .running import GANG, PARALLEL
 
 scenarios('must_hold.feature')
@@ -114,7 +114,7 @@
 
 @then('another instance owns the pool within two seconds')
 def _(running, stopped):
-    running.wait_until(lambda: running.owner_now() not in {None, stopped}, timeout_s=2.0)
+    running.wait_until(lambda: running.current_owner() not in {None, stopped}, timeout_s=2.0)
 
 
 @then('the former owner exits without an error')
@@ -159,7 +159,7 @@
 
 @when('the store forgets its history', target_fixture='calls_before')
 def _(running):
-    running.store.forget_history()
+    running.store.discard_history()
     return running.store.calls
 
 
@@ -270,7 +270,7 @@
 
 
 async def _remove_worker(worker):
-    worker.leave()
+    worker.disappear()
 
 
 @when('a worker that runs one of its tasks starts draining and is disconnected', target_fixture='cut_off')
@@ -368,7 +368,7 @@
 def _(running):
     deadline_s = time.monotonic() + 2.0
     for name in running.deployment.names:
-        while running.call('GET', JOB, names=(name,), key=KEY).status != 401:
+        while running.call('GET', JOB, names=(name,), key=API_KEY).status != 401:
             assert time.monotonic() < deadline_s
 
 
--- a/packages/standins/dahliaarch_standins/platform/policy.py
+++ b/packages/standins/dahliaarch_standins/platform/policy.py
@@ -11,8 +11,8 @@
 from dahliaarch_platform.settings import Address
 
 # Validity of a ticket and duration of a call, in seconds.
-VALID_S = 1.5
-DECISION_S = 0.1
+TICKET_VALIDITY_S = 1.5
+DECISION_DURATION_S = 0.1
 
 
 class PolicyStandIn:
@@ -43,10 +43,10 @@
     async def _handle_request(self, request: Request) -> Response:
         self.calls += 1
         body = msgspec.json.decode(request.body)
-        await anyio.sleep(DECISION_S)
+        await anyio.sleep(DECISION_DURATION_S)
         rows = [
             (worker_id, secrets.token_hex(4)) for worker_id in body['Workers'] if worker_id in self._consenting_workers
         ]
         for worker_id, ticket in rows:
-            self._expiry_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + VALID_S
-        return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': VALID_S * 1000}))
+            self._expiry_by_ticket[body['Step'], worker_id, ticket] = time.monotonic() + TICKET_VALIDITY_S
+        return Response(200, msgspec.json.encode({'Healthy': rows, 'ValidMs': TICKET_VALIDITY_S * 1000}))
--- a/packages/standins/dahliaarch_standins/platform/workers.py
+++ b/packages/standins/dahliaarch_standins/platform/workers.py
@@ -26,7 +26,7 @@
 _CRASH_PREFIX = 'crash'
 
 
-class Noted(NamedTuple):
+class AcknowledgedEnd(NamedTuple):
     """Acknowledged end of a run, if the lease did not expire between the end and its acknowledgement."""
 
     worker: str
@@ -152,20 +152,20 @@
         # Published address for orders, if it is that of a proxy in front of the worker.
         self.published_address: Address | None = None
         # Acknowledged ends of runs, with the time of the acknowledgement.
-        self.noted: dict[Noted, float] = {}
+        self.acknowledged_ends: dict[AcknowledgedEnd, float] = {}
         self.starts: list[Started] = []
         self.ends: list[Ended] = []
         # Tasks whose start got no response and is carried out late.
         self.late_starts: list[str] = []
         # Whether every task fails immediately after its start.
-        self.fails_tasks = False
+        self.fails_every_task = False
         self.is_draining = False
         self.is_cut_off = False
         self.capacity = Resources(64_000, 262_144, 8)
         # Maximum duration of a lease, in seconds.
         self.max_hold_s = 10.0
         # Whether the worker keeps its id after a crash caused by a task.
-        self.keeps_id = False
+        self.keeps_id_after_crash = False
         self._service = service
         self._rack = rack
         self._store = store
@@ -197,7 +197,7 @@
                 await self._crash_and_return()
             await anyio.sleep(_TICK_S)
 
-    def leave(self) -> None:
+    def disappear(self) -> None:
         """Remove the entry and stop without reporting the ends of active runs."""
         self._store.remove(f'servers/{self.worker_id}')
         self.server.close()
@@ -235,7 +235,7 @@
             entry['RemainingMs'] = 4000
         self._store.put(f'servers/{self.worker_id}', msgspec.json.encode(entry))
 
-    def break_off(self, numbers: Collection[int]) -> None:
+    def end_broken_runs(self, numbers: Collection[int]) -> None:
         """End the runs with the given numbers, because another member of their gang has failed."""
         for run in tuple(self._incarnation.run_by_task.values()):
             if run.number in numbers:
@@ -320,7 +320,7 @@
         """Discard the acknowledged ends, including later ends with numbers up to the acknowledged one."""
         incarnation = self._incarnation
         incarnation.acknowledged = max(incarnation.acknowledged, acknowledged)
-        acknowledged_ends = {
+        discarded_ends = {
             self._acknowledged_end(row[1], row[2]) for row in incarnation.finished if row[0] <= incarnation.acknowledged
         }
         # An end does not count as acknowledged if the lease has expired between the end
@@ -328,11 +328,11 @@
         ends_before_lapse = {
             self._acknowledged_end(end.task, end.run) for end in self.ends if end.at_s <= incarnation.lapsed_at_s
         }
-        self.noted.update(dict.fromkeys(acknowledged_ends - ends_before_lapse, time.monotonic()))
+        self.acknowledged_ends.update(dict.fromkeys(discarded_ends - ends_before_lapse, time.monotonic()))
         incarnation.finished = [row for row in incarnation.finished if row[0] > incarnation.acknowledged]
 
-    def _acknowledged_end(self, task: str, run: int) -> Noted:
-        return Noted(self.worker_id, task, run, self._incarnation.incarnation)
+    def _acknowledged_end(self, task: str, run: int) -> AcknowledgedEnd:
+        return AcknowledgedEnd(self.worker_id, task, run, self._incarnation.incarnation)
 
     def crash(self, worker_id: str) -> None:
         """Crash and restart at once as another incarnation at the same address, without downtime."""
@@ -353,7 +353,7 @@
     def _begin_incarnation(self) -> None:
         self._incarnation = _Incarnation(time.monotonic(), self._incarnation.incarnation + 1)
 
-    async def start_again(self, down_s: float = _DOWN_S) -> None:
+    async def restart(self, down_s: float = _DOWN_S) -> None:
         """Crash and restart under the same id; the entry is rewritten before it expires.
 
         Calls without a response yet may be carried out by the next incarnation. If the worker
@@ -369,8 +369,8 @@
 
     async def _crash_and_return(self) -> None:
         """Crash, and accept connections again after the downtime."""
-        if self.keeps_id:
-            await self.start_again()
+        if self.keeps_id_after_crash:
+            await self.restart()
             return
         async with self._downtime():
             self._crashes += 1
@@ -405,7 +405,9 @@
         self._extend_lease(body)
         incarnation.highest_run_by_task[task] = number
         payload = body['Spec']
-        work_s = -1.0 if self.fails_tasks or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
+        work_s = (
+            -1.0 if self.fails_every_task or payload.startswith('fail') else float(payload.removeprefix(_CRASH_PREFIX))
+        )
         self._crash_pending = self._crash_pending or payload.startswith(_CRASH_PREFIX)
         incarnation.run_by_task[task] = _Run(task, number, work_s, now_s)
         self.starts.append(Started(self.worker_id, task, number, body.get('Fence', 0), now_s, incarnation.incarnation))
--- a/packages/standins/dahliaarch_standins/proxy/core.py
+++ b/packages/standins/dahliaarch_standins/proxy/core.py
@@ -58,7 +58,7 @@
     ----------
     target : Address
         Address that connections are forwarded to.
-    requests_over, answers_over : SlowLink or None
+    request_link, answer_link : SlowLink or None
         Links that limit the rate to the target and back; None for no limit.
 
     Attributes
@@ -70,7 +70,7 @@
         that it also limits the throughput.
     latency_s : float
         Additional latency in both directions, which does not limit the throughput.
-    refuses : bool
+    refuses_connections : bool
         Whether new connections are closed immediately.
     drops_all : bool
         Whether all bytes are dropped, on open and on new connections.
@@ -80,16 +80,16 @@
         self,
         target: Address,
         *,
-        requests_over: SlowLink | None = None,
-        answers_over: SlowLink | None = None,
+        request_link: SlowLink | None = None,
+        answer_link: SlowLink | None = None,
     ) -> None:
         """Create the proxy; `listen` starts it."""
         self.target = target
-        self._default_route = Route(_links(requests_over), _links(answers_over))
+        self._default_route = Route(_links(request_link), _links(answer_link))
         self.address = Address('127.0.0.1', 0)
         self.delay_s = 0.0
         self.latency_s = 0.0
-        self.refuses = False
+        self.refuses_connections = False
         self.drops_all = False
         self._connections: set[_ProxiedConnection] = set()
 
@@ -110,7 +110,7 @@
         for connection in self._connections:
             connection.silence()
 
-    async def lose_answers(self) -> None:
+    async def drop_answers(self) -> None:
         """Drop the answers on the open connections, and shortly afterwards the requests too."""
         affected = tuple(self._connections)
         for connection in affected:
@@ -125,7 +125,7 @@
             await _close(connection)
 
     async def _serve(self, caller: SocketStream) -> None:
-        if self.refuses:
+        if self.refuses_connections:
             await anyio.aclose_forcefully(caller)
             return
         try:
@@ -178,7 +178,7 @@
     async def _throttle(self, chunk: bytes, links: tuple[SlowLink, ...]) -> None:
         await anyio.sleep(self.delay_s)
         for link in links:
-            await link.carry(len(chunk))
+            await link.transfer(len(chunk))
 
 
 def _links(link: SlowLink | None) -> tuple[SlowLink, ...]:
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_slow_links.py
@@ -12,7 +12,7 @@
 
 The cause was timeouts that do not depend on the size of the answer, combined with retries from the first byte. The
 symptoms are `configuration_unreachable ... no answer in 1.00 s` every 1.2 s without end on instances whose processors
-are idle, and `heartbeat_unanswered` with `carried_bytes` of 293,311 to 859,137 for all slow instances at once.
+are idle, and `heartbeat_unanswered` with `transferred_bytes` of 293,311 to 859,137 for all slow instances at once.
 """
 
 import time
@@ -118,7 +118,7 @@
     async def start(self, tasks, timing=TIMING):
         store_address = await self.store.listen()
         tasks.start_soon(self.store.run)
-        self.slow_store_proxy = FaultProxy(store_address, answers_over=self.link)
+        self.slow_store_proxy = FaultProxy(store_address, answer_link=self.link)
         self.fast_store_proxy = FaultProxy(store_address)
         self.fast = Instance('fast', await self.fast_store_proxy.listen(tasks))
         self.slow = Instance('slow', await self.slow_store_proxy.listen(tasks), timing)
@@ -128,8 +128,8 @@
 
     async def _connect(self, tasks):
         """Connect the instances through proxies, so that all bytes sent to the slow one pass the slow link."""
-        to_slow = FaultProxy(self.address(self.slow), requests_over=self.link)
-        to_fast = FaultProxy(self.address(self.fast), answers_over=self.link)
+        to_slow = FaultProxy(self.address(self.slow), request_link=self.link)
+        to_fast = FaultProxy(self.address(self.fast), answer_link=self.link)
         self.slow_member = self._member_at(self.slow, await to_slow.listen(tasks))
         self.fast_member = self._member_at(self.fast, await to_fast.listen(tasks))
         self.fast.membership.add(self.slow_member)
@@ -183,10 +183,10 @@
         pair.write_configuration(2, ROUTE_COUNT * 2)
         await pair.slow.wait_for_version(2, within_s=20)
         await anyio.sleep(2)
-        before = pair.link.carried_bytes
+        before = pair.link.transferred_bytes
         await anyio.sleep(2)
         # Heartbeats and the answers to expired watches remain.
-        assert pair.link.carried_bytes - before < 20_000
+        assert pair.link.transferred_bytes - before < 20_000
 
     run_scenario(scenario)
 
--- a/packages/standins/dahliaarch_standins/soak/faults.py
+++ b/packages/standins/dahliaarch_standins/soak/faults.py
@@ -173,7 +173,7 @@
 async def forget_history(system: System, fault: Fault, rng: random.Random) -> None:
     """Let the store discard its history of changes."""
     system.disturbances.record_history_loss(time.monotonic())
-    system.store.forget_history()
+    system.store.discard_history()
 
 
 @register
@@ -196,10 +196,10 @@
 async def _cut_off(system: System, name: str, proxy: FaultProxy, fault: Fault, rng: random.Random) -> None:
     """Disrupt the connections of a proxy and temporarily refuse new ones."""
     with system.disturbing(name):
-        proxy.refuses = True
+        proxy.refuses_connections = True
         await _disrupt(proxy, rng)
         await anyio.sleep(fault.for_s)
-        proxy.refuses = False
+        proxy.refuses_connections = False
 
 
 @register
@@ -228,10 +228,10 @@
 async def cut_worker(system: System, fault: Fault, rng: random.Random) -> None:
     """Silence, cut one way or reset connections to a worker, and refuse new ones."""
     proxy = rng.choice(system.worker_proxies)
-    proxy.refuses = True
+    proxy.refuses_connections = True
     await _disrupt(proxy, rng)
     await anyio.sleep(fault.for_s)
-    proxy.refuses = False
+    proxy.refuses_connections = False
 
 
 @register
@@ -255,12 +255,12 @@
     workers = system.deployment.workers
     for worker in rng.sample(workers, rng.randint(1, len(workers))):
         for _ in range(rng.choice((1, 2))):
-            await worker.start_again(rng.uniform(*_DOWNTIME_RANGE_S))
+            await worker.restart(rng.uniform(*_DOWNTIME_RANGE_S))
 
 
 def _owner_or_any(system: System, rng: random.Random) -> str:
     """Return the owner in half of all cases, otherwise a random instance."""
-    owner = system.deployment.owner_now()
+    owner = system.deployment.current_owner()
     is_owner_meant = rng.choice((False, True))
     return owner if owner and is_owner_meant else rng.choice(system.deployment.names)
 
@@ -271,6 +271,6 @@
         case 0:
             proxy.silence()
         case 1:
-            await proxy.lose_answers()
+            await proxy.drop_answers()
         case _:
             await proxy.reset()
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -54,9 +54,9 @@
         self.disturbances = DisturbanceTracker(self.deployment.names, slow_names)
         self.operator = Operator(self.deployment, settings.seed)
         self.deployment.store.checks_conditions = settings.without != 'conditions'
-        self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
+        self.deployment.store.muted_prefix = CONFIGURATION_KEY if settings.without == 'updates' else ''
         for worker in self.deployment.workers[: settings.keeping_ids]:
-            worker.keeps_id = True
+            worker.keeps_id_after_crash = True
         for worker in self.deployment.workers:
             worker.checks_fences = settings.without != 'fences'
             worker.checks_run_numbers = settings.without != 'run numbers'
@@ -109,9 +109,9 @@
     async def _start_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
         """Start a proxy from an instance to the store, and one from its peers to the instance."""
         links = self.links(name)
-        near_store = FaultProxy(store, requests_over=links.outgoing, answers_over=links.incoming)
-        self.deployment.store_address_by_name[name] = await near_store.listen(tasks)
-        self.store_proxy_by_name[name] = near_store
+        store_proxy = FaultProxy(store, request_link=links.outgoing, answer_link=links.incoming)
+        self.deployment.store_address_by_name[name] = await store_proxy.listen(tasks)
+        self.store_proxy_by_name[name] = store_proxy
         target = self.deployment.peer_address(name)
         before = PeerProxy(target, self._links_by_host)
         await before.listen(tasks, target._replace(host=proxy_host(target.host)))
@@ -177,7 +177,7 @@
         """Record and restart daemons that exit by themselves, until cancelled."""
         while True:
             await anyio.sleep(_WATCH_INTERVAL_S)
-            for name in self.deployment.ended_by_themselves(self._restarting):
+            for name in self.deployment.pop_exited(self._restarting):
                 self.unexpected_exits.append(name)
                 with self.disturbing(name):
                     self.deployment.launch(name)
