--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -185,7 +185,7 @@
 
 @when('all orders to workers are unanswered and carried out late')
 def _(running):
-    # The starts reuse connections of earlier work: a new one begins with a greeting, which would go unanswered.
+    # The starts reuse connections of earlier work: a new one begins with a handshake, which would go unanswered.
     running.submit([{**PARALLEL[0], 'Count': 8 * len(running.workers)}], '0.1')
     running.wait_for(running.job_ids[-1], 'succeeded')
     for worker in running.workers:
