--- a/packages/cli/dahliaarch_cli/accounting/stops.py
+++ b/packages/cli/dahliaarch_cli/accounting/stops.py
@@ -1,4 +1,4 @@
-"""Stops that made room: whom they hit, what they threw away, and what became of the room."""
+"""Preemptions: the affected jobs, the wasted work and the use of the freed capacity."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
@@ -6,29 +6,29 @@
 
 from .histories import JobHistory, RunHistory
 
-# A stop takes up to 0.9 s; work that it was ordered for begins at once after it, in
-# seconds from the order.
-_IN_TIME_S = 1.5
-# Work that begins on the same worker later than this found other room there, in seconds.
-_LATE_S = 3.0
-_FOR = 'makes room for '
+# A start of the preempting job within this time of the stop order, in seconds, counts as
+# prompt: a stop takes up to 0.9 s, and the start follows immediately.
+_PROMPT_START_S = 1.5
+# A start on the same worker later than this, in seconds, used other capacity of the worker.
+_LATE_START_S = 3.0
+_PREEMPTION_PREFIX = 'makes room for '
 
 
-class StoppedJob(NamedTuple):
-    """A job whose tasks were stopped to make room.
+class PreemptedJob(NamedTuple):
+    """A job whose tasks were preempted.
 
     Parameters
     ----------
     job, queue : str
-        The job.
+        Job id and queue.
     ended : str
-        Its end; empty while it has none.
+        Final phase of the job; empty while it has not ended.
     stops, most_of_one_task : int
-        Stops of its tasks.
+        Preemptions of all tasks of the job, and of the task preempted most often.
     core_s : float
-        Core-seconds that they threw away.
+        Core-seconds wasted by the preemptions.
     stopped_for : int
-        Jobs that room was made for.
+        Number of jobs that the preemptions freed capacity for.
     """
 
     job: str
@@ -40,17 +40,17 @@
     stopped_for: int
 
 
-class RoomUse(NamedTuple):
-    """What became of room that was made.
+class FreedCapacityUse(NamedTuple):
+    """Use of the capacity that preemptions freed.
 
     Parameters
     ----------
     use : str
-        Whether the job that it was made for began there, and when.
+        Whether the preempting job started on the freed capacity, and when.
     stops : int
-        Stops.
+        Number of preemptions.
     core_s : float
-        Core-seconds that they threw away.
+        Core-seconds wasted by the preemptions.
     """
 
     use: str
@@ -58,47 +58,49 @@
     core_s: float
 
 
-class _Stop(NamedTuple):
+class _Preemption(NamedTuple):
     job: JobHistory
     run: RunHistory
     core_s: float
 
     @property
-    def made_for(self) -> str:
-        """Job that room was made for."""
-        return self.run.stopped_why.removeprefix(_FOR)
+    def preempting_job_id(self) -> str:
+        """Id of the job that the capacity was freed for."""
+        return self.run.stop_reason.removeprefix(_PREEMPTION_PREFIX)
 
 
-def stops_by_job(jobs: Iterable[JobHistory]) -> list[StoppedJob]:
-    """Return the jobs that were stopped to make room, those that lost most first."""
+def preempted_jobs(jobs: Iterable[JobHistory]) -> list[PreemptedJob]:
+    """Return the preempted jobs, ordered by decreasing wasted work."""
     rows = []
-    for stops in _by_job(jobs).values():
+    for stops in _preemptions_by_job(jobs).values():
         job = stops[0].job
         by_task = Counter(stop.run.task for stop in stops)
         core_s = sum(stop.core_s for stop in stops)
-        made_for = {stop.made_for for stop in stops}
+        preempting_job_ids = {stop.preempting_job_id for stop in stops}
         rows.append(
-            StoppedJob(job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(made_for))
+            PreemptedJob(
+                job.job_id, job.queue, job.phase, len(stops), max(by_task.values()), core_s, len(preempting_job_ids)
+            )
         )
     return sorted(rows, key=lambda row: (-row.core_s, row.job))
 
 
-def use_of_room(history_by_id: Mapping[str, JobHistory]) -> list[RoomUse]:
-    """Return what became of the room that stops made, what threw most away first."""
+def freed_capacity_use(history_by_id: Mapping[str, JobHistory]) -> list[FreedCapacityUse]:
+    """Return the uses of capacity freed by preemptions, ordered by decreasing wasted work."""
     count_by_use: Counter[str] = Counter()
     core_s_by_use: dict[str, float] = defaultdict(float)
-    for stops in _by_job(history_by_id.values()).values():
+    for stops in _preemptions_by_job(history_by_id.values()).values():
         for stop in stops:
-            use = _use(stop, history_by_id.get(stop.made_for))
+            use = _classify_use(stop, history_by_id.get(stop.preempting_job_id))
             count_by_use[use] += 1
             core_s_by_use[use] += stop.core_s
-    found = [RoomUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
+    found = [FreedCapacityUse(use, count, core_s_by_use[use]) for use, count in count_by_use.items()]
     return sorted(found, key=lambda row: -row.core_s)
 
 
-def report_stops(job: JobHistory | None) -> str:
-    """Return in a sentence how often a job was stopped to make room; nothing when it was not, or is unknown."""
-    rows = [] if job is None else stops_by_job([job])
+def describe_preemptions(job: JobHistory | None) -> str:
+    """Return a sentence on the preemptions of a job; empty without any, or for an unknown job."""
+    rows = [] if job is None else preempted_jobs([job])
     if not rows:
         return ''
     row = rows[0]
@@ -108,24 +110,24 @@
     )
 
 
-def _by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Stop]]:
-    stops_by_job: dict[str, list[_Stop]] = defaultdict(list)
+def _preemptions_by_job(jobs: Iterable[JobHistory]) -> dict[str, list[_Preemption]]:
+    preemptions_by_job: dict[str, list[_Preemption]] = defaultdict(list)
     for job in jobs:
         for run in job.runs:
-            if run.stopped_why.startswith(_FOR):
-                thrown_away_s = 0.0 if job.saves(run) else job.core_s_of(run)
-                stops_by_job[job.job_id].append(_Stop(job, run, thrown_away_s))
-    return stops_by_job
+            if run.stop_reason.startswith(_PREEMPTION_PREFIX):
+                wasted_core_s = 0.0 if job.resumes_from_checkpoint(run) else job.core_s_of(run)
+                preemptions_by_job[job.job_id].append(_Preemption(job, run, wasted_core_s))
+    return preemptions_by_job
 
 
-def _use(stop: _Stop, made_for: JobHistory | None) -> str:
-    """Return whether work began on room that was made for it."""
-    stopped_s = stop.run.stopped_s
-    later = [] if made_for is None else [run for run in made_for.runs if run.ordered_s >= stopped_s]
+def _classify_use(stop: _Preemption, preempting_job: JobHistory | None) -> str:
+    """Classify when and where the preempting job started after a preemption."""
+    stop_ordered_s = stop.run.stop_ordered_s
+    later = [] if preempting_job is None else [run for run in preempting_job.runs if run.ordered_s >= stop_ordered_s]
     if not later:
         return 'it never began'
-    waits_s = [run.ordered_s - stopped_s for run in later if run.worker == stop.run.worker]
-    if waits_s and min(waits_s) < _LATE_S:
-        return 'it began there' if min(waits_s) < _IN_TIME_S else 'it began there late'
-    soonest_s = min(run.ordered_s - stopped_s for run in later)
-    return 'it began elsewhere' if soonest_s < _IN_TIME_S else 'it began much later'
+    waits_s = [run.ordered_s - stop_ordered_s for run in later if run.worker == stop.run.worker]
+    if waits_s and min(waits_s) < _LATE_START_S:
+        return 'it began there' if min(waits_s) < _PROMPT_START_S else 'it began there late'
+    soonest_s = min(run.ordered_s - stop_ordered_s for run in later)
+    return 'it began elsewhere' if soonest_s < _PROMPT_START_S else 'it began much later'
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/late_workers.py
@@ -53,7 +53,7 @@
         self.ends.append(RunEnd(self.worker_id, key, run, kind))
 
 
-class Succession:
+class OwnerSimulation:
     """Successive owners of the same workers; the store holds jobs and cancellations, but no assignments or progress."""
 
     def __init__(self, workers):
@@ -63,41 +63,44 @@
         self.job_by_id = {}
         self.cancelled = set()
         # Unacknowledged start orders that are not executed yet.
-        self.late = []
+        self.delayed_starts = []
         # Unacknowledged stops of the current owner; they also stop runs whose starts were not acknowledged.
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = None
-        self.take_over(unreported=(), unlisted=())
+        self.take_over(silent_worker_ids=(), unlisted_worker_ids=())
 
     @property
     def now(self):
         return Moment(self.now_s, WALL_S + self.now_s - START_S)
 
-    def take_over(self, unreported, unlisted):
+    def take_over(self, silent_worker_ids, unlisted_worker_ids):
         """Let a new owner read the store and survey the workers.
 
-        Workers in `unlisted` are unknown to the new owner; those in `unreported` do not answer its survey.
+        Workers in `unlisted_worker_ids` are unknown to the new owner; those in `silent_worker_ids` do not answer its
+        survey.
         """
         self.epoch += 3
-        self.stops = []
+        self.pending_stops = []
         self.scheduler = Scheduler(SchedulerSettings(), self.epoch)
         for worker_id in self.worker_by_id:
-            if worker_id not in unlisted:
+            if worker_id not in unlisted_worker_ids:
                 self.list_worker(worker_id)
         for spec, queue in self.job_by_id.values():
-            self.scheduler.add_job(spec, queue, self.now, not_before_s=self.now_s + MAX_LEASE_S if unreported else 0.0)
+            self.scheduler.add_job(
+                spec, queue, self.now, not_before_s=self.now_s + MAX_LEASE_S if silent_worker_ids else 0.0
+            )
         for job_id in self.cancelled & self.job_by_id.keys():
             self.scheduler.cancel(job_id, self.now)
-        for worker_id in set(self.worker_by_id) - set(unlisted) - set(unreported):
+        for worker_id in set(self.worker_by_id) - set(unlisted_worker_ids) - set(silent_worker_ids):
             self.survey(worker_id)
-        for worker_id in set(unreported) - set(unlisted):
-            self.silence(worker_id)
+        for worker_id in set(silent_worker_ids) - set(unlisted_worker_ids):
+            self.mark_silent(worker_id)
 
     def list_worker(self, worker_id):
         profile = WorkerProfile(worker_id, 'svc', 'z', WORKER, ('a', 'r0'))
         self.scheduler.update_worker(profile, self.now)
 
-    def silence(self, worker_id):
+    def mark_silent(self, worker_id):
         self.worker_by_id[worker_id].is_silent = True
         known = self.scheduler.worker_by_id.get(worker_id)
         if known is not None:
@@ -118,30 +121,30 @@
         del self.job_by_id[job_id]
         self.scheduler.forget_job(job_id)
 
-    def decide(self, seconds, is_answered, is_late):
+    def decide(self, seconds, is_answered, is_delayed):
         """Advance the clock, run a scheduling pass and send its orders."""
         self.now_s += seconds
         for effect in self.scheduler.decide(self.now):
             order = Order(effect.worker_id, effect.key, effect.run)
             if isinstance(effect, StopRun):
-                self.stops.append(order)
+                self.pending_stops.append(order)
                 continue
             assert isinstance(effect, StartRun)
-            self._start(order, is_answered, is_late)
+            self._start(order, is_answered, is_delayed)
 
-    def _start(self, order, is_answered, is_late):
-        if is_late:
-            self.late.append(order)
+    def _start(self, order, is_answered, is_delayed):
+        if is_delayed:
+            self.delayed_starts.append(order)
         else:
             self.worker_by_id[order.worker_id].start(order)
-        if is_answered and not is_late:
+        if is_answered and not is_delayed:
             self.scheduler.run_started(*order, self.now)
         else:
             # An owner stops the runs whose starts stay unacknowledged.
-            self.stops.append(order)
+            self.pending_stops.append(order)
 
-    def carry_out_late(self, order):
-        self.late.remove(order)
+    def execute_delayed_start(self, order):
+        self.delayed_starts.remove(order)
         self.worker_by_id[order.worker_id].start(order)
 
     def deliver_stop(self, order, is_answered):
@@ -152,7 +155,7 @@
         worker.stop(order)
         if not is_answered:
             return
-        self.stops.remove(order)
+        self.pending_stops.remove(order)
         self.survey(order.worker_id)
         if order.key not in worker.run_by_key:
             self.scheduler.run_ended(RunEnd(*order, EndKind.STOPPED), self.now)
@@ -186,10 +189,10 @@
             for key, run in worker.run_by_key.items()
         ]
 
-    def unwanted(self):
+    def runs_to_stop(self):
         """Return the runs whose jobs are unknown to the owner or have ended, by cancellation or otherwise."""
-        return [order for order in self.running() if self._is_unwanted(order.key.job_id)]
+        return [order for order in self.running() if self._must_stop(order.key.job_id)]
 
-    def _is_unwanted(self, job_id):
+    def _must_stop(self, job_id):
         job = self.scheduler.job_by_id.get(job_id)
         return job is None or job.has_ended
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/pool.py
@@ -58,7 +58,7 @@
         self.spec_by_id[job_id] = spec
         return self.scheduler.add_job(spec, queue, self.now)
 
-    def step(self, seconds=0.0):
+    def advance(self, seconds=0.0):
         """Advance the clock, run a scheduling pass, and execute and check its effects."""
         self.now_s += seconds
         effects = self.scheduler.decide(self.now)
@@ -83,7 +83,7 @@
             self.failed_runs[key].add(run)
         self.scheduler.run_ended(RunEnd(worker_id, key, run, kind, checkpoint), self.now)
 
-    def end_unit(self, key, kind):
+    def end_task_or_gang(self, key, kind):
         """End a run and, as workers do, the other members of its gang."""
         worker_id, run = next((worker, run) for (worker, each), run in self.running.items() if each == key)
         step = self.spec_by_id[key.job_id].steps[key.step]
@@ -107,7 +107,7 @@
         )
         self.scheduler.worker_surveyed(worker_id, rows, self.now_s, self.now)
 
-    def keep_progress(self):
+    def save_progress(self):
         """Mark changed progress as saved to the store, as the recorder of an owner does."""
         for job_id in self.scheduler.take_dirty_jobs():
             self.scheduler.mark_saved(job_id)
@@ -121,7 +121,7 @@
         self.scheduler.worker_over(worker_id, self.now)
         self.add_worker(f'{worker_id}+', self.profiles.pop(worker_id).labels[1])
 
-    def used(self, worker_id):
+    def used_resources(self, worker_id):
         total = Resources()
         for worker, key in self.running:
             if worker == worker_id:
@@ -146,7 +146,9 @@
             assert step.label in self.profiles[effect.worker_id].labels
         self.running[effect.worker_id, key] = effect.run
         self.starts.append(effect)
-        assert self.profiles[effect.worker_id].capacity.covers(self.used(effect.worker_id)), 'worker over capacity'
+        assert self.profiles[effect.worker_id].capacity.covers(self.used_resources(effect.worker_id)), (
+            'worker over capacity'
+        )
         if step.max_per_worker:
             same = [1 for worker, each in self.running if worker == effect.worker_id and each[:3] == key[:3]]
             assert len(same) <= step.max_per_worker
@@ -176,22 +178,22 @@
     return StepSpec(count, Resources(4_000, 16_000, accelerators), work_s, **fields)
 
 
-def run_all(pool, job_id, kind=EndKind.DONE):
+def end_all_runs(pool, job_id, kind=EndKind.DONE):
     for key in [key for _, key in sorted(pool.running) if key.job_id == job_id]:
         if any(each == key for _, each in pool.running):
-            pool.end_unit(key, kind)
+            pool.end_task_or_gang(key, kind)
 
 
-def learn_slow_workers(pool, slow):
+def train_worker_paces(pool, slow):
     """Run steps whose tasks take longer on the slow workers, so that the scheduler learns the pace of each worker."""
     for number in range(6):
         job_id = f'{number + 500:016x}'
         pool.submit(job_id, task(len(pool.profiles), accelerators=8, work_s=4.0), queue=PATIENT)
-        pool.step(0.3)
+        pool.advance(0.3)
         for is_slow in (False, True):
             pool.now_s += 1.2 if is_slow else 4.0
             for worker, key in sorted(pool.running):
                 if (worker in slow) is is_slow:
-                    pool.end_unit(key, EndKind.DONE)
-        pool.step(0.3)
+                    pool.end_task_or_gang(key, EndKind.DONE)
+        pool.advance(0.3)
     assert not pool.running
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -196,7 +196,7 @@
         self.owners.decide(delivery)
 
     @rule(seconds=st.floats(0.0, 4.0), delivery=st.sampled_from(('answered', 'answered', 'unanswered')))
-    def go_on(self, seconds, delivery):
+    def survey_and_decide(self, seconds, delivery):
         self.owners.detect_crashes()
         self.owners.save()
         self.owners.pass_time(seconds)
@@ -207,7 +207,7 @@
         self.owners.take_over()
 
     @rule(is_store_unavailable=st.booleans())
-    def change_store(self, is_store_unavailable):
+    def set_store_availability(self, is_store_unavailable):
         self.owners.is_store_available = not is_store_unavailable
         self.owners.save()
         if not is_store_unavailable:
@@ -227,14 +227,14 @@
             self.owners.crash(worker_id, is_seen=False)
 
     @rule(choice=st.randoms(use_true_random=False))
-    def crash_before_a_start_is_carried_out(self, choice):
+    def crash_before_a_start_is_executed(self, choice):
         if self.owners.delayed_starts:
             worker_id = choice.choice(self.owners.delayed_starts).worker_id
             self.owners.pass_time(0.5)
             self.owners.crash(worker_id)
 
     @rule(choice=st.randoms(use_true_random=False))
-    def carry_out_late(self, choice):
+    def execute_delayed_start(self, choice):
         if self.owners.delayed_starts:
             order = choice.choice(self.owners.delayed_starts)
             self.owners.delayed_starts.remove(order)
@@ -289,14 +289,14 @@
             rng.choice((URGENT, ORDINARY)), rng.randint(1, 2), rng.choice((1, 8)), rng.random() < 0.5
         ),
         lambda: machine.decide(rng.choice((delivery, 'late', 'owner ends'))),
-        lambda: machine.go_on(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
+        lambda: machine.survey_and_decide(rng.choice((0.1, 0.3, 1.0, 2.0, 4.0)), delivery),
         machine.change_owner,
-        lambda: machine.change_store(rng.random() < 0.4),
+        lambda: machine.set_store_availability(rng.random() < 0.4),
         lambda: machine.crash(rng, rng.random() < 0.7),
-        lambda: machine.carry_out_late(rng),
+        lambda: machine.execute_delayed_start(rng),
         lambda: machine.end(rng),
         lambda: machine.crash_before_an_end_is_listed(rng),
-        lambda: machine.crash_before_a_start_is_carried_out(rng),
+        lambda: machine.crash_before_a_start_is_executed(rng),
     ]
     weights = (1 if machine.jobs < MAX_JOBS else 0, 4, 12, 2, 2, 1, 2, 2, 3, 3)
     (apply_rule,) = rng.choices(rules, weights)
--- a/packages/node/dahliaarch_node/front/acceptance.py
+++ b/packages/node/dahliaarch_node/front/acceptance.py
@@ -19,7 +19,7 @@
 STORE_WRITE_TIMEOUT_S = 0.8
 
 
-class Fate(StrEnum):
+class WriteStatus(StrEnum):
     """Outcome of a write to the store."""
 
     KEPT = 'kept'
@@ -31,11 +31,11 @@
 class WriteOutcome(NamedTuple):
     """Outcome of a write and its store revision; 0 if nothing was written or an earlier attempt wrote it."""
 
-    fate: Fate
+    status: WriteStatus
     revision: int = 0
 
 
-async def keep_job(
+async def write_job(
     store: StoreClient, job_id: str, record: bytes, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
     """Write a job to the store unless it holds one with this id already."""
@@ -43,7 +43,7 @@
     return await _commit(store, (Condition(write.key, 0),), write, write_timeout_s)
 
 
-async def keep_cancellation(
+async def write_cancellation(
     store: StoreClient, job_id: str, write_timeout_s: float = STORE_WRITE_TIMEOUT_S
 ) -> WriteOutcome:
     """Write a cancellation to the store."""
@@ -58,20 +58,20 @@
 ) -> WriteOutcome:
     if store.is_suspect:
         # A write that is never sent can't take effect later, so the refusal is certain.
-        return WriteOutcome(Fate.NOT_KEPT)
+        return WriteOutcome(WriteStatus.NOT_KEPT)
     deadline_s = time.monotonic() + write_timeout_s
-    fate = Fate.NOT_KEPT
+    status = WriteStatus.NOT_KEPT
     while time.monotonic() < deadline_s:
         try:
             outcome = await store.commit(conditions, (write,), timeout_s=deadline_s - time.monotonic())
         except StoreUnansweredError as error:
             log_event('write_unanswered', key=write.key, why=str(error))
-            fate = Fate.UNKNOWN
+            status = WriteStatus.UNKNOWN
             continue
         except STORE_FAILURES as error:
-            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=fate is Fate.UNKNOWN)
+            log_event('write_refused', key=write.key, why=str(error), was_ambiguous=status is WriteStatus.UNKNOWN)
             break
         # A failed condition means that the key exists already, written by an earlier
         # attempt of this loop or of the caller.
-        return WriteOutcome(Fate.KEPT, outcome.revision)
-    return WriteOutcome(fate)
+        return WriteOutcome(WriteStatus.KEPT, outcome.revision)
+    return WriteOutcome(status)
--- a/packages/node/dahliaarch_node/instance.py
+++ b/packages/node/dahliaarch_node/instance.py
@@ -1,4 +1,4 @@
-"""One instance: its servers, its messages and, at times, the pool."""
+"""One instance of the daemon: its HTTP servers, its links to other instances and, while elected, the pool owner."""
 
 import secrets
 import signal
@@ -17,7 +17,7 @@
 from dahliaarch_platform.settings import Address, InstanceSettings, read_settings
 from dahliaarch_platform.store import StoreClient
 
-from .asking import askers
+from .asking import policy_queries
 from .authority import Authority
 from .configuration import ConfigurationFollower, PeerFeed, StoreFeed
 from .front import Front
@@ -31,42 +31,44 @@
 from .peers import Mesh
 from .probing import probe_store
 from .records import Member
-from .relaying import relays
+from .relaying import available_relays
 from .replies import PeerReplies
-from .status import describe
+from .status import build_status
 from .timing import StoreTiming
 
-# An instance with at least this much of a core is an able owner.
-_ABLE_CORES = 0.9
-# Descriptors that are not for callers' connections.
+# Minimum CPU, in cores, with which an instance is a preferred owner and claims the pool sooner.
+_MIN_PREFERRED_OWNER_CORES = 0.9
+# File descriptors reserved for uses other than client connections.
 _RESERVED_FDS = 400
-# How long a stopping instance still takes requests, in seconds: the balancer
-# drops it after two checks, one a second, that it misses.
-_STOP_ACCEPTING_S = 2.6
-# Part of the grace period kept for the end of the process, in seconds.
+# How long an instance that shuts down still accepts connections, in seconds. The load balancer
+# removes it after two failed readiness checks, which are made once a second.
+_SHUTDOWN_ACCEPT_S = 2.6
+# Part of the grace period reserved for process exit, in seconds.
 _EXIT_MARGIN_S = 0.8
-# How often the settings file is looked at, in seconds.
-_SETTINGS_EVERY_S = 1.0
+# Interval at which the settings file is polled, in seconds.
+_SETTINGS_POLL_INTERVAL_S = 1.0
 
 
 class Instance:
-    """Everything that one process runs.
+    """All components of one daemon process.
 
     Parameters
     ----------
     settings : InstanceSettings
-        What the settings file says.
+        Settings of the platform, as read from its file.
     path : Path
-        That file, which may change.
-    own : OwnSettings
-        What the project's own file says.
+        Path of that file, which is reloaded when it changes.
+    own_settings : OwnSettings
+        Settings chosen by the project's operators.
     log_writer : LogWriter
-        Writes the log lines.
+        Writes log lines in the background.
     """
 
-    def __init__(self, settings: InstanceSettings, path: Path, own: OwnSettings, log_writer: LogWriter) -> None:
-        """Build the parts; nothing runs yet."""
-        self._own_settings = own
+    def __init__(
+        self, settings: InstanceSettings, path: Path, own_settings: OwnSettings, log_writer: LogWriter
+    ) -> None:
+        """Build the components; `run` starts them."""
+        self._own_settings = own_settings
         self._settings = settings
         self._path = path
         self._log_writer = log_writer
@@ -77,14 +79,14 @@
         self._member = Member(settings.instance, secrets.token_hex(4), settings.ip, settings.peer_ports[0])
         self._follower = ConfigurationFollower(self._metrics)
         self._store_feed = StoreFeed(self._follower, self._store, self._timing)
-        self._authority = Authority(own.ownership.lease_s)
+        self._authority = Authority(own_settings.ownership.lease_s)
         self._ownership = Ownership(
             self._member,
             self._store,
             self._timing,
-            own.ownership,
+            own_settings.ownership,
             self._authority,
-            is_able=settings.cpu_share * settings.cores >= _ABLE_CORES,
+            is_preferred=settings.cpu_share * settings.cores >= _MIN_PREFERRED_OWNER_CORES,
         )
         self._advice = AdviceClient(self._http, settings.advice) if settings.advice else None
         self._replies = PeerReplies(self._store, self._follower, self._ownership, self._advice)
@@ -99,19 +101,19 @@
             self._peer_feed,
             self._mesh,
             self._authority,
-            self._ownership.outdated,
+            self._ownership.observe_newer_epoch,
         )
         self._replies.membership = self._membership
         self._front_server = HttpServer(
             self._front.answer,
             max_connections=max(64, settings.max_fds - _RESERVED_FDS),
         )
-        self._side_server = HttpServer(self._answer_side)
-        self._metrics_server = HttpServer(self._answer_side)
+        self._internal_server = HttpServer(self._answer_internal)
+        self._metrics_server = HttpServer(self._answer_internal)
         self._is_stopping = False
 
     async def run(self) -> None:
-        """Serve until the process is asked to stop."""
+        """Serve until SIGTERM, then shut down gracefully."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._log_writer.run)
             tasks.start_soon(self._mesh.run, self._settings.ip, self._settings.peer_ports[0])
@@ -122,17 +124,17 @@
             log_event('started', domain=self._settings.domain, incarnation=self._member.incarnation)
             tasks.start_soon(self._ownership.run)
             tasks.start_soon(self._membership.register)
-            tasks.start_soon(self._greet_owners)
-            tasks.start_soon(self._own_when_owner)
-            tasks.start_soon(self._follow_limits)
+            tasks.start_soon(self._send_hello_to_owners)
+            tasks.start_soon(self._run_owner_when_elected)
+            tasks.start_soon(self._apply_http_limits)
             tasks.start_soon(self._watch_settings)
             await self._wait_for_signals(tasks)
         self._log_writer.flush()
 
     async def _listen(self) -> None:
-        """Serve callers, readiness checks and, if there is a port for them alone, metrics."""
+        """Listen for client requests, readiness checks and, if a port is configured, metrics."""
         await self._front_server.listen(self._settings.front)
-        await self._side_server.listen(self._settings.ready)
+        await self._internal_server.listen(self._settings.ready)
         port = self._own_settings.metrics.port
         if not port:
             return
@@ -141,79 +143,82 @@
         except OSError as error:
             log_event('metrics_port_taken', port=port, why=str(error))
 
-    async def _answer_side(self, request: Request) -> Response:
-        """Answer readiness checks, show the metrics and the state."""
+    async def _answer_internal(self, request: Request) -> Response:
+        """Answer requests for readiness, metrics and status."""
         if request.path == '/metrics':
             return Response(200, self._metrics.render(), content_type='text/plain; version=0.0.4')
         if request.path == '/status':
-            found = describe(self._ownership, self._follower, self._store, self._replies.owner)
-            return Response(200, msgspec.json.encode(found))
+            status = build_status(self._ownership, self._follower, self._store, self._replies.owner)
+            return Response(200, msgspec.json.encode(status))
         if request.path != '/ready':
             return Response(404)
         is_ready = self._follower.current is not None and not self._is_stopping
         return Response(200 if is_ready else 503)
 
-    async def _own_when_owner(self) -> None:
-        """Run the pool's owner for as long as this instance owns the pool."""
+    async def _run_owner_when_elected(self) -> None:
+        """Run the pool owner whenever this instance owns the pool."""
         while True:
             changed = self._ownership.changed
-            if not self._ownership.is_own:
+            if not self._ownership.is_owner:
                 await changed.wait()
                 continue
-            await self._own(self._ownership.owner.epoch if self._ownership.owner else 0)
+            await self._run_owner(self._ownership.owner.epoch if self._ownership.owner else 0)
 
-    async def _own(self, epoch: int) -> None:
+    async def _run_owner(self, epoch: int) -> None:
+        """Run the pool owner for one epoch, until it is deposed."""
         owner = PoolOwner(
             OwnerSettings(epoch, self._settings.bounds, self._timing, self._own_settings),
             self._store,
             WorkerClient(self._http),
-            partial(askers, self._advice, self._mesh, self._membership),
+            partial(policy_queries, self._advice, self._mesh, self._membership),
             self._metrics,
             self._authority,
-            partial(relays, self._mesh, self._membership),
+            partial(available_relays, self._mesh, self._membership),
         )
         self._replies.owner = owner
         self._metrics.is_owner.set(1)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._feed_guarantees, owner)
+                tasks.start_soon(self._forward_configuration, owner)
                 tasks.start_soon(self._membership.send_heartbeats, epoch)
-                tasks.start_soon(self._stop_when_replaced, owner, epoch)
+                tasks.start_soon(self._depose_when_replaced, owner, epoch)
                 await owner.run()
                 tasks.cancel_scope.cancel()
         finally:
             self._replies.owner = None
             self._metrics.is_owner.set(0)
         if owner.is_deposed:
-            self._ownership.deposed()
+            self._ownership.step_down()
 
-    async def _stop_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
-        """Stop an owner whose epoch is over."""
+    async def _depose_when_replaced(self, owner: PoolOwner, epoch: int) -> None:
+        """Depose the pool owner once its epoch has ended."""
         while True:
             changed = self._ownership.changed
             known = self._ownership.owner
-            if known is None or not self._ownership.is_own or known.epoch != epoch:
+            if known is None or not self._ownership.is_owner or known.epoch != epoch:
                 owner.depose()
                 return
             await changed.wait()
 
-    async def _feed_guarantees(self, owner: PoolOwner) -> None:
+    async def _forward_configuration(self, owner: PoolOwner) -> None:
+        """Pass each new configuration to the pool owner."""
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
                 owner.set_configuration(self._follower.current)
             await changed.wait()
 
-    async def _greet_owners(self) -> None:
-        """Tell each new owner that this instance is there."""
+    async def _send_hello_to_owners(self) -> None:
+        """Announce this instance to each new owner."""
         while True:
             changed = self._ownership.changed
             owner = self._ownership.owner
-            if owner is not None and not self._ownership.is_own:
-                self._membership.greet(owner.member)
+            if owner is not None and not self._ownership.is_owner:
+                self._membership.send_hello(owner.member)
             await changed.wait()
 
-    async def _follow_limits(self) -> None:
+    async def _apply_http_limits(self) -> None:
+        """Apply the request size limits of each new configuration."""
         while True:
             changed = self._follower.changed
             if self._follower.current is not None:
@@ -223,12 +228,12 @@
             await changed.wait()
 
     async def _watch_settings(self) -> None:
-        """Notice a settings file that changes without a signal."""
+        """Reload the settings file when it changes, also without SIGHUP."""
         while True:
-            await anyio.sleep(_SETTINGS_EVERY_S)
-            self._reload('file')
+            await anyio.sleep(_SETTINGS_POLL_INTERVAL_S)
+            self._reload_settings('file')
 
-    def _reload(self, cause: str) -> None:
+    def _reload_settings(self, cause: str) -> None:
         try:
             settings = read_settings(self._path)
         except (OSError, SettingsError) as error:
@@ -243,23 +248,23 @@
             async for number in received:
                 if number == signal.SIGTERM:
                     break
-                self._reload('signal')
+                self._reload_settings('signal')
         await self._stop()
         tasks.cancel_scope.cancel()
 
     async def _stop(self) -> None:
-        """Hand the pool over, let the balancer turn away, finish what was read."""
-        begun_s = time.monotonic()
-        log_event('stopping', is_owner=self._ownership.is_own)
+        """Release the pool, wait until the load balancer has removed this instance, and finish open requests."""
+        started_s = time.monotonic()
+        log_event('stopping', is_owner=self._ownership.is_owner)
         self._is_stopping = True
         with anyio.move_on_after(self._settings.bounds.grace_s / 3):
             await self._ownership.release()
-        await anyio.sleep(max(0.0, begun_s + _STOP_ACCEPTING_S - time.monotonic()))
+        await anyio.sleep(max(0.0, started_s + _SHUTDOWN_ACCEPT_S - time.monotonic()))
         self._front_server.begin_close()
-        last_s = begun_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
-        while self._front_server.connections and time.monotonic() < last_s:
+        deadline_s = started_s + self._settings.bounds.grace_s - _EXIT_MARGIN_S
+        while self._front_server.connections and time.monotonic() < deadline_s:
             await anyio.sleep(0.05)
-        log_event('stopped', took_s=round(time.monotonic() - begun_s, 3))
+        log_event('stopped', took_s=round(time.monotonic() - started_s, 3))
         self._front_server.close()
-        self._side_server.close()
+        self._internal_server.close()
         self._metrics_server.close()
--- a/packages/node/dahliaarch_node/owner/core.py
+++ b/packages/node/dahliaarch_node/owner/core.py
@@ -17,7 +17,7 @@
 from dahliaarch_platform.sessions import WorkerClient
 from dahliaarch_platform.store import StoreClient
 
-from ..authority import Authority, lasting_authority
+from ..authority import Authority, permanent_authority
 from ..clock import steady_s
 from ..logs import log_event
 from ..metrics import Metrics
@@ -64,7 +64,7 @@
         Client of the store.
     workers : WorkerClient
         Opens sessions with workers.
-    askers : callable
+    policy_queries : callable
         Returns the functions through which the external policy can currently be queried.
     metrics : Metrics
         Metrics of this instance.
@@ -79,13 +79,13 @@
         settings: OwnerSettings,
         store: StoreClient,
         workers: WorkerClient,
-        askers: Callable[[], Sequence[AskPolicyFunction]],
+        policy_queries: Callable[[], Sequence[AskPolicyFunction]],
         metrics: Metrics,
         authority: Authority | None = None,
         relays: Callable[[], Sequence[CommitFunction]] = tuple,
     ) -> None:
         """Build the components; `run` takes over the pool."""
-        self._authority = authority or lasting_authority()
+        self._authority = authority or permanent_authority()
         self._has_authority = True
         self.is_ready = False
         self.end_notifier = EndNotifier()
@@ -117,7 +117,7 @@
             self._may_order,
         )
         self._links = LinkRegistry(context)
-        self._advice_dispatcher = AdviceDispatcher(askers, self.post, self._links.name_of, steady_s)
+        self._advice_dispatcher = AdviceDispatcher(policy_queries, self.post, self._links.name_of, steady_s)
         self._effects = EffectExecutor(self.scheduler, self._links, self._advice_dispatcher, self.post, metrics, _now)
         self._recorder = Recorder(
             Committer(store, relays),
@@ -230,7 +230,7 @@
         for entry in workers.roster:
             is_lapsed = entry.is_lapsed and entry.known_incarnation.name not in in_use
             yield WorkerInherited(entry.profile, entry.address, entry.known_incarnation, is_lapsed)
-        yield from self._workers_feed.messages(workers.entries, is_whole=True)
+        yield from self._workers_feed.messages(workers.entries, is_snapshot=True)
         yield WorkersSynced()
 
     async def _await_reports(self, handler: MessageHandler) -> None:
@@ -257,7 +257,7 @@
 
     def _may_order(self) -> bool:
         """Return whether this instance certainly owns the pool now; checked before each order."""
-        may_order = self._authority.holds(steady_s())
+        may_order = self._authority.is_valid(steady_s())
         if may_order is not self._has_authority:
             self._has_authority = may_order
             log_event('authority_regained' if may_order else 'authority_lost', epoch=self.epoch)
--- a/packages/node/dahliaarch_node/owner/feeds.py
+++ b/packages/node/dahliaarch_node/owner/feeds.py
@@ -11,7 +11,7 @@
 from dahliaarch_platform.store import Item, Page, STORE_FAILURES, StoreClient, WORKERS_PREFIX
 
 from ..logs import log_event
-from ..records import CANCEL_SUFFIX, job_id_of, JobRecord, JOBS_PREFIX
+from ..records import CANCEL_SUFFIX, job_id_from_key, JobRecord, JOBS_PREFIX
 from ..timing import StoreTiming
 from ..watching import next_updates
 from .messages import (
@@ -88,7 +88,7 @@
     if item.removed:
         return
     if item.key.endswith(CANCEL_SUFFIX):
-        yield JobCancelled(job_id_of(item.key))
+        yield JobCancelled(job_id_from_key(item.key))
         return
     try:
         record = decode(item.value, JobRecord, 'job record')
@@ -112,9 +112,9 @@
         self._feed = feed
         self._known: set[str] = set()
 
-    def messages(self, page: Page, *, is_whole: bool) -> Iterator[OwnerMessage]:
+    def messages(self, page: Page, *, is_snapshot: bool) -> Iterator[OwnerMessage]:
         """Yield the messages for a page of entries; a complete listing also reveals which entries were removed."""
-        if is_whole:
+        if is_snapshot:
             listed = {item.key for item in page.items}
             for key in self._known - listed:
                 yield self._removal_message(key)
@@ -135,10 +135,10 @@
 
     async def _watch(self, revision: int) -> int:
         updates = await next_updates(self._feed.store, self._feed.timing, WORKERS_PREFIX, revision)
-        for message in self.messages(updates.page, is_whole=updates.is_whole):
+        for message in self.messages(updates.page, is_snapshot=updates.is_snapshot):
             self._feed.post(message)
         self._feed.post(WorkersSynced())
-        if updates.is_whole:
+        if updates.is_snapshot:
             return updates.page.revision
         await _pause_after(updates.page, _WORKERS_WATCH_PAUSE_S)
         return max(revision, updates.page.revision)
--- a/packages/node/dahliaarch_node/owner/recorder.py
+++ b/packages/node/dahliaarch_node/owner/recorder.py
@@ -20,10 +20,10 @@
 
 from ..logs import log_event
 from ..records import (
-    ASSIGNER_KEY,
+    ASSIGNMENTS_EPOCH_KEY,
     assignments_key,
     cancel_key,
-    job_id_of,
+    job_id_from_key,
     job_key,
     OWNER_KEY,
     progress_key,
@@ -240,7 +240,7 @@
             if change.part is not None:
                 pending.parts.discard(change.part)
             elif change.key.startswith(PROGRESS_PREFIX):
-                self._mark_progress_persisted(job_id_of(change.key), pending)
+                self._mark_progress_persisted(job_id_from_key(change.key), pending)
             elif change.value is not None and change.key.startswith(ROSTER_PREFIX):
                 self._persisted_part_by_key[change.key] = change.value
 
@@ -256,7 +256,7 @@
             [Condition(OWNER_KEY, self._epoch), *conditions],
             [Write(change.key, change.value) for change in batch if change.value is not None],
             [change.key for change in batch if change.value is None],
-            timeout_s=self._timing.write_s,
+            timeout_s=self._timing.write_timeout_s,
         )
         if outcome.status is CommitStatus.DONE:
             for change in batch:
@@ -317,7 +317,7 @@
         parts = sorted(self._part_by_key.items())
         changes = [_Change(key, part) for key, part in parts if part != self._persisted_part_by_key.get(key)]
         if changes:
-            changes.append(_Change(ASSIGNER_KEY, encode(self._epoch)))
+            changes.append(_Change(ASSIGNMENTS_EPOCH_KEY, encode(self._epoch)))
         return changes
 
     def _roster_parts(self) -> dict[str, bytes]:
@@ -338,7 +338,7 @@
                 [Condition(OWNER_KEY, self._epoch)],
                 [],
                 keys,
-                timeout_s=self._timing.call_s,
+                timeout_s=self._timing.call_timeout_s,
             )
         except STORE_FAILURES as error:
             log_event('jobs_not_removed', jobs=len(job_ids), why=str(error))
--- a/packages/node/dahliaarch_node/owner/takeover.py
+++ b/packages/node/dahliaarch_node/owner/takeover.py
@@ -12,11 +12,11 @@
 
 from ..logs import log_event
 from ..records import (
-    ASSIGNER_KEY,
-    assignments_part,
+    ASSIGNMENTS_EPOCH_KEY,
     ASSIGNMENTS_PREFIX,
-    job_id_of,
+    job_id_from_key,
     JOBS_PREFIX,
+    parse_assignments_key,
     PROGRESS_PREFIX,
     ROSTER_PREFIX,
     RosterEntry,
@@ -75,7 +75,7 @@
     Earlier versions of the program store only the roster, and later ones may use an encoding unknown to this one.
     """
     roster_revision = max(workers.revision_by_key.values(), default=0)
-    return stored.is_readable and stored.revision_by_key.get(ASSIGNER_KEY, 0) >= roster_revision
+    return stored.is_readable and stored.revision_by_key.get(ASSIGNMENTS_EPOCH_KEY, 0) >= roster_revision
 
 
 async def read_workers(store: StoreClient, timing: StoreTiming) -> KnownWorkers:
@@ -117,7 +117,7 @@
     found = {}
     for item in page.items:
         try:
-            found[job_id_of(item.key)] = decode(item.value, JobProgress, 'progress')
+            found[job_id_from_key(item.key)] = decode(item.value, JobProgress, 'progress')
         except ProtocolError as error:
             log_event('progress_malformed', key=item.key, why=str(error))
     return found
@@ -128,10 +128,10 @@
     found: AssignmentsById = defaultdict(dict)
     is_readable = True
     for item in page.items:
-        if item.key == ASSIGNER_KEY:
+        if item.key == ASSIGNMENTS_EPOCH_KEY:
             continue
         try:
-            part = assignments_part(item.key)
+            part = parse_assignments_key(item.key)
             found[part.job_id][part] = decode(item.value, StepAssignments, 'assignments')
         except (ProtocolError, ValueError) as error:
             log_event('assignments_malformed', key=item.key, why=str(error))
--- a/packages/node/dahliaarch_node/owner/tests/test_recorder.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""Writes that the store carries out late must not undo newer ones."""
+"""Tests of the recorder: delayed, refused and unanswered writes, and their number and latency."""
 
 import time
 
@@ -30,20 +30,20 @@
 
 
 class LateStore:
-    """A store whose first transaction is carried out only when it is told so."""
+    """A store that leaves its first transaction unanswered and applies it only on request."""
 
     def __init__(self):
         self.items = {OWNER_KEY: Item(OWNER_KEY, b'', EPOCH)}
         self.revision = EPOCH
-        self.late = None
+        self.delayed_commit = None
         self.commits = 0
-        self.most_entries = 0
+        self.max_entries = 0
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         self.commits += 1
-        self.most_entries = max(self.most_entries, len(conditions) + len(writes) + len(removals))
+        self.max_entries = max(self.max_entries, len(conditions) + len(writes) + len(removals))
         if self.commits == 1 and writes:
-            self.late = (conditions, writes)
+            self.delayed_commit = (conditions, writes)
             raise StoreUnansweredError('late')
         return self.apply(conditions, writes)
 
@@ -63,17 +63,17 @@
         return set(progress.steps[0].done)
 
 
-def end(scheduler, index):
+def end_task(scheduler, index):
     scheduler.run_ended(RunEnd('w', TaskKey(JOB, 0, 0, index), index + 1, EndKind.DONE), Moment(1.0, 1.0))
 
 
-def roster_of(*, is_lapsed):
+def make_roster(*, is_lapsed):
     profile = WorkerProfile('w', 'svc', 'z', Resources(64_000, 262_144, 8), ('a', 'r0'))
     return [RosterEntry(profile, Address('127.0.0.1', 1), WorkerIncarnation('w'), is_lapsed)]
 
 
-def recorder_of(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
-    timing = StoreTiming(retry_s=0.01)
+def make_recorder(store, scheduler, deposed, on_persisted=lambda processed_ends: None):
+    timing = StoreTiming(mean_retry_pause_s=0.01)
     return Recorder(
         store,
         timing,
@@ -87,7 +87,7 @@
     )
 
 
-async def keep(recorder, until):
+async def run_recorder(recorder, until):
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
         recorder.flush_requested.set()
@@ -107,25 +107,25 @@
 def test_a_late_write_of_the_same_owner_does_not_undo_a_newer_one():
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
-    recorder = recorder_of(store, scheduler, deposed)
-    end(scheduler, 0)
-    anyio.run(keep, recorder, lambda: progress_key(JOB) in store.items)
-    end(scheduler, 1)
-    anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
-    store.apply(*store.late)
+    recorder = make_recorder(store, scheduler, deposed)
+    end_task(scheduler, 0)
+    anyio.run(run_recorder, recorder, lambda: progress_key(JOB) in store.items)
+    end_task(scheduler, 1)
+    anyio.run(run_recorder, recorder, lambda: store.done_tasks() == {0, 1})
+    store.apply(*store.delayed_commit)
     assert store.done_tasks() == {0, 1}
     assert not deposed
 
 
-def test_a_write_that_was_carried_out_unanswered_does_not_depose_its_owner():
+def test_a_write_that_was_applied_but_unanswered_does_not_depose_its_owner():
     store, deposed = LateStore(), []
     scheduler = scheduler_with_job()
-    recorder = recorder_of(store, scheduler, deposed)
-    end(scheduler, 0)
-    anyio.run(keep, recorder, lambda: store.commits >= 1)
-    store.apply(*store.late)
-    end(scheduler, 1)
-    anyio.run(keep, recorder, lambda: store.done_tasks() == {0, 1})
+    recorder = make_recorder(store, scheduler, deposed)
+    end_task(scheduler, 0)
+    anyio.run(run_recorder, recorder, lambda: store.commits >= 1)
+    store.apply(*store.delayed_commit)
+    end_task(scheduler, 1)
+    anyio.run(run_recorder, recorder, lambda: store.done_tasks() == {0, 1})
     assert not deposed
 
 
@@ -137,13 +137,13 @@
         spec = JobSpec(f'{number:016x}', '', 'q', '', (StepSpec(1, Resources(1, 1, 1)),))
         scheduler.add_job(spec, queue, Moment(0.0, 1.0))
         scheduler.cancel(spec.job_id, Moment(0.0, 1.0))
-    anyio.run(recorder_of(store, scheduler, []).remove_ended, 100.0)
+    anyio.run(make_recorder(store, scheduler, []).remove_ended, 100.0)
     assert not scheduler.job_by_id
-    assert store.most_entries <= MAX_TRANSACTION_ENTRIES
+    assert store.max_entries <= MAX_TRANSACTION_ENTRIES
 
 
 class RefusingStore(LateStore):
-    """A store that refuses every fifth transaction."""
+    """A store that rejects every fifth transaction."""
 
     async def commit(self, conditions, writes, removals=(), *, timeout_s):
         self.commits += 1
@@ -152,36 +152,36 @@
         return self.apply(conditions, writes)
 
 
-def test_what_is_kept_is_not_written_again_when_a_later_write_fails():
-    """After an outage the ends of hundreds of jobs were written and none was ever acknowledged.
+def test_persisted_progress_is_not_written_again_when_a_later_write_fails():
+    """After a store outage the ends of hundreds of jobs were written repeatedly and none was acknowledged.
 
-    They need many transactions. When one failed, all jobs were written again, from the first: with one of five
-    transactions refused, twenty in a row never came, and ends are acknowledged only once everything is kept.
+    The ends take about twenty transactions. After a failed one all jobs were written again from the first: with one
+    transaction in five refused, twenty in a row never succeed, and ends are acknowledged only once all are persisted.
     """
-    store, kept = RefusingStore(), []
+    store, persisted = RefusingStore(), []
     scheduler = Scheduler(SchedulerSettings(), EPOCH)
     for number in range(300):
         job_id = f'{number:016x}'
         spec = JobSpec(job_id, '', 'q', '', (StepSpec(1, Resources(1, 1, 1)),))
         scheduler.add_job(spec, Queue('q', 'h', '/', 'svc'), Moment(0.0, 0.0))
         scheduler.run_ended(RunEnd('w', TaskKey(job_id, 0, 0, 0), 1, EndKind.DONE), Moment(1.0, 1.0))
-    recorder = recorder_of(store, scheduler, [], kept.append)
-    anyio.run(keep, recorder, lambda: kept)
+    recorder = make_recorder(store, scheduler, [], persisted.append)
+    anyio.run(run_recorder, recorder, lambda: persisted)
     assert all(job.is_end_saved for job in scheduler.job_by_id.values())
-    # Twenty transactions, and those refused among them.
+    # Twenty transactions and the refused ones.
     assert store.commits <= 25
 
 
-async def time_to_keep(scheduler, index):
-    """Return how long after an end of a task it is kept, in seconds."""
+async def measure_persist_delay(scheduler, index):
+    """Return the time from the end of a task until it is persisted, in seconds."""
     store = LateStore()
     store.commits = 1
-    recorder = recorder_of(store, scheduler, [])
+    recorder = make_recorder(store, scheduler, [])
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(recorder.run)
         await anyio.sleep(0.01)
         begun_s = time.monotonic()
-        end(scheduler, index)
+        end_task(scheduler, index)
         recorder.flush_requested.set()
         while progress_key(JOB) not in store.items:
             await anyio.sleep(0.001)
@@ -189,20 +189,20 @@
     return time.monotonic() - begun_s
 
 
-def test_the_end_of_a_job_is_kept_at_once_and_ends_of_tasks_are_gathered():
-    """Its owner is told of a job's end only once it is kept; 0.03 s of gathering made urgent jobs late."""
+def test_the_end_of_a_job_is_persisted_at_once_and_ends_of_tasks_are_batched():
+    """The end of a job is reported only once it is persisted; batching for 0.03 s made urgent jobs late."""
     scheduler = scheduler_with_job()
-    assert anyio.run(time_to_keep, scheduler, 0) > 0.025
+    assert anyio.run(measure_persist_delay, scheduler, 0) > 0.025
     for index in (1, 2):
-        end(scheduler, index)
-    assert anyio.run(time_to_keep, scheduler, 3) < 0.02
+        end_task(scheduler, index)
+    assert anyio.run(measure_persist_delay, scheduler, 3) < 0.02
 
 
-def test_a_roster_that_got_no_answer_is_written_over_by_the_one_before():
-    # The late write would tell the next owner of a worker what holds no more.
+def test_an_unanswered_roster_write_is_overwritten_by_the_previous_roster():
+    # If it is applied late, the unanswered write would give the next owner an outdated state of a worker.
     store = LateStore()
-    recorder = recorder_of(store, Scheduler(SchedulerSettings(), EPOCH), [])
-    first, second = roster_of(is_lapsed=False), roster_of(is_lapsed=True)
+    recorder = make_recorder(store, Scheduler(SchedulerSettings(), EPOCH), [])
+    first, second = make_roster(is_lapsed=False), make_roster(is_lapsed=True)
 
     async def scenario():
         async with anyio.create_task_group() as tasks:
@@ -215,4 +215,4 @@
             tasks.cancel_scope.cancel()
 
     anyio.run(scenario)
-    assert store.apply(*store.late).status is CommitStatus.CONDITION_FAILED
+    assert store.apply(*store.delayed_commit).status is CommitStatus.CONDITION_FAILED
--- a/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_repeated_orders.py
@@ -1,14 +1,13 @@
-"""What an owner sends to a worker again and again stays small, whatever waits.
+"""Tests that repeated requests to workers use little bandwidth however many are pending.
 
-What happens: hundreds of stops to workers that do not answer, or hundreds of ends that the store can't keep, fill a
-slow link for good, so that no worker is contacted any more and all work is given up.
+Hundreds of stops to workers that do not answer, or hundreds of ends that the store cannot persist, saturated a slow
+network link permanently: no worker could be reached any more, and all work was given up. The cause was that a growing
+number of items was sent again at a fixed interval:
 
-The sequence: a link of 5 Mbit/s was full of starts for a moment; those that went unanswered were taken back, each by a
-stop that was sent again each 0.85 s whether the worker answered anything or not. 1,400 of them are 400 KB/s, which kept
-the link full, so that none was answered. Likewise, each survey lists all ends that are not acknowledged, and they were
-asked for each 0.4 s: thirty ends on each of 176 workers, after a minute without the store, are 710 KB/s.
-
-The cause: repeats at a fixed pace of something that grows.
+- Starts filled a link of 5 Mbit/s for a moment. Each unanswered one was withdrawn by a stop that was sent again every
+  0.85 s whether or not the worker answered; 1,400 stops are 400 KB/s, which kept the link full, so none was answered.
+- Each survey lists all unacknowledged ends, and surveys were sent every 0.4 s. After a minute without the store, thirty
+  ends on each of 176 workers are 710 KB/s.
 """
 
 import anyio
@@ -26,16 +25,16 @@
 from ..link_settings import LinkContext, LinkSettings, StartLimits
 from ..links import WorkerLink
 from ..messages import RunRuledOut
-from .sessions import Sessions
+from .sessions import InMemorySessions
 
-PLAYED_S = 4.0
+SCENARIO_S = 4.0
 ENDS = 60
 STOPS = 100
 KEY = TaskKey('a' * 16, 0, 0, 0)
 
 
-class Worker(Sessions):
-    """A worker that lists ends, or answers nothing."""
+class Worker(InMemorySessions):
+    """A worker that lists a fixed number of ends, never answers stops, and can stop answering surveys."""
 
     def __init__(self, ends=0):
         self.ends = ends
@@ -62,20 +61,20 @@
         raise WorkerUnansweredError('silent')
 
 
-def context_of(worker):
+def make_context(worker):
     settings = LinkSettings(lease_s=6.0)
-    turns = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
-    return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, turns)
+    limits = StartLimits(anyio.Semaphore(8), anyio.Semaphore(8))
+    return LinkContext(worker, 1, settings, Metrics(), lambda message: None, lambda: None, anyio.current_time, limits)
 
 
-def link_to(worker):
-    return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context_of(worker))
+def make_link(worker):
+    return WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker))
 
 
-def play(worker, scenario, *, is_draining=False):
+def run_scenario(worker, scenario, *, is_draining=False):
     async def run():
         async with anyio.create_task_group() as tasks:
-            link = link_to(worker)
+            link = make_link(worker)
             link.is_draining = is_draining
             tasks.start_soon(link.run)
             await anyio.sleep(0.05)
@@ -92,39 +91,39 @@
         worker.answers = False
         for index in range(STOPS):
             link.stop(StopRun('w', TaskKey('a' * 16, 0, 0, index), 1, 'needless'))
-        await anyio.sleep(PLAYED_S)
+        await anyio.sleep(SCENARIO_S)
         assert worker.stops <= 3 * STOPS
-        # They are once it answers again.
+        # They are repeated once it answers again.
         before, worker.answers = worker.stops, True
         await anyio.sleep(2.0)
         assert worker.stops >= before + STOPS
 
-    play(worker, scenario)
+    run_scenario(worker, scenario)
 
 
-@pytest.mark.parametrize(('is_draining', 'longest_s'), [(False, 6.0), (True, 2.0)])
-def test_ends_that_can_not_be_kept_are_seldom_listed_again(is_draining, longest_s):
+@pytest.mark.parametrize(('is_draining', 'lease_s'), [(False, 6.0), (True, 2.0)])
+def test_ends_that_cannot_be_persisted_are_seldom_listed_again(is_draining, lease_s):
     worker = Worker(ENDS)
 
     async def scenario(link):
         begun_s, before = anyio.current_time(), worker.surveys
-        await anyio.sleep(PLAYED_S)
-        # The lease is renewed three times in its duration all the same.
-        assert (worker.surveys - before) * longest_s >= 2 * (anyio.current_time() - begun_s)
-        assert worker.surveys - before <= 1 + 4 * PLAYED_S / longest_s
+        await anyio.sleep(SCENARIO_S)
+        # The lease is still renewed about three times per lease duration.
+        assert (worker.surveys - before) * lease_s >= 2 * (anyio.current_time() - begun_s)
+        assert worker.surveys - before <= 1 + 4 * SCENARIO_S / lease_s
 
-    play(worker, scenario, is_draining=is_draining)
+    run_scenario(worker, scenario, is_draining=is_draining)
 
 
 @pytest.mark.parametrize('change', ['is_draining', 'is_overcommitted'])
-def test_a_start_that_waited_for_its_turn_is_not_sent_to_a_worker_that_leaves_or_lost_the_room(change):
-    """Behind hundreds of unanswered starts a turn comes seconds later; what starts then dies with its worker."""
+def test_a_start_that_waited_for_a_slot_is_not_sent_to_a_draining_or_overcommitted_worker(change):
+    """A start may wait seconds for a slot behind hundreds of unanswered ones; its run would be lost with the worker."""
     worker = Worker()
     posted = []
 
     async def run():
-        turns = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
-        context = context_of(worker)._replace(start_limits=turns, post=posted.append)
+        limits = StartLimits(anyio.Semaphore(0), anyio.Semaphore(0))
+        context = make_context(worker)._replace(start_limits=limits, post=posted.append)
         link = WorkerLink(WorkerIncarnation('w'), Address('h', 1), Lease(), context)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
@@ -132,7 +131,7 @@
             link.start(StartRun('w', KEY, 1, '', RANK_ORDINARY, 1.0, ''), '')
             await anyio.sleep(0.05)
             setattr(link, change, True)
-            turns.other.release()
+            limits.other.release()
             await anyio.sleep(0.1)
             tasks.cancel_scope.cancel()
 
@@ -142,13 +141,13 @@
 
 
 def test_a_start_after_the_end_of_its_worker_does_not_end_the_process():
-    # A start that was kept meanwhile came after the incarnation's end and before that was taken in.
+    # A held start was released after the incarnation had ended and before the owner had processed that end.
     worker = Worker()
     posted = []
 
     async def run():
         link = WorkerLink(
-            WorkerIncarnation('w'), Address('h', 1), Lease(), context_of(worker)._replace(post=posted.append)
+            WorkerIncarnation('w'), Address('h', 1), Lease(), make_context(worker)._replace(post=posted.append)
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
--- a/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_start_turns.py
@@ -1,4 +1,4 @@
-"""What an operator sees of starts that wait for their turn, and of those without an answer."""
+"""Tests of the metrics and log lines on starts that wait for a slot and on unconfirmed runs."""
 
 from types import SimpleNamespace
 
@@ -19,81 +19,81 @@
 KEY = TaskKey('a' * 16, 0, 0, 0)
 
 
-class Waiting:
-    """Starts to one worker of which one may be under way at a time, under a clock that is set."""
+class LimiterHarness:
+    """A start limiter of one worker with a global limit of one start per class, and a manual clock."""
 
     def __init__(self):
         self.now_s = 100.0
         self.metrics = Metrics()
-        self.turns = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
-        context = SimpleNamespace(metrics=self.metrics, start_limits=self.turns, clock=lambda: self.now_s)
+        self.limits = StartLimits(anyio.Semaphore(1), anyio.Semaphore(1))
+        context = SimpleNamespace(metrics=self.metrics, start_limits=self.limits, clock=lambda: self.now_s)
         self.queue = StartLimiter(SimpleNamespace(worker_id='w', context=context))
 
-    def shown(self, name, **labels):
+    def metric_value(self, name, **labels):
         return self.metrics.registry.get_sample_value(f'dahliaarch_{name}', labels)
 
-    async def take_turn(self, rank):
+    async def use_slot(self, rank):
         async with self.queue.slot(StartRun('w', KEY, 1, '', rank, 1.0, '')):
             pass
 
-    async def play(self, waited_s, starts=3, rank=RANK_ORDINARY):
-        """Let starts wait for so long behind another; return how many waited."""
-        turn = self.turns.urgent if rank == RANK_URGENT else self.turns.other
+    async def run_starts(self, waited_s, starts=3, rank=RANK_ORDINARY):
+        """Let starts wait behind another one while the clock advances; return how many waited."""
+        limit = self.limits.urgent if rank == RANK_URGENT else self.limits.other
         queue = 'urgent' if rank == RANK_URGENT else 'other'
-        await turn.acquire()
+        await limit.acquire()
         async with anyio.create_task_group() as tasks:
             for _ in range(starts):
-                tasks.start_soon(self.take_turn, rank)
+                tasks.start_soon(self.use_slot, rank)
             await anyio.wait_all_tasks_blocked()
-            waiting = self.shown('waiting_starts', queue=queue)
+            waiting = self.metric_value('waiting_starts', queue=queue)
             self.now_s += waited_s
-            turn.release()
+            limit.release()
         return waiting
 
 
 @pytest.fixture
-def lines(monkeypatch):
-    found = []
-    monkeypatch.setattr(start_turns, 'log_event', lambda event, **fields: found.append((event, fields)))
-    return found
+def log_lines(monkeypatch):
+    events = []
+    monkeypatch.setattr(start_turns, 'log_event', lambda event, **fields: events.append((event, fields)))
+    return events
 
 
 @pytest.mark.parametrize(('rank', 'queue'), [(RANK_URGENT, 'urgent'), (RANK_ORDINARY, 'other')])
-def test_starts_that_wait_for_their_turn_are_counted_with_their_time(rank, queue, lines):
-    waiting = Waiting()
-    assert anyio.run(waiting.play, 0.4, 3, rank) == 3
-    assert waiting.shown('waiting_starts', queue=queue) == 0
-    assert waiting.shown('start_turn_seconds_count', queue=queue) == 3
-    assert waiting.shown('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
-    assert not lines
+def test_starts_that_wait_for_a_slot_are_counted_with_their_waits(rank, queue, log_lines):
+    harness = LimiterHarness()
+    assert anyio.run(harness.run_starts, 0.4, 3, rank) == 3
+    assert harness.metric_value('waiting_starts', queue=queue) == 0
+    assert harness.metric_value('start_turn_seconds_count', queue=queue) == 3
+    assert harness.metric_value('start_turn_seconds_sum', queue=queue) == pytest.approx(1.2)
+    assert not log_lines
 
 
-def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(lines):
-    waiting = Waiting()
+def test_starts_that_waited_for_more_than_a_second_are_logged_once_a_second(log_lines):
+    harness = LimiterHarness()
 
     async def run():
-        await waiting.play(1.5)
-        await waiting.play(1.2)
+        await harness.run_starts(1.5)
+        await harness.run_starts(1.2)
 
     anyio.run(run)
-    assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in lines] == [
+    assert [(event, fields['waited_s'], fields['late_starts']) for event, fields in log_lines] == [
         ('start_turn_late', 1.5, 1),
         ('start_turn_late', 1.2, 3),
     ]
 
 
-def test_a_start_that_is_given_up_while_it_waits_leaves_no_turn_taken():
-    waiting = Waiting()
+def test_a_start_that_is_cancelled_while_it_waits_holds_no_slot():
+    harness = LimiterHarness()
 
     async def run():
-        await waiting.turns.other.acquire()
+        await harness.limits.other.acquire()
         with anyio.move_on_after(0.05):
-            await waiting.take_turn(RANK_ORDINARY)
-        waiting.turns.other.release()
-        return waiting.turns.other.value
+            await harness.use_slot(RANK_ORDINARY)
+        harness.limits.other.release()
+        return harness.limits.other.value
 
     assert anyio.run(run) == 1
-    assert waiting.shown('waiting_starts', queue='other') == 0
+    assert harness.metric_value('waiting_starts', queue='other') == 0
 
 
 def test_runs_without_an_answer_are_shown_until_they_are_confirmed_or_the_owner_is_replaced():
@@ -106,17 +106,17 @@
     starts = scheduler.decide(now)
     assert len(starts) == 2
 
-    waiting = Waiting()
-    gauges = LoadGauges(scheduler, waiting.metrics)
+    harness = LimiterHarness()
+    gauges = LoadGauges(scheduler, harness.metrics)
     with gauges:
         gauges.update(1001.5)
-        assert waiting.shown('unconfirmed_runs') == 2
-        assert waiting.shown('oldest_unconfirmed_run_seconds') == 1.5
+        assert harness.metric_value('unconfirmed_runs') == 2
+        assert harness.metric_value('oldest_unconfirmed_run_seconds') == 1.5
         scheduler.run_started('w', starts[0].key, starts[0].run, now)
         gauges.update(1001.6)
-        assert waiting.shown('unconfirmed_runs') == 2
+        assert harness.metric_value('unconfirmed_runs') == 2
         gauges.update(1002.0)
-        assert waiting.shown('unconfirmed_runs') == 1
-        assert waiting.shown('active_jobs') == 1
-    assert waiting.shown('unconfirmed_runs') == 0
-    assert waiting.shown('active_jobs') == 0
+        assert harness.metric_value('unconfirmed_runs') == 1
+        assert harness.metric_value('active_jobs') == 1
+    assert harness.metric_value('unconfirmed_runs') == 0
+    assert harness.metric_value('active_jobs') == 0
--- a/packages/node/dahliaarch_node/owner/tests/test_suspension.py
+++ b/packages/node/dahliaarch_node/owner/tests/test_suspension.py
@@ -1,10 +1,11 @@
-"""An owner whose machine was suspended, or that knows neither the store nor its peers.
-
-While a machine is suspended its steady clock stops, and the leases of others
-run on. An owner that woke gave orders at once, as one that had renewed its lease a
-moment ago; another instance had taken the pool meanwhile, and workers that it did
-not reach took them. A frozen process did the same: nothing looked at the age of its
-authority before an order went out, only the next renewal told, up to 0.6 s later.
+"""Tests of an owner whose machine was suspended, or that reaches neither the store nor its peers.
+
+While a machine is suspended, its steady clock stops and the leases of others keep
+running. After it resumed, an owner sent orders at once, as if it had just renewed its
+lease; another instance had taken the pool over meanwhile, and workers that the new
+owner did not reach accepted the orders. A frozen process did the same: the age of its
+authority was not checked before an order was sent, only at the next renewal, up to
+0.6 s later.
 """
 
 import time
@@ -29,25 +30,25 @@
 from ...timing import StoreTiming
 from .. import core, PoolOwner
 from ..settings import OwnerSettings
-from .sessions import Sessions
-from .test_takeover import EPOCH, KeptStore, LONGEST_LEASE_S, NEW, worker_entry
-from .test_two_owners import job_update
+from .sessions import InMemorySessions
+from .test_takeover import EPOCH, InMemoryStore, MAX_LEASE_S, NEW_JOB_ID, worker_entry_item
+from .test_two_owners import make_job_listed
 
 LEASE_S = 2.0
 SUSPENDED_S = 5.0
 
 
-class Workers(Sessions):
-    """Workers in memory that note starts and the leases that surveys give."""
+class InMemoryWorkers(InMemorySessions):
+    """In-memory workers that record starts and the times at which surveys renew leases."""
 
     def __init__(self):
         self.starts = []
-        self.leases_at = []
+        self.renewed_at_s = []
         self.running = ()
 
     async def survey(self, address, incarnation, *, lease_until_s, **options):
         if lease_until_s is not None:
-            self.leases_at.append(time.monotonic())
+            self.renewed_at_s.append(time.monotonic())
         await anyio.sleep(0.05)
         return Survey(time.monotonic(), self.running, ())
 
@@ -57,38 +58,38 @@
         return OrderReply(OrderStatus.DONE, time.monotonic())
 
 
-class Suspended:
-    """A steady clock that counts the time for which the machine was suspended."""
+class SuspendableClock:
+    """A steady clock that includes the time for which the machine was suspended."""
 
     def __init__(self):
-        self.for_s = 0.0
+        self.suspended_s = 0.0
 
     def __call__(self):
-        return steady_s() + self.for_s
+        return steady_s() + self.suspended_s
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    found = Suspended()
-    monkeypatch.setattr(core, 'steady_s', found)
-    return found
+    suspendable_clock = SuspendableClock()
+    monkeypatch.setattr(core, 'steady_s', suspendable_clock)
+    return suspendable_clock
 
 
-def play(clock, authority, after_ready):
-    """Run an owner with authority, suspend its machine, hand it a job; return its workers."""
-    workers = Workers()
+def run_suspended_owner(clock, authority, after_ready):
+    """Run an owner with confirmed authority, suspend its machine, submit a job; return its workers."""
+    workers = InMemoryWorkers()
 
     async def run():
-        settings = OwnerSettings(EPOCH, Bounds(max_hold_s=LONGEST_LEASE_S), StoreTiming())
-        owner = PoolOwner(settings, KeptStore([worker_entry('w0')]), workers, tuple, Metrics(), authority)
+        settings = OwnerSettings(EPOCH, Bounds(max_hold_s=MAX_LEASE_S), StoreTiming())
+        owner = PoolOwner(settings, InMemoryStore([worker_entry_item('w0')]), workers, tuple, Metrics(), authority)
         authority.confirm(clock())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(owner.run)
             with anyio.fail_after(5):
                 while not owner.is_ready:
                     await anyio.sleep(0.01)
-            clock.for_s += SUSPENDED_S
-            owner.post(job_update(EPOCH))
+            clock.suspended_s += SUSPENDED_S
+            owner.post(make_job_listed(EPOCH))
             await after_ready(owner)
             tasks.cancel_scope.cancel()
 
@@ -96,14 +97,14 @@
     return workers
 
 
-def test_an_owner_that_was_suspended_orders_nothing_before_it_is_confirmed(clock):
+def test_a_suspended_owner_orders_nothing_before_it_is_confirmed(clock):
     async def wait(owner):
         await anyio.sleep(0.5)
 
-    assert not play(clock, Authority(LEASE_S), wait).starts
+    assert not run_suspended_owner(clock, Authority(LEASE_S), wait).starts
 
 
-def test_it_goes_on_as_soon_as_it_is_confirmed(clock):
+def test_a_suspended_owner_resumes_as_soon_as_it_is_confirmed(clock):
     authority = Authority(LEASE_S)
 
     async def confirm(owner):
@@ -111,33 +112,33 @@
         authority.confirm(clock())
         await anyio.sleep(0.5)
 
-    assert play(clock, authority, confirm).starts == [TaskKey(NEW, 0, 0, 0)]
+    assert run_suspended_owner(clock, authority, confirm).starts == [TaskKey(NEW_JOB_ID, 0, 0, 0)]
 
 
-def test_it_renews_no_lease_on_a_worker_meanwhile(clock):
-    """A successor waits for the leases that were given before it took the pool, and for no later ones."""
-    woken = []
+def test_a_suspended_owner_renews_no_worker_lease_before_it_is_confirmed(clock):
+    """A successor waits for the leases that were granted before its takeover, not for later ones."""
+    resumed_at_s = []
 
     async def wait(owner):
         await anyio.sleep(0.1)
-        woken.append(time.monotonic())
+        resumed_at_s.append(time.monotonic())
         await anyio.sleep(0.5)
 
-    workers = play(clock, Authority(LEASE_S), wait)
-    assert workers.leases_at
-    assert max(workers.leases_at) < woken[0]
+    workers = run_suspended_owner(clock, Authority(LEASE_S), wait)
+    assert workers.renewed_at_s
+    assert max(workers.renewed_at_s) < resumed_at_s[0]
 
 
-def test_a_start_whose_turn_comes_after_the_machine_woke_is_not_sent(clock):
+def test_a_start_that_gets_its_slot_after_the_machine_resumed_is_not_sent(clock):
     async def start(owner):
-        owner._links.get('w0').start(StartRun('w0', TaskKey(NEW, 0, 0, 0), 1, ''), '')
+        owner._links.get('w0').start(StartRun('w0', TaskKey(NEW_JOB_ID, 0, 0, 0), 1, ''), '')
         await anyio.sleep(0.2)
 
-    assert not play(clock, Authority(LEASE_S), start).starts
+    assert not run_suspended_owner(clock, Authority(LEASE_S), start).starts
 
 
 class SilentStore:
-    """A store that answers nothing."""
+    """A store that does not answer."""
 
     async def renew_lease(self, lease, *, timeout_s):
         raise StoreUnansweredError('silent')
@@ -146,14 +147,14 @@
 def test_a_renewal_without_an_answer_confirms_nothing():
     authority = Authority(LEASE_S)
     member = Member('i0', 'a', 'h', 1)
-    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_able=True)
+    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), authority, is_preferred=True)
     with pytest.raises(StoreUnansweredError):
-        anyio.run(ownership._renew)
-    assert not authority.holds(steady_s())
+        anyio.run(ownership._renew_lease)
+    assert not authority.is_valid(steady_s())
 
 
-class Peers:
-    """Peers that answer heartbeats, or don't."""
+class StubPeers:
+    """Peers with a fixed reply to heartbeats each, or none."""
 
     def __init__(self, replies):
         self.replies = replies
@@ -171,16 +172,16 @@
 
 class PeerFeed:
     def announce(self, member, version):
-        """Take in a version."""
+        """Ignore the version."""
 
 
-def membership_with(peers, authority, outdated=lambda epoch: None):
-    found = Membership(
+def make_membership(peers, authority, outdated=lambda epoch: None):
+    membership = Membership(
         Member('i', 'a', 'h', 99), None, StoreTiming(), Follower(), PeerFeed(), peers, authority, outdated
     )
     for number, _ in enumerate(peers.replies):
-        found.add(Member(f'i{number}', 'a', 'h', number))
-    return found
+        membership.add(Member(f'i{number}', 'a', 'h', number))
+    return membership
 
 
 @pytest.mark.parametrize(
@@ -194,33 +195,35 @@
     ],
     ids=['alone', 'most', 'few', 'none', 'a newer owner'],
 )
-def test_while_the_store_is_away_most_instances_confirm_an_owner(replies, holds):
+def test_while_the_store_is_unavailable_a_majority_of_instances_confirms_an_owner(replies, holds):
     authority = Authority(LEASE_S)
-    anyio.run(membership_with(Peers(replies), authority)._heartbeat_all, EPOCH)
-    assert authority.holds(steady_s()) is holds
+    anyio.run(make_membership(StubPeers(replies), authority)._heartbeat_all, EPOCH)
+    assert authority.is_valid(steady_s()) is holds
 
 
-def test_an_owner_that_was_told_of_a_newer_one_is_replaced_for_good():
-    """The instances that told it start again, know of no owner, and would confirm the first that contacts them.
+def test_an_owner_that_is_told_of_a_newer_one_is_deposed_for_good():
+    """An outdated owner kept sending heartbeats after its peers had reported a newer epoch.
 
-    What they remembered held for an incarnation of theirs; it did not come back. The owner had been told, and went on
-    asking.
+    Peers remember the owner's epoch in memory only: after a restart they would confirm the first owner that contacts
+    them, even an outdated one.
     """
     outdated = []
 
     async def run():
-        peers = Peers([HeartbeatReply(1, EPOCH + 1), HeartbeatReply(1, EPOCH + 1)])
-        await membership_with(peers, Authority(LEASE_S), outdated.append)._heartbeat_all(EPOCH)
+        peers = StubPeers([HeartbeatReply(1, EPOCH + 1), HeartbeatReply(1, EPOCH + 1)])
+        await make_membership(peers, Authority(LEASE_S), outdated.append)._heartbeat_all(EPOCH)
 
     anyio.run(run)
     assert outdated == [EPOCH + 1] * 2
 
 
-def test_an_instance_owns_no_pool_of_which_it_was_told_that_another_does():
+def test_an_instance_that_is_told_of_a_newer_owner_gives_up_ownership():
     member = Member('i0', 'a', 'h', 1)
-    ownership = Ownership(member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_able=True)
+    ownership = Ownership(
+        member, SilentStore(), StoreTiming(), OwnershipSettings(), Authority(LEASE_S), is_preferred=True
+    )
     ownership.observe(Owner(member, EPOCH))
-    ownership.outdated(EPOCH)
-    assert ownership.is_own
-    ownership.outdated(EPOCH + 1)
-    assert not ownership.is_own
+    ownership.observe_newer_epoch(EPOCH)
+    assert ownership.is_owner
+    ownership.observe_newer_epoch(EPOCH + 1)
+    assert not ownership.is_owner
--- a/packages/node/dahliaarch_node/records/core.py
+++ b/packages/node/dahliaarch_node/records/core.py
@@ -19,7 +19,7 @@
 PROGRESS_PREFIX = 'dahliaarch/progress/'
 ASSIGNMENTS_PREFIX = 'dahliaarch/assignments/'
 # Epoch of the last owner that stored assignments before it sent starts; written after its roster.
-ASSIGNER_KEY = f'{ASSIGNMENTS_PREFIX}.owner'
+ASSIGNMENTS_EPOCH_KEY = f'{ASSIGNMENTS_PREFIX}.owner'
 ROSTER_PREFIX = 'dahliaarch/workers'
 CANCEL_SUFFIX = '.cancel'
 
@@ -116,7 +116,7 @@
     return f'{ASSIGNMENTS_PREFIX}{part.job_id}.{part.occurrence}.{part.step}.{part.number}'
 
 
-def assignments_part(key: str) -> AssignmentsPart:
+def parse_assignments_key(key: str) -> AssignmentsPart:
     """Return the part of the assignments that a key refers to."""
     job_id, occurrence, step, number = key.removeprefix(ASSIGNMENTS_PREFIX).split('.')
     return AssignmentsPart(job_id, int(occurrence), int(step), int(number))
@@ -132,6 +132,6 @@
     return MEMBERS_PREFIX + instance
 
 
-def job_id_of(key: str) -> str:
+def job_id_from_key(key: str) -> str:
     """Return the job id in a key below the jobs or progress prefix."""
     return key.rpartition('/')[2].removesuffix(CANCEL_SUFFIX)
--- a/packages/node/dahliaarch_node/replies.py
+++ b/packages/node/dahliaarch_node/replies.py
@@ -1,4 +1,4 @@
-"""Answers to the other instances' messages."""
+"""Handlers for messages from other instances."""
 
 from functools import singledispatchmethod
 
@@ -7,7 +7,7 @@
 from dahliaarch_platform.store import STORE_FAILURES, StoreClient
 
 from .configuration import ConfigurationFollower
-from .front.acceptance import Fate, keep_cancellation, keep_job, WriteOutcome
+from .front.acceptance import write_cancellation, write_job, WriteOutcome, WriteStatus
 from .logs import log_event
 from .membership import Membership
 from .owner import PoolOwner
@@ -32,28 +32,28 @@
     StateReply,
 )
 from .records import job_key, JobRecord
-from .relaying import make_for_peer
+from .relaying import commit_for_peer
 
-# Longest try at a write for another instance, in seconds: what is left of the
-# time that it holds its caller.
-_HOLD_S = 0.45
-# Longest wait for a read of the store, in seconds.
-_READ_S = 0.4
+# Timeout for a write on behalf of another instance, in seconds: the remainder of the time for
+# which that instance holds the client's request.
+_WRITE_TIMEOUT_S = 0.45
+# Timeout for a read of the store, in seconds.
+_READ_TIMEOUT_S = 0.4
 
 
 class PeerReplies:
-    """Answers messages on behalf of this instance.
+    """Answers messages from other instances.
 
     Parameters
     ----------
     store : StoreClient
-        The store.
+        Client of the store.
     follower : ConfigurationFollower
-        The configuration in force.
+        Provides the current configuration.
     ownership : Ownership
-        Who owns the pool.
+        Tracks which instance owns the pool.
     advice : AdviceClient or None
-        Calls of the outside policy, if there is one.
+        Client of the external policy, if one is configured.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         ownership: Ownership,
         advice: AdviceClient | None,
     ) -> None:
-        """Start without the pool."""
+        """Initialize without a pool owner; `owner` and `membership` are set later."""
         self._advice = advice
         self.owner: PoolOwner | None = None
         self.membership: Membership | None = None
@@ -72,7 +72,7 @@
         self._ownership = ownership
 
     async def answer(self, message: Message) -> Message | None:
-        """Answer a message; nothing when it needs no answer."""
+        """Return the reply to a message, or None if it needs none."""
         return await self._reply(message)
 
     @singledispatchmethod
@@ -88,13 +88,13 @@
     async def _(self, message: Heartbeat) -> Message | None:
         self._ownership.observe(Owner(message.owner, message.epoch))
         if self.membership is not None:
-            self.membership.announced(message.owner, message.version)
+            self.membership.record_version(message.owner, message.version)
         known = self._ownership.owner
         return HeartbeatReply(self._follower.version, 0 if known is None else known.epoch)
 
     @_reply.register
     async def _(self, message: AskConfiguration) -> Message | None:
-        return self._follower.updates.part(message, self._follower.current, self._follower.revision)
+        return self._follower.updates.build_part(message, self._follower.current, self._follower.revision)
 
     @_reply.register
     async def _(self, message: AskState) -> Message | None:
@@ -113,28 +113,28 @@
 
     @_reply.register
     async def _(self, message: JobUpdate) -> None:
-        self._pass_on(message.job_id, message.record, message.revision, is_cancel=message.is_cancel)
+        self._forward_to_owner(message.job_id, message.record, message.revision, is_cancel=message.is_cancel)
 
     @_reply.register
     async def _(self, message: AcceptJob) -> Message | None:
-        outcome = await keep_job(self._store, message.job_id, message.record, _HOLD_S)
-        if outcome.fate is Fate.KEPT and outcome.revision:
-            self._pass_on(message.job_id, message.record, outcome.revision, is_cancel=False)
-        return _accepted(outcome)
+        outcome = await write_job(self._store, message.job_id, message.record, _WRITE_TIMEOUT_S)
+        if outcome.status is WriteStatus.KEPT and outcome.revision:
+            self._forward_to_owner(message.job_id, message.record, outcome.revision, is_cancel=False)
+        return _acceptance_reply(outcome)
 
     @_reply.register
     async def _(self, message: AcceptCancel) -> Message | None:
         if self._store.is_suspect:
             return Accepted(is_done=False, is_certain=True)
         try:
-            if await self._store.get(job_key(message.job_id), timeout_s=_READ_S) is None:
+            if await self._store.get(job_key(message.job_id), timeout_s=_READ_TIMEOUT_S) is None:
                 return Accepted(is_done=False, is_certain=True, is_missing=True)
         except STORE_FAILURES:
             return Accepted(is_done=False, is_certain=True)
-        outcome = await keep_cancellation(self._store, message.job_id, _HOLD_S)
-        if outcome.fate is Fate.KEPT:
-            self._pass_on(message.job_id, b'', outcome.revision, is_cancel=True)
-        return _accepted(outcome)
+        outcome = await write_cancellation(self._store, message.job_id, _WRITE_TIMEOUT_S)
+        if outcome.status is WriteStatus.KEPT:
+            self._forward_to_owner(message.job_id, b'', outcome.revision, is_cancel=True)
+        return _acceptance_reply(outcome)
 
     @_reply.register
     async def _(self, message: AskPolicy) -> Message | None:
@@ -149,10 +149,10 @@
 
     @_reply.register
     async def _(self, message: CommitFor) -> Message | None:
-        return await make_for_peer(self._store, message)
+        return await commit_for_peer(self._store, message)
 
-    def _pass_on(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
-        """Hand updates to the pool's owner, if it is here; else the watch brings them."""
+    def _forward_to_owner(self, job_id: str, record: bytes, revision: int, *, is_cancel: bool) -> None:
+        """Pass an update to the pool owner if it runs here; otherwise the owner learns of it from its watch."""
         if self.owner is None:
             return
         if is_cancel:
@@ -162,5 +162,5 @@
         self.owner.post(JobListed(job.spec, job.queue, revision, job.owner_epoch))
 
 
-def _accepted(outcome: WriteOutcome) -> Accepted:
-    return Accepted(outcome.fate is Fate.KEPT, outcome.fate is Fate.NOT_KEPT)
+def _acceptance_reply(outcome: WriteOutcome) -> Accepted:
+    return Accepted(outcome.status is WriteStatus.KEPT, outcome.status is WriteStatus.NOT_KEPT)
--- a/packages/standins/dahliaarch_standins/demo/core.py
+++ b/packages/standins/dahliaarch_standins/demo/core.py
@@ -1,4 +1,4 @@
-"""Runs jobs on a deployment while its owner is killed and the store is away."""
+"""Runs jobs on a deployment while its owner is killed and the store does not answer."""
 
 import random
 import secrets
@@ -14,34 +14,34 @@
 from ..deployment.jobs import draw_steps
 
 _QUEUES = ('urgent', 'ordinary')
-# Longest time for all jobs to end, in seconds.
-_ALL_ENDED_S = 60.0
-# When the owner is killed and the store falls silent, seconds from the start.
-_KILL_AT_S = 2.0
-_SILENCE_AT_S = 5.0
-_SILENCE_S = 1.5
+# Timeout for all jobs to succeed, in seconds.
+_COMPLETION_TIMEOUT_S = 60.0
+# When the owner is killed and when the store stops answering, in seconds from the start.
+_OWNER_KILL_AT_S = 2.0
+_STORE_OUTAGE_AT_S = 5.0
+_STORE_OUTAGE_S = 1.5
 # Share of jobs that are gangs.
 _GANG_SHARE = 0.5
 _ESTIMATE_MS = 400
-# Mean time between two jobs, in seconds.
-_GAP_S = 0.15
+# Mean interarrival time of jobs, in seconds.
+_MEAN_INTERARRIVAL_S = 0.15
 
 
 class DemoCounts(NamedTuple):
-    """What became of the jobs.
+    """Outcomes of the jobs.
 
     Parameters
     ----------
     accepted, succeeded : int
-        Jobs accepted, and shown as succeeded.
+        Jobs that were accepted, and those reported as succeeded.
     lost : int
         Accepted jobs that did not succeed.
     doubled : int
         Tasks that succeeded more than once.
     starts : int
-        Starts that workers carried out.
+        Runs that workers started.
     owners : int
-        Instances that owned the pool, one after another.
+        Ownership epochs in which workers started runs.
     """
 
     accepted: int
@@ -52,13 +52,13 @@
     owners: int
 
     @property
-    def is_right(self) -> bool:
-        """Whether nothing was lost or doubled."""
+    def is_correct(self) -> bool:
+        """Whether no job was lost and no task succeeded more than once."""
         return not self.lost and not self.doubled
 
 
 def run_demo(jobs: int, seed: int) -> DemoCounts:
-    """Run the demonstration."""
+    """Run the demonstration and return its counts."""
     return anyio.run(_run, jobs, seed)
 
 
@@ -68,47 +68,47 @@
         async with anyio.create_task_group() as tasks:
             try:
                 await deployment.start(tasks)
-                counts = await _play(deployment, jobs, random.Random(seed))
+                counts = await _run_workload(deployment, jobs, random.Random(seed))
             finally:
                 deployment.close()
                 tasks.cancel_scope.cancel()
     return counts
 
 
-async def _play(deployment: Deployment, jobs: int, choice: random.Random) -> DemoCounts:
+async def _run_workload(deployment: Deployment, jobs: int, rng: random.Random) -> DemoCounts:
     accepted: dict[str, str] = {}
     caller = deployment.caller()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_trouble, deployment)
+        tasks.start_soon(_inject_faults, deployment)
         for _ in range(jobs):
             tasks.start_soon(
-                _hand_in,
+                _submit,
                 caller,
                 accepted,
-                choice.choice(_QUEUES),
-                draw_steps(choice, estimate_ms=400, gang_share=_GANG_SHARE),
+                rng.choice(_QUEUES),
+                draw_steps(rng, estimate_ms=400, gang_share=_GANG_SHARE),
             )
-            await anyio.sleep(choice.expovariate(1 / _GAP_S))
+            await anyio.sleep(rng.expovariate(1 / _MEAN_INTERARRIVAL_S))
     succeeded = 0
-    with anyio.move_on_after(_ALL_ENDED_S):
+    with anyio.move_on_after(_COMPLETION_TIMEOUT_S):
         for job_id, queue in accepted.items():
-            await caller.wait_for(queue, job_id, 'succeeded', _ALL_ENDED_S)
+            await caller.wait_for(queue, job_id, 'succeeded', _COMPLETION_TIMEOUT_S)
             succeeded += 1
     return _count(deployment, len(accepted), succeeded)
 
 
-async def _trouble(deployment: Deployment) -> None:
-    await anyio.sleep(_KILL_AT_S)
+async def _inject_faults(deployment: Deployment) -> None:
+    await anyio.sleep(_OWNER_KILL_AT_S)
     owner = await deployment.owner()
     deployment.kill(owner)
-    await anyio.sleep(_SILENCE_AT_S - _KILL_AT_S)
+    await anyio.sleep(_STORE_OUTAGE_AT_S - _OWNER_KILL_AT_S)
     deployment.launch(owner)
     deployment.store.faults.is_silent = True
-    await anyio.sleep(_SILENCE_S)
+    await anyio.sleep(_STORE_OUTAGE_S)
     deployment.store.faults.is_silent = False
 
 
-async def _hand_in(caller: Caller, accepted: dict[str, str], queue: str, steps: list[dict[str, Any]]) -> None:
+async def _submit(caller: Caller, accepted: dict[str, str], queue: str, steps: list[dict[str, Any]]) -> None:
     job_id = await caller.submit(queue, steps, '0.4', secrets.token_hex(8))
     accepted[job_id] = queue
 
--- a/packages/standins/dahliaarch_standins/deployment/tests/running.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/running.py
@@ -1,4 +1,4 @@
-"""Drives a deployment from tests, which are not asynchronous."""
+"""A synchronous wrapper around a deployment, for tests."""
 
 import anyio
 
@@ -6,8 +6,8 @@
 GANG = [{'Count': 2, 'Cpu': 1000, 'MemMb': 1000, 'Gpu': 8, 'EstimateMs': 500, 'Gang': True, 'SameRack': True}]
 
 
-class Running:
-    """A deployment that runs."""
+class RunningDeployment:
+    """A running deployment with blocking methods, which run its coroutines through a portal."""
 
     def __init__(self, deployment, portal):
         self.deployment = deployment
@@ -37,15 +37,15 @@
         return self.portal.call(ask)
 
     def submit(self, steps, payload='0.5', queue='ordinary', job_id='', names=()):
-        async def hand_in():
+        async def submit_job():
             return await self.deployment.caller(*names).submit(queue, steps, payload, job_id)
 
-        job_id = self.portal.call(hand_in)
+        job_id = self.portal.call(submit_job)
         self.job_ids.append(job_id)
         return job_id
 
     def cancel(self, job_id, queue='ordinary'):
-        """Cancel a job at an instance that is there."""
+        """Cancel a job through an instance whose process is running."""
         name = self.deployment.running_names[0]
         assert self.call('DELETE', f'/{queue}/{job_id}', names=(name,)).status == 200
 
@@ -64,8 +64,8 @@
     def owner(self):
         return self.portal.call(self.deployment.owner)
 
-    def owner_now(self):
-        return self.deployment.owner_now()
+    def current_owner(self):
+        return self.deployment.current_owner()
 
     def starts(self):
         return [start for worker in self.workers for start in worker.starts]
@@ -76,16 +76,16 @@
     def sleep(self, seconds):
         self.portal.call(anyio.sleep, seconds)
 
-    def wait_until(self, holds, timeout_s=20.0):
+    def wait_until(self, condition, timeout_s=20.0):
         async def wait():
             with anyio.fail_after(timeout_s):
-                while not holds():
+                while not condition():
                     await anyio.sleep(0.02)
 
         self.portal.call(wait)
 
-    def doubled(self):
-        """Return tasks that ran twice at a time, or again after a success."""
+    def tasks_run_twice(self):
+        """Return the tasks of which two runs overlapped, or that ran again after a success."""
         spans = {}
         end_by_run = {(end.worker, end.task, end.run, end.incarnation): end for end in self.ends()}
         for start in self.starts():
--- a/packages/standins/dahliaarch_standins/proxy/peers.py
+++ b/packages/standins/dahliaarch_standins/proxy/peers.py
@@ -1,4 +1,4 @@
-"""A proxy before an instance, for the messages of its peers."""
+"""A proxy in front of an instance, for the messages of its peers."""
 
 from collections.abc import Mapping
 
@@ -11,23 +11,23 @@
 
 
 class PeerProxy(FaultProxy):
-    """Leads a connection over the links of both ends, known by their hosts.
+    """Routes each connection over the links of both its hosts.
 
     Parameters
     ----------
     target : Address
-        The instance.
+        Address of the instance.
     links_by_host : mapping
-        Links of every instance.
+        Links of each instance, by its host address.
     """
 
     def __init__(self, target: Address, links_by_host: Mapping[str, HostLinks]) -> None:
-        """Prepare; nothing listens yet."""
+        """Create the proxy; `listen` starts it."""
         super().__init__(target)
         self._links_by_host = links_by_host
 
     def _route(self, caller: SocketStream) -> Route:
         host = caller.extra(SocketAttribute.remote_address)[0]
-        there = self._links_by_host[str(host)]
-        here = self._links_by_host[self.target.host]
-        return Route((there.outgoing, here.incoming), (here.outgoing, there.incoming))
+        caller_links = self._links_by_host[str(host)]
+        target_links = self._links_by_host[self.target.host]
+        return Route((caller_links.outgoing, target_links.incoming), (target_links.outgoing, caller_links.incoming))
--- a/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
+++ b/packages/standins/dahliaarch_standins/proxy/tests/test_many_workers.py
@@ -1,13 +1,11 @@
-"""Thousands of workers write their entries, and one of them says that it leaves.
+"""The owner notices a draining worker promptly while thousands of workers update their entries.
 
-What happened: a worker's word that it leaves came to the owner more than 5 s after the store had acknowledged it, and
-tasks were started there meanwhile, which died with it.
+Guards against starting tasks on a worker that is about to leave: the owner learnt that a worker was draining more than
+5 s after the store had acknowledged the update, and tasks that it started there meanwhile were lost with the worker.
 
-The sequence: each worker writes its entry every 1.5 s. The owner paused 0.4 s after each answer of its watch, and the
-store puts 500 updates into one answer. From about 1,000 updates a second on the answers were always full, and what the
-owner knew of its workers grew older by the second, until the store had forgotten what came next.
-
-The cause: a pause that knows nothing of how much waits.
+Each worker writes its entry every 1.5 s. The owner paused for 0.4 s after each answer to its watch, however many
+updates were pending, and the store returns at most 500 updates per answer. Above about 1,000 updates a second every
+answer was full and the owner fell further behind, until the store had discarded the updates that came next.
 """
 
 import anyio
@@ -21,17 +19,17 @@
 from dahliaarch_platform.store import StoreClient, WORKERS_PREFIX
 from dahliaarch_standins.platform import StoreStandIn
 
-WORKERS = 3_600
+WORKER_COUNT = 3_600
 HEARTBEAT_S = 1.5
-# Writes of entries come together this often.
-WRITE_EVERY_S = 0.05
-# The owner follows for this long before a worker leaves.
-BEFORE_S = 4.0
-# A leaving worker must get nothing new after 2 s: half of that is left to decisions.
-CONTACTED_S = 1.0
+# Interval between batches of entry writes, in seconds.
+WRITE_INTERVAL_S = 0.05
+# How long the owner watches the entries before a worker starts to drain, in seconds.
+WATCH_BEFORE_DRAIN_S = 4.0
+# A draining worker must receive no new tasks after 2 s; half of that is reserved for scheduling decisions.
+NOTICE_TIMEOUT_S = 1.0
 
 
-def entry(state, seq):
+def encode_entry(state, seq):
     return msgspec.json.encode(
         {
             'Service': 'svc',
@@ -47,24 +45,24 @@
     )
 
 
-async def keep_writing(store):
-    """Write each entry once in a heartbeat."""
+async def write_entries(store):
+    """Write each entry except that of `w0` once per heartbeat interval, in batches."""
     seq = 0
     while True:
-        for _ in range(int(WORKERS * WRITE_EVERY_S / HEARTBEAT_S)):
+        for _ in range(int(WORKER_COUNT * WRITE_INTERVAL_S / HEARTBEAT_S)):
             seq += 1
-            number = seq % WORKERS
+            number = seq % WORKER_COUNT
             if number:
-                store.put(f'{WORKERS_PREFIX}w{number}', entry('ready', seq))
-        await anyio.sleep(WRITE_EVERY_S)
+                store.put(f'{WORKERS_PREFIX}w{number}', encode_entry('ready', seq))
+        await anyio.sleep(WRITE_INTERVAL_S)
 
 
-def test_a_worker_that_leaves_is_noticed_however_many_others_write():
-    leaving = []
+def test_a_draining_worker_is_noticed_however_many_others_write():
+    draining_ids = []
 
     def post(message):
         if isinstance(message, WorkerListed) and message.profile.draining:
-            leaving.append(message.profile.worker_id)
+            draining_ids.append(message.profile.worker_id)
 
     async def scenario():
         store = StoreStandIn()
@@ -73,14 +71,14 @@
         feed = WorkersFeed(FeedContext(client, StoreTiming(), post))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(feed.run, 0)
-            tasks.start_soon(keep_writing, store)
-            await anyio.sleep(BEFORE_S)
-            store.put(f'{WORKERS_PREFIX}w0', entry('draining', 1))
-            with anyio.move_on_after(CONTACTED_S):
-                while not leaving:
+            tasks.start_soon(write_entries, store)
+            await anyio.sleep(WATCH_BEFORE_DRAIN_S)
+            store.put(f'{WORKERS_PREFIX}w0', encode_entry('draining', 1))
+            with anyio.move_on_after(NOTICE_TIMEOUT_S):
+                while not draining_ids:
                     await anyio.sleep(0.02)
             tasks.cancel_scope.cancel()
         store.server.close()
 
     anyio.run(scenario)
-    assert leaving == ['w0']
+    assert draining_ids == ['w0']
--- a/packages/standins/dahliaarch_standins/soak/system.py
+++ b/packages/standins/dahliaarch_standins/soak/system.py
@@ -1,4 +1,4 @@
-"""A deployment with proxies before each instance, each worker and, for each instance, the store."""
+"""A deployment with proxies in front of each instance, each worker and, for each instance, the store."""
 
 import itertools
 import math
@@ -18,45 +18,45 @@
 from ..hosts import instance_host, proxy_host
 from ..platform import StoreStandIn, WorkerStandIn
 from ..proxy import FaultProxy, HostLinks, PeerProxy, SlowLink
-from .contact import Contact
+from .contact import DisturbanceTracker
 from .settings import SLOW_BYTES_PER_S, SoakSettings
 from .versions import Operator
 
-# How often daemons are looked at, in seconds.
-_WATCH_EVERY_S = 0.1
-# A lag of this process that counts as a slow store, in seconds.
-_LAG_S = 0.2
-# How long an instance that is to stop may take to say that it is ready, in seconds.
-_READY_S = 0.1
-# The daemon, its messages led through the proxies.
+# Interval between two checks for exited daemons and for lag, in seconds.
+_WATCH_INTERVAL_S = 0.1
+# Lag of this process above which it counts as a slow store, in seconds.
+_LAG_THRESHOLD_S = 0.2
+# Time for an instance to show that it is ready before it is terminated, in seconds.
+_READY_TIMEOUT_S = 0.1
+# Variant of the daemon that sends its messages through the proxies.
 _PROGRAM = 'dahliaarch_standins.daemon'
 
 
 class System:
-    """The real daemons, what they speak with, and what may go wrong between them.
+    """Real daemons with stand-ins of their environment, connected through proxies that inject faults.
 
     Parameters
     ----------
     settings : SoakSettings
-        Sizes, and which protections are on.
+        Sizes, and the protection to disable.
     folder : Path
-        Where settings files and logs go.
+        Folder for settings files and logs.
     """
 
     def __init__(self, settings: SoakSettings, folder: Path) -> None:
-        """Prepare; nothing runs yet."""
+        """Set up the deployment without starting anything."""
         self.deployment = Deployment(folder, settings.instances, settings.workers)
         self.deployment.program = _PROGRAM
         self.deployment.host_by_name = {
             name: instance_host(number) for number, name in enumerate(self.deployment.names)
         }
         slow_names = self.deployment.names[: settings.slow_links]
-        self.contact = Contact(self.deployment.names, slow_names)
+        self.disturbances = DisturbanceTracker(self.deployment.names, slow_names)
         self.operator = Operator(self.deployment, settings.seed)
         self.deployment.store.checks_conditions = settings.without != 'conditions'
-        self.deployment.store.muted_key = CONFIGURATION_KEY if settings.without == 'updates' else ''
+        self.deployment.store.muted_prefix = CONFIGURATION_KEY if settings.without == 'updates' else ''
         for worker in self.deployment.workers[: settings.keeping_ids]:
-            worker.keeps_id = True
+            worker.keeps_id_after_crash = True
         for worker in self.deployment.workers:
             worker.checks_fences = settings.without != 'fences'
             worker.checks_run_numbers = settings.without != 'run numbers'
@@ -69,33 +69,33 @@
             self.deployment.host_by_name[name]: HostLinks(SlowLink(rate), SlowLink(rate))
             for name, rate in self.rate_by_name.items()
         }
-        # Instances whose daemons ended by themselves.
-        self.exits: list[str] = []
-        # How often this process lagged.
+        # Instances whose daemons exited by themselves or failed to stop cleanly.
+        self.unexpected_exits: list[str] = []
+        # Number of times that this process lagged.
         self.lags = 0
         self._incarnations = itertools.count()
-        self._busy: set[str] = set()
+        self._restarting: set[str] = set()
 
     @property
     def store(self) -> StoreStandIn:
-        """The store."""
+        """Stand-in of the store."""
         return self.deployment.store
 
     @property
     def proxies(self) -> list[FaultProxy]:
-        """Every proxy."""
+        """All proxies."""
         return [*self.store_proxy_by_name.values(), *self.peer_proxy_by_name.values(), *self.worker_proxies]
 
     def links(self, name: str) -> HostLinks:
-        """Return what carries all that an instance exchanges with the store and its peers."""
+        """Return the links that carry all traffic of an instance with the store and its peers."""
         return self._links_by_host[self.deployment.host_by_name[name]]
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start everything and wait until every instance is ready."""
+        """Start the platform, the proxies and the instances, and wait until every instance is ready."""
         address = await self.deployment.start_platform(tasks)
         self.operator.write()
         for name in self.deployment.names:
-            await self._place_proxies(name, address, tasks)
+            await self._start_proxies(name, address, tasks)
         for worker in self.deployment.workers:
             while not worker.address.port:
                 await anyio.sleep(0.01)
@@ -106,12 +106,12 @@
         with self.disturbing():
             await self.deployment.start_instances()
 
-    async def _place_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
-        """Place a proxy before the store for an instance, and one before the instance for its peers."""
+    async def _start_proxies(self, name: str, store: Address, tasks: TaskGroup) -> None:
+        """Start a proxy from an instance to the store, and one from its peers to the instance."""
         links = self.links(name)
-        near_store = FaultProxy(store, requests_over=links.outgoing, answers_over=links.incoming)
-        self.deployment.store_address_by_name[name] = await near_store.listen(tasks)
-        self.store_proxy_by_name[name] = near_store
+        store_proxy = FaultProxy(store, request_link=links.outgoing, answer_link=links.incoming)
+        self.deployment.store_address_by_name[name] = await store_proxy.listen(tasks)
+        self.store_proxy_by_name[name] = store_proxy
         target = self.deployment.peer_address(name)
         before = PeerProxy(target, self._links_by_host)
         await before.listen(tasks, target._replace(host=proxy_host(target.host)))
@@ -119,47 +119,47 @@
 
     @contextmanager
     def disturbing(self, *names: str) -> Generator[None, None, None]:
-        """Count some instances, or all, as disturbed meanwhile."""
+        """Record a disturbance of the given instances, or of all, while the context is open."""
         disturbed = names or self.deployment.names
-        self.contact.begin(disturbed)
+        self.disturbances.begin(disturbed)
         try:
             yield
         finally:
-            self.contact.end(disturbed, time.monotonic())
+            self.disturbances.end(disturbed, time.monotonic())
 
     async def restart(self, names: Sequence[str], after_s: float) -> None:
-        """Kill instances and start them again; those that another fault holds are left out."""
-        mine = [name for name in names if name not in self._busy]
-        if not mine:
+        """Kill and restart instances, except those that another fault is restarting."""
+        available = [name for name in names if name not in self._restarting]
+        if not available:
             return
-        self._busy.update(mine)
-        with self.disturbing(*mine):
-            for name in mine:
+        self._restarting.update(available)
+        with self.disturbing(*available):
+            for name in available:
                 if name in self.deployment.running_names:
                     self.deployment.kill(name)
             await anyio.sleep(after_s)
-            for name in mine:
+            for name in available:
                 self.deployment.launch(name)
-        self._busy.difference_update(mine)
+        self._restarting.difference_update(available)
 
     async def stop_and_start(self, name: str) -> None:
-        """Ask an instance to stop; start it again once it has."""
-        if name in self._busy or name not in self.deployment.running_names:
+        """Terminate an instance and restart it once it has stopped."""
+        if name in self._restarting or name not in self.deployment.running_names:
             return
-        self._busy.add(name)
+        self._restarting.add(name)
         with self.disturbing(name):
             self.deployment.resume(name)
             was_ready = await self._is_ready(name)
             self.deployment.terminate(name)
             status = await self.deployment.wait_stopped(name)
             self.deployment.launch(name)
-        self._busy.discard(name)
-        # One that has hardly been started knows of no signals yet.
+        self._restarting.discard(name)
+        # An instance that is still starting has not installed its signal handlers.
         if status and (was_ready or status != -signal.SIGTERM):
-            self.exits.append(f'{name}, asked to stop: status {status}')
+            self.unexpected_exits.append(f'{name}, asked to stop: status {status}')
 
     async def _is_ready(self, name: str) -> bool:
-        with anyio.move_on_after(_READY_S):
+        with anyio.move_on_after(_READY_TIMEOUT_S):
             await self.deployment.wait_ready(name)
             return True
         return False
@@ -170,30 +170,30 @@
             self.deployment.signal(name, signal.SIGHUP)
 
     def crash_worker(self, worker: WorkerStandIn) -> None:
-        """Let a worker come back as another incarnation."""
+        """Crash a worker, which returns as a new incarnation."""
         worker.crash(f'{worker.worker_id.split("-")[0]}-{next(self._incarnations)}')
 
     async def watch_processes(self) -> None:
-        """Start daemons again that end by themselves, and note it, until cancelled."""
+        """Record and restart daemons that exit by themselves, until cancelled."""
         while True:
-            await anyio.sleep(_WATCH_EVERY_S)
-            for name in self.deployment.ended_by_themselves(self._busy):
-                self.exits.append(name)
+            await anyio.sleep(_WATCH_INTERVAL_S)
+            for name in self.deployment.pop_exited(self._restarting):
+                self.unexpected_exits.append(name)
                 with self.disturbing(name):
                     self.deployment.launch(name)
 
     async def watch_lag(self) -> None:
-        """Count a lag of this process as a slow store, until cancelled."""
+        """Record lags of this process as disturbances of all instances, until cancelled."""
         while True:
             begun_s = time.monotonic()
-            await anyio.sleep(_WATCH_EVERY_S)
-            if time.monotonic() - begun_s > _WATCH_EVERY_S + _LAG_S:
+            await anyio.sleep(_WATCH_INTERVAL_S)
+            if time.monotonic() - begun_s > _WATCH_INTERVAL_S + _LAG_THRESHOLD_S:
                 self.lags += 1
                 with self.disturbing():
                     await anyio.sleep(0)
 
     async def wait_for_step(self, step: str, *, is_done: bool, wait_s: float) -> bool:
-        """Wait until a step reaches the store or a worker; false when none does."""
+        """Wait until the store or a worker receives or completes a step; return whether it did in time."""
         came = anyio.Event()
 
         def observe(found: str, done: bool) -> None:
@@ -210,5 +210,5 @@
         return came.is_set()
 
     def close(self) -> None:
-        """End every daemon."""
+        """Stop all daemons."""
         self.deployment.close()
--- a/tools/tests/test_words.py
+++ b/tools/tests/test_words.py
@@ -1,10 +1,10 @@
-"""Words that the project does not use come back in prose, in names, and over words that merely contain them."""
+"""Guards against discouraged words missed in prose or identifiers, and against matches inside other words."""
 
 import pytest
 
-from ..words import find_words, Words
+from ..words import find_words, WordList
 
-WORDS = Words({'life': 'incarnation', 'stands still': 'is stalled'}, ["draw('life')"])
+WORDS = WordList({'life': 'incarnation', 'stands still': 'is stalled'}, ["draw('life')"])
 
 
 @pytest.mark.parametrize(
@@ -18,16 +18,16 @@
         "stop('stands still')",
     ],
 )
-def test_a_word_is_found_in_prose_and_in_names(line):
+def test_listed_words_are_found_in_prose_and_in_identifiers(line):
     assert [finding.line for finding in find_words(f'\n{line}\n', WORDS)] == [2]
 
 
 @pytest.mark.parametrize(
     'line', ['lifetime = 1', 'The lifeline stands; still', "draw('life')", 'A worker stands. It is still.']
 )
-def test_other_words_and_kept_text_are_left_alone(line):
-    assert not list(find_words(line, Words({'life': 'incarnation'}, ["draw('life')"])))
+def test_other_words_and_exceptions_are_not_reported(line):
+    assert not list(find_words(line, WordList({'life': 'incarnation'}, ["draw('life')"])))
 
 
-def test_a_finding_names_the_term_to_use():
+def test_finding_contains_the_recommended_term():
     assert [(finding.word, finding.term) for finding in find_words('life', WORDS)] == [('life', 'incarnation')]
