--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crash_histories.py
@@ -17,7 +17,8 @@
 from .pool import ORDINARY, task, URGENT, WORKER
 from .recorded_owners import LeasedWorker, StoreBackedOwners
 
-# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
+# Maximum number of starts of a task that crashes workers: three crashes that count against it, and two more starts
+# that users tolerate.
 MAX_STARTS = 5
 # Number of crashes under a task from which users accept that its job is failed.
 MIN_CRASHES_BEFORE_FAILURE = 2
--- a/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
+++ b/packages/kernel/dahliaarch_kernel/scheduler/tests/test_crashes.py
@@ -17,7 +17,8 @@
 
 A, B = 'a' * 16, 'b' * 16
 CRASHING_TASK = TaskKey(A, 0, 0, 0)
-# Maximum number of starts of a task that crashes workers: three conclusive crashes, and two more that users tolerate.
+# Maximum number of starts of a task that crashes workers: three crashes that count against it, and two more starts
+# that users tolerate.
 MAX_STARTS = 5
 
 
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_must_hold.py
@@ -326,7 +326,7 @@
 
 @then('it has crashed at most five workers')
 def _(running):
-    # Three conclusive crashes, and two more for starts that were already on their way.
+    # After three crashes that may count against the task, two more are tolerated, for starts that were in flight.
     running.sleep(1.0)
     assert len(running.starts()) <= 5
 
--- a/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
+++ b/packages/standins/dahliaarch_standins/deployment/tests/test_restarted_workers.py
@@ -16,7 +16,7 @@
 # Number of failed runs after which a job in the deployment's queues fails.
 MAX_ATTEMPTS = 3
 ENDED_STATES = ('succeeded', 'failed')
-# Most starts allowed for a task that crashes workers: three conclusive crashes and two more.
+# Most starts allowed for a task that crashes workers: three crashes that count against it, and two more starts.
 MAX_CRASHING_STARTS = 5
 ONE_TASK = [{**PARALLEL[0], 'Count': 1}]
 # Enough tasks for every worker to report some ends.
